--- a/internal/selector/admission.go
+++ b/internal/selector/admission.go
@@ -7,164 +7,183 @@
 	"wallflow/internal/config"
 )
 
-// Admission is by work. What waits at an engine is tokens to be read, steps to be made and memory to be freed; the estimate of an attempt
-// adds them up, and the engine with the least is chosen. If even that one has as many requests, or as much memory taken, as it can work on
-// and a few more, the request waits here for a place for a part of its aim, and is then refused before it costs anything; its client is
-// told when to come back. So queues at engines stay short, and what is taken on is answered in time. An engine that runs out of places or
-// memory takes them from the least urgent of what it runs, which then is read again: work done twice is what makes goodput collapse.
+// Admission control goes by estimated work. What queues at an engine is prompt tokens to prefill, decode steps to run
+// and KV-cache memory to be freed. The estimate of an attempt adds these up, and the engine with the lowest cost is
+// chosen. If even that engine has as many requests, or as much memory in use, as it can work on plus a small margin,
+// the request waits in this relay for a free slot, for a fraction of its target latency. It is then refused before it
+// costs an engine anything, and its client is told when to retry. So the queues at engines stay short, and accepted
+// requests are answered in time. An engine that runs out of slots or memory preempts the least urgent of the requests
+// that it runs, which must then be prefilled again. It is this repeated work that makes goodput collapse.
 //
-// Under shortage the most urgent kind goes first: the others are let in only where places are left for it. A part of them has the limits
-// of the most urgent, so that no kind starves.
+// Under overload the most urgent priority goes first: requests of other priorities are admitted only while slots are
+// left for it. A fraction of these requests is treated like the most urgent ones, so that no priority starves.
 
 const (
-	// urgentFull is the share of its places that must be taken at the best endpoint before a request of the most urgent kind is refused,
-	// and deferredFull the same for all others: an engine without a free place takes it from the least urgent of what it runs.
-	urgentFull   = 1.5
-	deferredFull = 0.85
-	// guessedFull is the share from which a request is refused, if it would begin too late, where the load of others is a guess. lateShare
-	// is then the share of the time between aim and deadline beyond which a start is too late, less urgentShare for each rank of priority.
-	guessedFull = 1.25
-	lateShare   = 0.8
-	urgentShare = 0.06
-	urgentRanks = 5
-	// holdLook is how often a request that is held looks for a place, and holdMargin how long before the end of its time it is refused.
-	holdLook   = 25 * time.Millisecond
-	holdMargin = 15 * time.Millisecond
-	// spareShare is the share of the less urgent requests that have the limits of the most urgent.
-	spareShare = 0.1
-	// starving is the share of what all tries for a service get served below which a kind has the limits of the most urgent at once: its
-	// requests, of which each is tried more than once, must not fall to a quarter (rule Starved).
-	starving    = 0.25
-	adviceLeast = 50 * time.Millisecond
-	adviceUsual = 300 * time.Millisecond
-	// adviceShare: clients follow advice up to a third of the time that they have left.
-	adviceShare = 3
-	// adviceSpread is the share by which advice varies, so that refused clients do not return together.
-	adviceSpread = 0.5
+	// maxOccupancyUrgent is the occupancy of the best endpoint from which a request of the most urgent priority is
+	// refused, and maxOccupancyDeferred the same for all other requests. An engine without a free slot preempts the
+	// least urgent request that it runs.
+	maxOccupancyUrgent   = 1.5
+	maxOccupancyDeferred = 0.85
+	// maxOccupancyEstimated is the occupancy from which a request is refused where the load of other relays is only
+	// estimated. It is refused only if it would also start too late: after lateStartFraction of the time between its
+	// target and its deadline. The fraction is reduced by lateStartFractionPerRank for each step that its priority
+	// lies behind the most urgent one, 0, up to maxPriorityRank steps.
+	maxOccupancyEstimated    = 1.25
+	lateStartFraction        = 0.8
+	lateStartFractionPerRank = 0.06
+	maxPriorityRank          = 5
+	// holdPollInterval is how often a waiting request looks for a free slot, and holdEndMargin how long before its
+	// offer deadline it stops waiting and is refused.
+	holdPollInterval = 25 * time.Millisecond
+	holdEndMargin    = 15 * time.Millisecond
+	// exemptFraction is the fraction of the less urgent requests that have the limit of the most urgent ones.
+	exemptFraction = 0.1
+	// starvationRatio is the ratio of a priority's served fraction to the served fraction of all requests of the
+	// service below which that priority gets the limit of the most urgent one at once. Clients try each request more
+	// than once, and the fraction of requests served in the end must not fall to a quarter (rule Starved of the
+	// specification).
+	starvationRatio = 0.25
+	// minRetryAfter is the shortest advised wait, and defaultRetryAfter the advised wait where nothing better is
+	// known.
+	minRetryAfter     = 50 * time.Millisecond
+	defaultRetryAfter = 300 * time.Millisecond
+	// retryAfterDivisor divides the time left until the deadline to give the longest advised wait, since clients do
+	// not follow advice to wait longer than that.
+	retryAfterDivisor = 3
+	// retryAfterJitter is the fraction by which the advised wait varies at random, so that refused clients do not
+	// return together.
+	retryAfterJitter = 0.5
 )
 
-// overloaded tells whether a request is not let in, since even the best endpoint found is full, and how long its client should wait. The
-// request's size doesn't count: large prompts are refused no sooner than small ones. Nothing is refused once it has been held for a part
-// of its aim.
-func (s *Selector) overloaded(now time.Time, request *Request, found *choice) (time.Duration, bool) {
-	if !s.on(Admission) || request.runs > 0 || now.After(request.offerBy()) {
+// checkOverload reports whether a request must not be sent now because even the best endpoint is overloaded, and how
+// long its client should wait. The size of the request does not count: large prompts are refused no sooner than small
+// ones. A request that is past its offer deadline, or that may already have run, is never refused for overload.
+func (s *Selector) checkOverload(now time.Time, request *Request, best *choice) (time.Duration, bool) {
+	if !s.enabled(Admission) || request.runs > 0 || now.After(request.offerDeadline()) {
 		return 0, false
 	}
-	occupied, begins := s.occupied(now, found.endpoint), fromMs(found.estimate.travel+found.estimate.wait)
+	occupancy, startDelay := s.occupancy(now, best.endpoint), fromMs(best.estimate.networkMs+best.estimate.waitMs)
 	switch {
-	case !s.knowsOthers(now) || found.endpoint.service.engine() == nil:
-		latest := s.latestStart(now, request)
-		return begins - latest, occupied >= guessedFull && begins > latest
-	case s.deferred(now, request):
-		return begins, occupied >= deferredFull
+	case !s.hasOtherLoads(now) || best.endpoint.service.engine() == nil:
+		limit := s.maxStartDelay(now, request)
+		return startDelay - limit, occupancy >= maxOccupancyEstimated && startDelay > limit
+	case s.isDeferred(now, request):
+		return startDelay, occupancy >= maxOccupancyDeferred
 	}
-	return begins, occupied >= urgentFull
+	return startDelay, occupancy >= maxOccupancyUrgent
 }
 
-// latestStart is how much later an endpoint may begin with a request, where its load is a guess.
-func (s *Selector) latestStart(now time.Time, request *Request) time.Duration {
-	aim, left := max(0, request.aimLeft(now)), request.left(now)
-	share := lateShare
-	if s.on(Urgency) {
-		share -= urgentShare * float64(min(max(request.Route.Priority, 0), urgentRanks))
+// maxStartDelay is how long the start of a request at an endpoint may be delayed for the request to be admitted,
+// where the endpoint's load is only estimated.
+func (s *Selector) maxStartDelay(now time.Time, request *Request) time.Duration {
+	untilTarget, timeLeft := max(0, request.targetLeft(now)), request.timeLeft(now)
+	fraction := lateStartFraction
+	if s.enabled(Urgency) {
+		fraction -= lateStartFractionPerRank * float64(min(max(request.Route.Priority, 0), maxPriorityRank))
 	}
-	return aim + time.Duration(share*float64(left-aim))
+	return untilTarget + time.Duration(fraction*float64(timeLeft-untilTarget))
 }
 
-// mayHold tells whether a request that is not let in may wait here for a place, and when to look again. It gets its answer before it has
-// been held for a quarter of its aim.
-func (s *Selector) mayHold(now time.Time, request *Request, found *choice) (time.Time, bool) {
-	last := request.offerBy().Add(-holdMargin)
-	if !s.on(Waiting) || !now.Before(last) || !s.knowsOthers(now) || found.endpoint.service.engine() == nil {
+// holdUntil reports whether a request that is not admitted may wait in this relay for a free slot, and when to look
+// again. It waits no longer than until its offer deadline, a quarter of its target latency after its arrival.
+func (s *Selector) holdUntil(now time.Time, request *Request, best *choice) (time.Time, bool) {
+	latest := request.offerDeadline().Add(-holdEndMargin)
+	if !s.enabled(Waiting) || !now.Before(latest) || !s.hasOtherLoads(now) || best.endpoint.service.engine() == nil {
 		return time.Time{}, false
 	}
-	until := now.Add(holdLook)
-	if until.After(last) {
-		until = last
+	until := now.Add(holdPollInterval)
+	if until.After(latest) {
+		until = latest
 	}
 	return until, true
 }
 
-// occupied is the share of an endpoint's places that is taken, by requests or, at an engine, by the memory that they hold.
-func (s *Selector) occupied(now time.Time, endpoint *endpoint) float64 {
-	places := s.requests(now, endpoint) / float64(endpoint.slots())
+// occupancy is the used fraction of an endpoint's slots or, at an engine, of its KV-cache memory, whichever is
+// higher. It exceeds 1 where requests queue.
+func (s *Selector) occupancy(now time.Time, endpoint *endpoint) float64 {
+	slotOccupancy := s.requests(now, endpoint) / float64(endpoint.slots())
 	engine := endpoint.service.engine()
 	if engine == nil || engine.KVCapacity <= 0 {
-		return places
+		return slotOccupancy
 	}
-	return math.Max(places, s.memory(now, endpoint)/float64(engine.KVCapacity))
+	return math.Max(slotOccupancy, s.memoryTokens(now, endpoint)/float64(engine.KVCapacity))
 }
 
-// deferred tells whether a request makes room for more urgent kinds of its service.
-func (s *Selector) deferred(now time.Time, request *Request) bool {
+// isDeferred reports whether a request must leave slots free for more urgent requests of its service.
+func (s *Selector) isDeferred(now time.Time, request *Request) bool {
 	service := request.service()
-	if !s.on(Urgency) || request.Route.Priority <= service.urgent || service.served.starves(now, request.Route.Priority) {
+	if !s.enabled(Urgency) || request.Route.Priority <= service.mostUrgentPriority ||
+		service.recentCounts.isStarved(now, request.Route.Priority) {
 		return false
 	}
-	const parts = 1 << 16
-	return float64(mix(s.lot(request))%parts) >= spareShare*parts
+	// The exempt requests are selected by a hash of their id.
+	const resolution = 1 << 16
+	return float64(mixBits(s.splitDraw(request))%resolution) >= exemptFraction*resolution
 }
 
-// setUrgency notes for each service the priority of the most urgent kind of request that it gets.
-func (s *Selector) setUrgency(document *config.Document) {
+// updateUrgency sets for each service the most urgent priority among the routes that use it.
+func (s *Selector) updateUrgency(document *config.Document) {
 	for _, service := range s.services {
-		service.urgent = math.MaxInt
+		service.mostUrgentPriority = math.MaxInt
 	}
 	for index := range document.Routes {
 		route := &document.Routes[index]
 		for _, share := range route.Shares() {
 			if service := s.services[share.Backend]; service != nil {
-				service.urgent = min(service.urgent, route.Priority)
+				service.mostUrgentPriority = min(service.mostUrgentPriority, route.Priority)
 			}
 		}
 	}
 }
 
-// servedMemory is the time in which what was served counts half.
-const servedMemory = 4 * time.Second
+// servedHalfLife is the half-life of the counts of arrived and served requests.
+const servedHalfLife = 4 * time.Second
 
-// servedCounts is how many requests of each priority came and were served lately.
-type servedCounts struct {
-	byPriority [urgencies]servedCount
-	at         time.Time
+// priorityCounts holds how many requests of each priority have arrived and were served recently. The counts decay
+// exponentially.
+type priorityCounts struct {
+	byPriority [priorityLevels]priorityCount
+	decayedAt  time.Time
 }
 
-// urgencies is the priorities that are told apart; those beyond count as the last.
-const urgencies = 10
+// priorityLevels is the number of priorities that are counted separately; higher ones count as the last.
+const priorityLevels = 10
 
-type servedCount struct{ came, served float64 }
+// priorityCount holds the decayed counts of one priority.
+type priorityCount struct{ arrived, served float64 }
 
-func (c *servedCounts) of(now time.Time, priority int) *servedCount {
-	if !c.at.IsZero() {
-		fade := math.Exp2(-now.Sub(c.at).Seconds() / servedMemory.Seconds())
+// countFor decays all counts to now and returns those of a priority.
+func (c *priorityCounts) countFor(now time.Time, priority int) *priorityCount {
+	if !c.decayedAt.IsZero() {
+		decay := math.Exp2(-now.Sub(c.decayedAt).Seconds() / servedHalfLife.Seconds())
 		for index := range c.byPriority {
-			c.byPriority[index].came *= fade
-			c.byPriority[index].served *= fade
+			c.byPriority[index].arrived *= decay
+			c.byPriority[index].served *= decay
 		}
 	}
-	c.at = now
-	return &c.byPriority[min(max(priority, 0), urgencies-1)]
+	c.decayedAt = now
+	return &c.byPriority[min(max(priority, 0), priorityLevels-1)]
 }
 
-// starves tells whether requests of a priority are served much less often than all.
-func (c *servedCounts) starves(now time.Time, priority int) bool {
-	kind := c.of(now, priority)
-	var all servedCount
-	for _, each := range c.byPriority {
-		all.came += each.came
-		all.served += each.served
+// isStarved reports whether requests of a priority are served much less often than requests on average.
+func (c *priorityCounts) isStarved(now time.Time, priority int) bool {
+	own := c.countFor(now, priority)
+	var total priorityCount
+	for _, count := range c.byPriority {
+		total.arrived += count.arrived
+		total.served += count.served
 	}
-	return kind.served*all.came < starving*all.served*kind.came
+	return own.served*total.arrived < starvationRatio*total.served*own.arrived
 }
 
-// advice is how long a refused client should wait.
-func (s *Selector) advice(now time.Time, request *Request, wait time.Duration) time.Duration {
+// retryAfter returns how long a refused client is advised to wait; wait is the estimate, zero if there is none.
+func (s *Selector) retryAfter(now time.Time, request *Request, wait time.Duration) time.Duration {
 	if wait <= 0 {
-		wait = adviceUsual
+		wait = defaultRetryAfter
 	}
-	if s.on(RetrySpread) {
-		wait = time.Duration(float64(wait) * (1 + adviceSpread*(2*s.random.Float64()-1)))
+	if s.enabled(RetrySpread) {
+		wait = time.Duration(float64(wait) * (1 + retryAfterJitter*(2*s.random.Float64()-1)))
 	}
-	most := request.Deadline.Sub(now) / adviceShare
-	return max(min(wait, most), adviceLeast)
+	maxWait := request.Deadline.Sub(now) / retryAfterDivisor
+	return max(min(wait, maxWait), minRetryAfter)
 }
--- a/internal/selector/bench_test.go
+++ b/internal/selector/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// BenchmarkChoose takes and answers requests with tiers of different sizes: the cost must not grow with them.
+// BenchmarkChoose sends and answers requests with tiers of different sizes. The cost per request must not grow with
+// the size.
 func BenchmarkChoose(b *testing.B) {
 	for _, size := range []int{8, 32, 1000, 12_000} {
 		for _, kind := range []string{"query", "dossier"} {
@@ -16,7 +17,7 @@
 				b.ReportAllocs()
 				b.ResetTimer()
 				for index := range b.N {
-					f.after(3 * time.Millisecond)
+					f.advance(3 * time.Millisecond)
 					var r *Request
 					if kind == "query" {
 						r = f.request("query")
@@ -25,19 +26,19 @@
 					}
 					d := f.choose(r)
 					f.s.FirstByte(f.now, d.Attempt)
-					f.done(d, Success)
+					f.finish(d, Success)
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkSetInstances takes on a whole list in which nothing has changed.
+// BenchmarkSetInstances sets a complete list of instances in which nothing has changed.
 func BenchmarkSetInstances(b *testing.B) {
 	f := newFleet(b)
 	f.engines(homeZone, 12_000)
 	b.ResetTimer()
 	for range b.N {
-		f.tell()
+		f.publish()
 	}
 }
--- a/internal/selector/cache.go
+++ b/internal/selector/cache.go
@@ -3,37 +3,38 @@
 import "time"
 
 const (
-	// keptLeast is the size of a part that is worth remembering.
-	keptLeast = 128
-	// keptFor is how long a part that this relay does not use is believed to be kept.
-	keptFor = 60 * time.Second
+	// minCachedPartTokens is the minimum size of a prompt part that is tracked.
+	minCachedPartTokens = 128
+	// cachedPartTTL is how long an endpoint is believed to cache a part that this relay knows no use of.
+	cachedPartTTL = 60 * time.Second
 )
 
-// keptPart is a part of a prompt that an endpoint is believed to keep.
-type keptPart struct {
+// cachedPart is a part of a prompt that an endpoint is believed to have in its KV cache.
+type cachedPart struct {
 	id             uint64
 	tokens         int
 	usedAt         time.Time
-	previous, next *keptPart // from the one used last
+	previous, next *cachedPart // LRU list, from the most recently used part
 }
 
-// partCache is the parts of prompts that an endpoint is believed to keep, the least recently used giving way first.
-type partCache struct {
-	parts  map[uint64]*keptPart
-	newest *keptPart
-	oldest *keptPart
-	tokens int
+// prefixCache holds the prompt parts that an endpoint is believed to have in its KV cache, with least-recently-used
+// eviction.
+type prefixCache struct {
+	parts       map[uint64]*cachedPart
+	mostRecent  *cachedPart
+	leastRecent *cachedPart
+	tokens      int
 }
 
-// kept tells how many parts of a prompt are kept, from the first on, and their tokens. A part counts only if all before it do.
-// Parts too small to remember count as not kept.
-func (c *partCache) kept(now time.Time, parts []PromptPart) (count, tokens int) {
+// cachedPrefix returns how many leading parts of a prompt are believed to be cached, and their tokens. A part counts
+// only if all parts before it do. Parts too small to track count as not cached.
+func (c *prefixCache) cachedPrefix(now time.Time, parts []PromptPart) (count, tokens int) {
 	if len(c.parts) == 0 {
 		return 0, 0
 	}
 	for _, part := range parts {
-		known := c.parts[part.ID]
-		if known == nil || now.Sub(known.usedAt) > keptFor {
+		entry := c.parts[part.ID]
+		if entry == nil || now.Sub(entry.usedAt) > cachedPartTTL {
 			return count, tokens
 		}
 		count++
@@ -42,73 +43,75 @@
 	return count, tokens
 }
 
-// use notes that the endpoint reads or uses the parts of a prompt.
-func (c *partCache) use(now time.Time, parts []PromptPart, capacity int) {
+// add records that the endpoint prefills or reuses the parts of a prompt. capacity is the size of the cache in
+// tokens.
+func (c *prefixCache) add(now time.Time, parts []PromptPart, capacity int) {
 	for _, part := range parts {
-		if part.Tokens < keptLeast {
-			return // what comes after it is never found
+		if part.Tokens < minCachedPartTokens {
+			return // cachedPrefix never finds the parts after one that is not tracked
 		}
 		c.touch(now, part)
 	}
-	c.shrink(now, capacity)
+	c.evict(now, capacity)
 }
 
-func (c *partCache) touch(now time.Time, part PromptPart) {
-	known := c.parts[part.ID]
-	if known != nil {
-		c.unlink(known)
+// touch makes a part the most recently used one, and adds it if it is new.
+func (c *prefixCache) touch(now time.Time, part PromptPart) {
+	entry := c.parts[part.ID]
+	if entry != nil {
+		c.unlink(entry)
 	} else {
 		if c.parts == nil {
-			c.parts = map[uint64]*keptPart{}
+			c.parts = map[uint64]*cachedPart{}
 		}
-		known = &keptPart{id: part.ID, tokens: part.Tokens}
-		c.parts[part.ID] = known
+		entry = &cachedPart{id: part.ID, tokens: part.Tokens}
+		c.parts[part.ID] = entry
 		c.tokens += part.Tokens
 	}
-	known.usedAt = now
-	c.link(known)
+	entry.usedAt = now
+	c.link(entry)
 }
 
-// shrink forgets the parts used the longest ago that have no room or are too old.
-func (c *partCache) shrink(now time.Time, capacity int) {
-	for c.oldest != nil && (c.tokens > capacity || now.Sub(c.oldest.usedAt) > keptFor) {
-		c.drop(c.oldest)
+// evict removes the least recently used parts that exceed the capacity or are too old.
+func (c *prefixCache) evict(now time.Time, capacity int) {
+	for c.leastRecent != nil && (c.tokens > capacity || now.Sub(c.leastRecent.usedAt) > cachedPartTTL) {
+		c.removePart(c.leastRecent)
 	}
 }
 
-// forget drops parts that were noted and not read after all.
-func (c *partCache) forget(parts []PromptPart) {
+// remove deletes parts that were recorded but not prefilled in the end.
+func (c *prefixCache) remove(parts []PromptPart) {
 	for _, part := range parts {
-		if known := c.parts[part.ID]; known != nil {
-			c.drop(known)
+		if entry := c.parts[part.ID]; entry != nil {
+			c.removePart(entry)
 		}
 	}
 }
 
-func (c *partCache) drop(part *keptPart) {
+func (c *prefixCache) removePart(part *cachedPart) {
 	c.unlink(part)
 	delete(c.parts, part.id)
 	c.tokens -= part.tokens
 }
 
-func (c *partCache) link(part *keptPart) {
-	part.previous, part.next = nil, c.newest
-	if c.newest == nil {
-		c.oldest = part
+func (c *prefixCache) link(part *cachedPart) {
+	part.previous, part.next = nil, c.mostRecent
+	if c.mostRecent == nil {
+		c.leastRecent = part
 	} else {
-		c.newest.previous = part
+		c.mostRecent.previous = part
 	}
-	c.newest = part
+	c.mostRecent = part
 }
 
-func (c *partCache) unlink(part *keptPart) {
+func (c *prefixCache) unlink(part *cachedPart) {
 	if part.previous == nil {
-		c.newest = part.next
+		c.mostRecent = part.next
 	} else {
 		part.previous.next = part.next
 	}
 	if part.next == nil {
-		c.oldest = part.previous
+		c.leastRecent = part.previous
 	} else {
 		part.next.previous = part.previous
 	}
--- a/internal/selector/candidates.go
+++ b/internal/selector/candidates.go
@@ -5,242 +5,254 @@
 )
 
 const (
+	// unranked is the rank of a candidate outside the ranking of the request's prompt prefix.
 	unranked = -1
-	// preferred is how many endpoints of a prompt's ranking are told apart.
-	preferred = len(preference)
-	// chances is how many endpoints of a large tier are looked at by chance.
-	chances = 4
-	// retryLook is how long until an endpoint that is busy with its trial or out of connections is looked at again.
-	retryLook = 50 * time.Millisecond
-	// affinityLeast is the size of a prompt's first part from which it is worth meeting others that begin with it.
-	affinityLeast = 512
-	// lookAtSkipped is how many skipped or foreign endpoints are asked when the next is free.
-	lookAtSkipped = 16
-	// connectionShare is the part of an endpoint's connections that the relays of a zone use.
-	connectionShare = 0.8
+	// maxRanked is how many endpoints the ranking of a prompt prefix holds.
+	maxRanked = len(rankCredit)
+	// randomCandidates is how many endpoints of a large tier are considered at random.
+	randomCandidates = 4
+	// recheckInterval is how long until an endpoint with a trial in flight, or without a free connection, is
+	// considered again.
+	recheckInterval = 50 * time.Millisecond
+	// minAffinityTokens is the minimum size of a prompt's first part for which requests that share it are sent to the
+	// same endpoints.
+	minAffinityTokens = 512
+	// maxUnavailableChecked is how many skipped endpoints, and cold ones of other owners, are checked for the next
+	// time at which one becomes available.
+	maxUnavailableChecked = 16
+	// connectionFraction is the fraction of an endpoint's connections that the relays of a zone use.
+	connectionFraction = 0.8
 )
 
-// candidate is an endpoint that is looked at for a request.
+// candidate is an endpoint that is considered for a request.
 type candidate struct {
 	endpoint *endpoint
-	rank     int
+	rank     int // in the ranking of the prompt prefix, from 0; or unranked
 }
 
-// choice is an endpoint with what is expected of it.
+// choice is the chosen endpoint with the estimate for the attempt; endpoint is nil if there is none.
 type choice struct {
 	endpoint *endpoint
 	estimate estimate
-	cost     float64 // with its variation
+	costMs   float64 // with jitter
 	ranked   bool
 }
 
-// earliestChange keeps the earliest of the times at which something may change; the zero time: never.
+// earliestChange is the earliest time at which an endpoint may become available; the zero time if none will.
 type earliestChange struct{ at time.Time }
 
-func (s *earliestChange) note(at time.Time) {
-	if s.at.IsZero() || at.Before(s.at) {
-		s.at = at
+// note lowers the time to at, if that is earlier.
+func (c *earliestChange) note(at time.Time) {
+	if c.at.IsZero() || at.Before(c.at) {
+		c.at = at
 	}
 }
 
-// search says how the endpoints of a tier are looked through.
-type search struct {
-	forced bool // the pace doesn't matter any more
-	home   bool // the tier is the one that keeps the opening of the request's prompt
+// searchOptions says how the endpoints of a tier are searched.
+type searchOptions struct {
+	forced     bool // pacing rates are ignored
+	prefixHome bool // the tier is the home of the request's prompt prefix
 }
 
-// best finds the endpoint of a tier with the least cost for a request, and notes when others may take it.
-func (s *Selector) best(now time.Time, request *Request, tier *tier, with search, later *earliestChange) choice {
+// bestInTier returns the endpoint of a tier with the lowest cost for a request, and records in nextChange when others
+// may admit it.
+func (s *Selector) bestInTier(now time.Time, request *Request, tier *tier, options searchOptions, nextChange *earliestChange) choice {
 	var best choice
-	s.scratch = s.candidates(now, s.scratch[:0], request, tier)
-	if !with.home || s.placesFreely(request) {
-		unrank(s.scratch)
+	s.candidateBuffer = s.candidates(now, s.candidateBuffer[:0], request, tier)
+	if !options.prefixHome || s.mayPrefillAnywhere(request) {
+		clearRanks(s.candidateBuffer)
 	}
-	for _, candidate := range s.scratch {
-		if free := s.admits(now, request, candidate.endpoint, with.forced); free.After(now) {
-			later.note(free)
+	for _, candidate := range s.candidateBuffer {
+		if earliest := s.admitAt(now, request, candidate.endpoint, options.forced); earliest.After(now) {
+			nextChange.note(earliest)
 			continue
 		}
 		estimate := s.estimate(now, request, candidate.endpoint, candidate.rank)
-		cost := s.vary(estimate.cost)
-		if best.endpoint == nil || cost < best.cost {
-			best = choice{endpoint: candidate.endpoint, estimate: estimate, cost: cost, ranked: candidate.rank != unranked}
+		costMs := s.addJitter(estimate.costMs)
+		if best.endpoint == nil || costMs < best.costMs {
+			best = choice{endpoint: candidate.endpoint, estimate: estimate, costMs: costMs, ranked: candidate.rank != unranked}
 		}
 	}
-	for _, place := range [...]placeOf{placeSkipped, placeForeign} {
-		list := tier.lists[place]
-		for _, endpoint := range list[:min(len(list), lookAtSkipped)] {
-			later.note(endpoint.recheckAt)
+	for _, kind := range [...]listKind{listSkipped, listColdForeign} {
+		list := tier.lists[kind]
+		for _, endpoint := range list[:min(len(list), maxUnavailableChecked)] {
+			nextChange.note(endpoint.recheckAt)
 		}
 	}
 	return best
 }
 
-// candidates are the endpoints of a tier to look at: all of a small one; of a large one the first in the prompt's ranking, and a
-// few by chance.
-func (s *Selector) candidates(now time.Time, into []candidate, request *Request, tier *tier) []candidate {
+// candidates appends the endpoints of a tier to consider for a request: all of a small tier; of a large one the first
+// in the ranking of the prompt prefix, a few at random, and a few with an open connection.
+func (s *Selector) candidates(now time.Time, dst []candidate, request *Request, tier *tier) []candidate {
 	warm := tier.warm()
-	part, affine := request.affinity()
+	prefixHash, hasAffinity := request.affinityHash()
 	if tier.groups == nil {
 		for _, endpoint := range warm {
-			into = append(into, candidate{endpoint: endpoint, rank: unranked})
+			dst = append(dst, candidate{endpoint: endpoint, rank: unranked})
 		}
 	} else {
-		if affine {
-			for _, endpoint := range tier.groups[topGroup(part, len(tier.groups))] {
-				into = append(into, candidate{endpoint: endpoint, rank: unranked})
+		if hasAffinity {
+			for _, endpoint := range tier.groups[preferredGroup(prefixHash, len(tier.groups))] {
+				dst = append(dst, candidate{endpoint: endpoint, rank: unranked})
 			}
 		}
 	}
-	if affine {
-		rankCandidates(part, into)
+	if hasAffinity {
+		rankCandidates(prefixHash, dst)
 	}
 	if tier.groups != nil {
-		into = keepRanked(into)
-		into = s.draw(into, warm, chances)
-		into = s.addConnected(into, tier)
+		dst = filterRanked(dst)
+		dst = s.addRandom(dst, warm, randomCandidates)
+		dst = s.addConnected(dst, tier)
 	}
-	if affine && s.on(SharedOpenings) {
-		into = s.addKeepers(now, into, request, tier)
+	if hasAffinity && s.enabled(SharedPrefixes) {
+		dst = s.addPrefixHolders(now, dst, request, tier)
 	}
-	return s.draw(into, tier.lists[placeOwned], chances)
+	return s.addRandom(dst, tier.lists[listColdOwned], randomCandidates)
 }
 
-// addKeepers adds the endpoints that keep the request's opening. Where there are any, the ranking credits nobody: it only says who is to
-// read an opening that nobody keeps.
-func (s *Selector) addKeepers(now time.Time, into []candidate, request *Request, tier *tier) []candidate {
-	found := len(into)
-	into = s.keepersOf(now, into, request, tier)
-	if len(into) > found {
-		unrank(into)
+// addPrefixHolders appends the endpoints that cache the request's prefix. If there are any, the ranking is cleared:
+// it only decides which endpoint is to prefill a prefix that none caches.
+func (s *Selector) addPrefixHolders(now time.Time, dst []candidate, request *Request, tier *tier) []candidate {
+	before := len(dst)
+	dst = s.appendPrefixHolders(now, dst, request, tier)
+	if len(dst) > before {
+		clearRanks(dst)
 	}
-	return into
+	return dst
 }
 
-// draw adds endpoints by chance, or all if they are few. One may come twice; that does no harm.
-func (s *Selector) draw(into []candidate, from []*endpoint, count int) []candidate {
+// addRandom appends count endpoints drawn at random, or all if there are no more than that. An endpoint may be drawn
+// twice, which does no harm.
+func (s *Selector) addRandom(dst []candidate, from []*endpoint, count int) []candidate {
 	if len(from) <= count {
 		for _, endpoint := range from {
-			into = append(into, candidate{endpoint: endpoint, rank: unranked})
+			dst = append(dst, candidate{endpoint: endpoint, rank: unranked})
 		}
-		return into
+		return dst
 	}
 	for range count {
-		into = append(into, candidate{endpoint: from[s.random.IntN(len(from))], rank: unranked})
+		dst = append(dst, candidate{endpoint: from[s.random.IntN(len(from))], rank: unranked})
 	}
-	return into
+	return dst
 }
 
-// affinity is the hash of the part that the prompt's ranking goes by, if it is large enough to matter.
-func (r *Request) affinity() (part uint64, affine bool) {
-	if r.apart || len(r.Parts) == 0 || r.Parts[0].Tokens < affinityLeast {
+// affinityHash returns the hash of the prompt's first part, by which endpoints are ranked, if the part is large
+// enough to matter.
+func (r *Request) affinityHash() (prefixHash uint64, hasAffinity bool) {
+	if r.noAffinity || len(r.Parts) == 0 || r.Parts[0].Tokens < minAffinityTokens {
 		return 0, false
 	}
-	return mix(r.Parts[0].ID), true
+	return mixBits(r.Parts[0].ID), true
 }
 
-// topGroup is the group of a large tier that a prompt belongs to, by rendezvous hashing over the groups.
-func topGroup(part uint64, groups int) int {
-	top, weight := 0, uint64(0)
+// preferredGroup returns the group of a large tier that a prompt prefix maps to, by rendezvous hashing over the
+// groups.
+func preferredGroup(prefixHash uint64, groups int) int {
+	best, highest := 0, uint64(0)
 	for group := range groups {
-		if claim := rendezvous(part, mix(uint64(group)+1)); claim >= weight {
-			top, weight = group, claim
+		if score := rendezvousWeight(prefixHash, mixBits(uint64(group)+1)); score >= highest {
+			best, highest = group, score
 		}
 	}
-	return top
+	return best
 }
 
-// rankCandidates marks the first few of a prompt's ranking by rendezvous hashing.
-func rankCandidates(part uint64, candidates []candidate) {
-	var top [preferred]int
-	var weights [preferred]uint64
-	found := 0
+// rankCandidates sets the rank of the maxRanked first endpoints for a prompt prefix, by rendezvous hashing.
+func rankCandidates(prefixHash uint64, candidates []candidate) {
+	var top [maxRanked]int
+	var weights [maxRanked]uint64
+	ranked := 0
 	for index := range candidates {
-		weight := rendezvous(part, candidates[index].endpoint.hash)
-		at := min(found, preferred)
+		weight := rendezvousWeight(prefixHash, candidates[index].endpoint.hash)
+		at := min(ranked, maxRanked)
 		for at > 0 && weight > weights[at-1] {
 			at--
 		}
-		if at == preferred {
+		if at == maxRanked {
 			continue
 		}
 		copy(weights[at+1:], weights[at:])
 		copy(top[at+1:], top[at:])
 		weights[at], top[at] = weight, index
-		found = min(found+1, preferred)
+		ranked = min(ranked+1, maxRanked)
 	}
-	for rank := range found {
+	for rank := range ranked {
 		candidates[top[rank]].rank = rank
 	}
 }
 
-// unrank takes the ranking away: in a region that is not the opening's home, nobody else has its prompts read.
-func unrank(candidates []candidate) {
+// clearRanks removes the ranking. It is used in a region that is not the home of a prefix, as other relays do not
+// send the prefix to the ranked endpoints there, and where the ranking is not needed.
+func clearRanks(candidates []candidate) {
 	for index := range candidates {
 		candidates[index].rank = unranked
 	}
 }
 
-// keepRanked drops the candidates that are not ranked.
-func keepRanked(candidates []candidate) []candidate {
-	kept := candidates[:0]
+// filterRanked drops the candidates that are not ranked.
+func filterRanked(candidates []candidate) []candidate {
+	ranked := candidates[:0]
 	for _, candidate := range candidates {
 		if candidate.rank != unranked {
-			kept = append(kept, candidate)
+			ranked = append(ranked, candidate)
 		}
 	}
-	return kept
+	return ranked
 }
 
-// admits is when an endpoint may take a request: now, or later. A forced request doesn't mind the pace.
-func (s *Selector) admits(now time.Time, request *Request, endpoint *endpoint, forced bool) time.Time {
-	if until := request.avoids(endpoint); until.After(now) {
+// admitAt returns when an endpoint may be sent a request: now or later. A forced request ignores the pacing rate.
+func (s *Selector) admitAt(now time.Time, request *Request, endpoint *endpoint, forced bool) time.Time {
+	if until := request.avoidedUntil(endpoint); until.After(now) {
 		return until
 	}
 	if endpoint.skip.until.After(now) {
-		return endpoint.skip.until // it entered the table while its tier was looked through
+		return endpoint.skip.until // it was skipped during this same search
 	}
-	if endpoint.skip.down && endpoint.trial != nil {
-		return s.onTrial(now, endpoint)
+	if endpoint.skip.needsTrial && endpoint.trialAttempt != nil {
+		return s.trialRecheckAt(now, endpoint)
 	}
-	if endpoint.load.outstanding >= s.connections(endpoint) {
-		return now.Add(retryLook)
+	if endpoint.load.inFlight >= s.maxConnections(endpoint) {
+		return now.Add(recheckInterval)
 	}
-	if free := s.zoneFree(now, endpoint); free.After(now) {
-		return free
+	if earliest := s.zoneAdmitAt(now, endpoint); earliest.After(now) {
+		return earliest
 	}
-	if endpoint.hangs(now) {
-		s.enterSkip(now, endpoint)
+	if endpoint.isHanging(now) {
+		s.skipEndpoint(now, endpoint)
 		return endpoint.skip.until
 	}
-	free := now
-	if endpoint.place == placeOwned {
-		free = s.coldFree(now, endpoint)
+	earliest := now
+	if endpoint.list == listColdOwned {
+		earliest = s.coldAdmitAt(now, endpoint)
 	}
 	if forced {
-		return free
+		return earliest
 	}
-	if paced := endpoint.pace.nextAt(now); paced.After(free) {
-		return paced
+	if pacedAt := endpoint.pacer.nextAt(now); pacedAt.After(earliest) {
+		return pacedAt
 	}
-	return free
+	return earliest
 }
 
-// onTrial says when an endpoint is looked at again whose one trial after a skip is out. A trial that is overdue has failed.
-func (s *Selector) onTrial(now time.Time, endpoint *endpoint) time.Time {
-	trial := endpoint.trial
-	if !now.After(trial.overdueAt()) || !endpoint.health.heardAt.Before(trial.sentAt) {
-		return now.Add(retryLook)
+// trialRecheckAt returns when an endpoint whose one trial after a skip is in flight is considered again. A trial that
+// is overdue counts as failed, and the endpoint is skipped again.
+func (s *Selector) trialRecheckAt(now time.Time, endpoint *endpoint) time.Time {
+	trial := endpoint.trialAttempt
+	if !now.After(trial.overdueAt()) || !endpoint.health.lastReceivedAt.Before(trial.sentAt) {
+		return now.Add(recheckInterval)
 	}
-	s.enterSkip(now, endpoint)
+	s.skipEndpoint(now, endpoint)
 	return endpoint.skip.until
 }
 
-// connections is how many connections to an endpoint this relay may use: an even part of what it accepts from all.
-func (s *Selector) connections(endpoint *endpoint) int {
+// maxConnections is how many connections to an endpoint this relay may use: an equal share of those that the endpoint
+// accepts from all relays of the zone.
+func (s *Selector) maxConnections(endpoint *endpoint) int {
 	backend := endpoint.service.backend
 	if backend == nil || backend.MaxConns <= 0 {
 		return endpoint.slots()
 	}
-	return max(1, int(connectionShare*float64(backend.MaxConns))/s.relays)
+	return max(1, int(connectionFraction*float64(backend.MaxConns))/s.zoneRelays)
 }
--- a/internal/selector/choose.go
+++ b/internal/selector/choose.go
@@ -5,73 +5,81 @@
 )
 
 const (
-	// endMargin is how long before its deadline a request gets its final answer.
-	endMargin = 12 * time.Millisecond
-	// offerShare: a request is offered to an endpoint, or refused, within this part of its aim.
-	offerShare = 4
-	// inTime is the share of the time left to the aim within which an estimate counts as in time.
-	inTime = 0.75
-	// tierMost is how many tiers with endpoints that take the request are compared when none is in time.
-	tierMost = 4
-	// attemptsBeyond is how many attempts a request may make beyond its route's retries: those that were proved not to have run.
-	attemptsBeyond = 3
-	// waitShare: a request waits for a skip to end if that leaves this part of its time.
-	waitShare = 0.5
-	// cacheShare is the part of an engine's memory that prompts are taken to fill; the rest holds answers.
-	cacheShare = 0.9
+	// deadlineMargin is how long before its deadline a request gets its final answer.
+	deadlineMargin = 12 * time.Millisecond
+	// offerTargetDivisor divides the target latency to give the time within which a request is offered to an
+	// endpoint, or refused.
+	offerTargetDivisor = 4
+	// withinTargetFraction is the fraction of the time left to the target within which an estimate counts as within
+	// target.
+	withinTargetFraction = 0.75
+	// maxTiersCompared is how many tiers with an endpoint that admits the request are compared if none is within
+	// target.
+	maxTiersCompared = 4
+	// extraAttempts is how many attempts a request may make beyond the retries of its route. It allows for attempts
+	// that are known not to have run.
+	extraAttempts = 3
+	// maxWaitFraction is the fraction of the time between arrival and deadline within which a request may wait for a
+	// skip to end.
+	maxWaitFraction = 0.5
+	// prefixCacheFraction is the fraction of an engine's KV-cache memory that is assumed to cache prompts; the rest
+	// holds generated tokens.
+	prefixCacheFraction = 0.9
 )
 
-// Choose says what happens next to a request: at first, and after each attempt that ended without an answer for the client.
+// Choose decides what happens next to a request: when it arrives, and after each attempt that ended without an answer
+// for the client.
 func (s *Selector) Choose(now time.Time, request *Request) Decision {
 	s.runTimers(now)
-	s.noteAwake(now)
-	s.begin(now, request)
-	if decision, over := s.final(now, request); over {
+	s.detectStall(now)
+	s.initRequest(now, request)
+	if decision, isFinal := s.checkFinal(now, request); isFinal {
 		return decision
 	}
-	forced := !request.offered && !now.Before(request.offerBy())
-	var later earliestChange
-	found := s.walk(now, request, forced, &later)
+	forced := !request.offered && !now.Before(request.offerDeadline())
+	var nextChange earliestChange
+	found := s.searchTiers(now, request, forced, &nextChange)
 	if found.endpoint == nil {
 		found, forced = s.lastResort(now, request), true
 	}
 	if found.endpoint == nil {
-		return s.waitOrRefuse(now, request, later)
+		return s.waitOrRefuse(now, request, nextChange)
 	}
-	if wait, overloaded := s.overloaded(now, request, &found); overloaded {
-		if until, may := s.mayHold(now, request, &found); may {
+	if wait, overloaded := s.checkOverload(now, request, &found); overloaded {
+		if until, mayWait := s.holdUntil(now, request, &found); mayWait {
 			s.startWaiting(request)
 			return Decision{Kind: Wait, Until: until, Reason: ReasonOverload}
 		}
-		return s.end(now, request, ReasonOverload, wait)
+		return s.finalDecision(now, request, ReasonOverload, wait)
 	}
-	if request.arrivals > 0 && !s.paid(now, found.endpoint.service) {
-		return s.end(now, request, ReasonBudget, 0)
+	if request.arrivals > 0 && !s.takeRetryBudget(now, found.endpoint.service) {
+		return s.finalDecision(now, request, ReasonBudget, 0)
 	}
-	return s.send(now, request, found, forced)
+	return s.startAttempt(now, request, found, forced)
 }
 
-// begin draws the request's service and counts the request, once.
-func (s *Selector) begin(now time.Time, request *Request) {
+// initRequest draws the request's service and counts the request, at the first call for it.
+func (s *Selector) initRequest(now time.Time, request *Request) {
 	s.stopWaiting(request)
-	if request.begun {
+	if request.initialized {
 		return
 	}
-	request.begun = true
-	request.apart = !s.on(Affinity)
+	request.initialized = true
+	request.noAffinity = !s.enabled(PrefixAffinity)
 	request.plan = s.planOf(request.Route)
-	if len(request.plan.shares) == 0 {
+	if len(request.plan.services) == 0 {
 		return
 	}
-	request.serviceIndex = request.plan.draw(s.lot(request))
-	request.service().served.of(now, request.Route.Priority).came++
+	request.serviceIndex = request.plan.pick(s.splitDraw(request))
+	request.service().recentCounts.countFor(now, request.Route.Priority).arrived++
 	if s.options.Budget != nil {
 		s.options.Budget.Request(now, request.service().name)
 	}
 }
 
-// lot is the number that a request's service is drawn by.
-func (s *Selector) lot(request *Request) uint64 {
+// splitDraw returns the number by which a request's service is drawn from its route's split: a hash of the request's
+// id, or a random number if it has none.
+func (s *Selector) splitDraw(request *Request) uint64 {
 	if request.ID == "" {
 		return s.random.Uint64()
 	}
@@ -79,57 +87,59 @@
 }
 
 // service is the one that was drawn from the route's split.
-func (r *Request) service() *service { return r.plan.shares[r.serviceIndex].service }
+func (r *Request) service() *service { return r.plan.services[r.serviceIndex].service }
 
-// final ends a request that can't be tried any more.
-func (s *Selector) final(now time.Time, request *Request) (Decision, bool) {
+// checkFinal returns the final decision for a request that can't be tried any more, and whether it is such a request.
+func (s *Selector) checkFinal(now time.Time, request *Request) (Decision, bool) {
 	switch {
-	case len(request.plan.shares) == 0:
-		return s.end(now, request, ReasonNoService, 0), true
-	case request.left(now) <= 0:
-		return s.end(now, request, ReasonDeadline, 0), true
+	case len(request.plan.services) == 0:
+		return s.finalDecision(now, request, ReasonNoService, 0), true
+	case request.timeLeft(now) <= 0:
+		return s.finalDecision(now, request, ReasonDeadline, 0), true
 	case !request.mayRunAgain():
-		return s.end(now, request, ReasonRan, 0), true
-	case request.arrivals >= request.Route.Retries+attemptsBeyond:
-		return s.end(now, request, ReasonAttempts, 0), true
+		return s.finalDecision(now, request, ReasonRan, 0), true
+	case request.arrivals >= request.Route.Retries+extraAttempts:
+		return s.finalDecision(now, request, ReasonAttempts, 0), true
 	}
 	return Decision{}, false
 }
 
-// walk goes through the request's tiers in order. The first whose best endpoint is in time takes the request; if none is, the one
-// with the least cost among the first few.
-func (s *Selector) walk(now time.Time, request *Request, forced bool, later *earliestChange) choice {
+// searchTiers goes through the request's tiers in order. It stops at the first tier whose best endpoint is within
+// target, or after maxTiersCompared tiers with an endpoint that admits the request. Of the endpoints found, it
+// returns the one with the lowest cost.
+func (s *Selector) searchTiers(now time.Time, request *Request, forced bool, nextChange *earliestChange) choice {
 	var best choice
 	compared := 0
-	aim := inTime * inMs(request.aimLeft(now))
+	targetMs := withinTargetFraction * inMs(request.targetLeft(now))
 	for index, tier := range s.tiersFor(request) {
-		if !tier.usable() && len(tier.lists[placeSkipped])+len(tier.lists[placeForeign]) == 0 {
+		if !tier.usable() && len(tier.lists[listSkipped])+len(tier.lists[listColdForeign]) == 0 {
 			continue
 		}
-		found := s.best(now, request, tier, search{forced: forced, home: index == 0}, later)
+		found := s.bestInTier(now, request, tier, searchOptions{forced: forced, prefixHome: index == 0}, nextChange)
 		if found.endpoint == nil {
 			continue
 		}
-		if best.endpoint == nil || found.cost < best.cost {
+		if best.endpoint == nil || found.costMs < best.costMs {
 			best = found
 		}
 		compared++
-		if found.estimate.hoped() <= aim || compared >= tierMost {
+		if found.estimate.cachedFirstByteMs() <= targetMs || compared >= maxTiersCompared {
 			break
 		}
 	}
 	return best
 }
 
-// lastResort finds an endpoint whose heartbeats have stopped, for want of any other. A failed connection does no harm.
+// lastResort returns an endpoint whose heartbeats have stopped, where no other endpoint is left. If it is gone, the
+// connection fails and nothing has run.
 func (s *Selector) lastResort(now time.Time, request *Request) choice {
-	for _, tier := range request.plan.orders[request.serviceIndex] {
-		silent := tier.lists[placeSilent]
+	for _, tier := range request.plan.tierOrders[request.serviceIndex] {
+		silent := tier.lists[listSilent]
 		if len(silent) == 0 {
 			continue
 		}
 		endpoint := silent[s.random.IntN(len(silent))]
-		if s.admits(now, request, endpoint, true).After(now) {
+		if s.admitAt(now, request, endpoint, true).After(now) {
 			continue
 		}
 		return choice{endpoint: endpoint, estimate: s.estimate(now, request, endpoint, unranked)}
@@ -137,37 +147,37 @@
 	return choice{}
 }
 
-// paid tells whether the retry budget pays for one more arrival at a service.
-func (s *Selector) paid(now time.Time, service *service) bool {
+// takeRetryBudget takes one more send to a service from the retry budget, and reports whether the budget allowed it.
+func (s *Selector) takeRetryBudget(now time.Time, service *service) bool {
 	return s.options.Budget != nil && s.options.Budget.Take(now, service.name)
 }
 
-// send books an attempt.
-func (s *Selector) send(now time.Time, request *Request, found choice, forced bool) Decision {
+// startAttempt records a new attempt at the chosen endpoint and returns the decision to send it.
+func (s *Selector) startAttempt(now time.Time, request *Request, found choice, forced bool) Decision {
 	endpoint := found.endpoint
-	if endpoint.place == placeOwned {
-		s.cold.Take(now, endpoint.instance.ID, s.coldMost(endpoint))
+	if endpoint.list == listColdOwned {
+		s.coldLimiter.Take(now, endpoint.instance.ID, s.maxColdRate(endpoint))
 	}
 	attempt := &Attempt{
-		request:  request,
-		endpoint: endpoint,
-		sentAt:   now,
-		estimate: found.estimate,
-		requests: s.requests(now, endpoint),
-		ranked:   found.ranked,
-		forced:   forced,
-	}
-	attempt.queued = attempt.requests >= float64(endpoint.slots())
+		request:          request,
+		endpoint:         endpoint,
+		sentAt:           now,
+		estimate:         found.estimate,
+		endpointRequests: s.requests(now, endpoint),
+		ranked:           found.ranked,
+		forced:           forced,
+	}
+	attempt.queued = attempt.endpointRequests >= float64(endpoint.slots())
 	request.offered = true
-	if endpoint.skip.down {
-		endpoint.trial = attempt
-	}
-	endpoint.pace.take(now)
-	endpoint.load.begin(now, attempt, s.speedOf(endpoint))
-	s.noteBusy(endpoint)
-	endpoint.watch.sent(attempt)
-	s.remember(now, endpoint, request)
-	s.noteReading(endpoint, request)
+	if endpoint.skip.needsTrial {
+		endpoint.trialAttempt = attempt
+	}
+	endpoint.pacer.recordSend(now)
+	endpoint.load.addAttempt(now, attempt, s.prefillRate(endpoint))
+	s.updateBusy(endpoint)
+	endpoint.watch.addUnanswered(attempt)
+	s.recordPrefix(now, endpoint, request)
+	s.queuePrefillReport(endpoint, request)
 	return Decision{
 		Kind:     Send,
 		Instance: endpoint.instance,
@@ -178,53 +188,55 @@
 	}
 }
 
-// remember notes the parts of a prompt that the endpoint will keep.
-func (s *Selector) remember(now time.Time, endpoint *endpoint, request *Request) {
+// recordPrefix records that the endpoint will have the request's prompt in its cache.
+func (s *Selector) recordPrefix(now time.Time, endpoint *endpoint, request *Request) {
 	if endpoint.service.engine() == nil {
 		return
 	}
-	endpoint.cache.use(now, request.Parts, endpoint.cacheCapacity())
-	if _, affine := request.affinity(); affine {
-		s.keepers.note(now, request.Parts[0].ID, endpoint)
+	endpoint.cache.add(now, request.Parts, endpoint.cacheCapacity())
+	if _, hasAffinity := request.affinityHash(); hasAffinity {
+		s.holders.record(now, request.Parts[0].ID, endpoint)
 	}
 }
 
-// cacheCapacity is how many tokens of prompts an engine keeps.
+// cacheCapacity is how many prompt tokens an engine is assumed to cache.
 func (e *endpoint) cacheCapacity() int {
-	return int(cacheShare * float64(e.service.engine().KVCapacity))
+	return int(prefixCacheFraction * float64(e.service.engine().KVCapacity))
 }
 
-// giveUpAt is when an attempt times out: idempotent requests that may run once more leave half of their time for that.
+// giveUpAt returns when an attempt times out. An idempotent request that may run once more leaves half of its
+// remaining time for that.
 func (s *Selector) giveUpAt(now time.Time, request *Request) time.Time {
 	if request.Route.Idempotent() && request.runs+1 < request.Route.Retries {
-		return now.Add(request.left(now) / 2)
+		return now.Add(request.timeLeft(now) / 2)
 	}
-	return request.Deadline.Add(-endMargin)
+	return request.Deadline.Add(-deadlineMargin)
 }
 
-// waitOrRefuse decides for a request that no endpoint takes now.
-func (s *Selector) waitOrRefuse(now time.Time, request *Request, later earliestChange) Decision {
-	if later.at.IsZero() {
-		return s.end(now, request, ReasonNone, 0)
+// waitOrRefuse decides for a request that no endpoint admits now.
+func (s *Selector) waitOrRefuse(now time.Time, request *Request, nextChange earliestChange) Decision {
+	if nextChange.at.IsZero() {
+		return s.finalDecision(now, request, ReasonNone, 0)
 	}
-	if !s.on(Waiting) {
-		return s.end(now, request, ReasonSkipped, later.at.Sub(now))
+	if !s.enabled(Waiting) {
+		return s.finalDecision(now, request, ReasonSkipped, nextChange.at.Sub(now))
 	}
-	until := later.at
-	if offer := request.offerBy(); !request.offered && now.Before(offer) && offer.Before(until) && request.hasUsable() {
-		until = offer
+	until := nextChange.at
+	if offerBy := request.offerDeadline(); !request.offered && now.Before(offerBy) && offerBy.Before(until) && request.hasUsableTier() {
+		until = offerBy
 	}
-	latest := request.Arrived.Add(time.Duration(waitShare * float64(request.Deadline.Sub(request.Arrived))))
-	if until.After(latest) {
-		return s.end(now, request, ReasonSkipped, until.Sub(now))
+	latestUntil := request.Arrived.Add(time.Duration(maxWaitFraction * float64(request.Deadline.Sub(request.Arrived))))
+	if until.After(latestUntil) {
+		return s.finalDecision(now, request, ReasonSkipped, until.Sub(now))
 	}
 	s.startWaiting(request)
 	return Decision{Kind: Wait, Until: until, Reason: ReasonSkipped}
 }
 
-// hasUsable tells whether an endpoint would take the request but for its limits.
-func (r *Request) hasUsable() bool {
-	for _, tier := range r.plan.orders[r.serviceIndex] {
+// hasUsableTier reports whether a tier of the request has endpoints that would admit it but for their rate and
+// connection limits.
+func (r *Request) hasUsableTier() bool {
+	for _, tier := range r.plan.tierOrders[r.serviceIndex] {
 		if tier.usable() {
 			return true
 		}
@@ -232,10 +244,10 @@
 	return false
 }
 
-// end gives a request its final answer: a refusal only if it never ran.
-func (s *Selector) end(now time.Time, request *Request, reason Reason, wait time.Duration) Decision {
+// finalDecision gives a request its final answer: a refusal only if it cannot have run.
+func (s *Selector) finalDecision(now time.Time, request *Request, reason Reason, wait time.Duration) Decision {
 	if request.runs > 0 {
 		return Decision{Kind: Fail, Reason: reason}
 	}
-	return Decision{Kind: Refuse, Reason: reason, RetryAfter: s.advice(now, request, wait)}
+	return Decision{Kind: Refuse, Reason: reason, RetryAfter: s.retryAfter(now, request, wait)}
 }
--- a/internal/selector/clock_test.go
+++ b/internal/selector/clock_test.go
@@ -16,9 +16,9 @@
 			before := time.Now()
 			calls.add(before)
 			after := testkit.StepTimeOfDay(t, before, step)
-			assert.Equal(t, calls.rate(after.Add(500*time.Millisecond)), 1.0, "the step forgot a call")
+			assert.Equal(t, calls.rate(after.Add(500*time.Millisecond)), 1.0, "a call was lost by the step")
 			calls.add(after.Add(2 * time.Second))
-			assert.Equal(t, calls.rate(after.Add(2*time.Second)), 1.0, "a call that is over a second old counts")
+			assert.Equal(t, calls.rate(after.Add(2*time.Second)), 1.0, "a call more than a second old was counted")
 		})
 	}
 }
--- a/internal/selector/coldbound.go
+++ b/internal/selector/coldbound.go
@@ -6,8 +6,8 @@
 	"wallflow/internal/budget"
 )
 
-// coldMost is how many requests a second the owner of a cold endpoint may send to it.
-func (s *Selector) coldMost(endpoint *endpoint) int {
+// maxColdRate is how many requests a second the owner of a cold endpoint may send to it.
+func (s *Selector) maxColdRate(endpoint *endpoint) int {
 	backend := endpoint.service.backend
 	if backend == nil {
 		return 0
@@ -20,29 +20,31 @@
 	return bound.PerOwner()
 }
 
-// coldFree is when the owner of a cold endpoint may send to it: now, or later. What was sent while the endpoint was warm counts too.
-func (s *Selector) coldFree(now time.Time, endpoint *endpoint) time.Time {
-	most := s.coldMost(endpoint)
-	if !s.on(ColdBound) {
+// coldAdmitAt returns when the owner of a cold endpoint may send to it: now or later. Requests sent while the
+// endpoint was warm count too.
+func (s *Selector) coldAdmitAt(now time.Time, endpoint *endpoint) time.Time {
+	maxRate := s.maxColdRate(endpoint)
+	if !s.enabled(ColdBound) {
 		return now
 	}
-	if most < 1 {
-		return endpoint.warmEnd()
+	if maxRate < 1 {
+		return endpoint.warmAt()
 	}
-	if endpoint.pace.sent.rate(now) >= float64(most) {
-		return now.Add(secondPart)
+	if endpoint.pacer.recent.rate(now) >= float64(maxRate) {
+		return now.Add(tenthOfSecond)
 	}
-	return s.cold.NextAt(now, endpoint.instance.ID, most)
+	return s.coldLimiter.NextAt(now, endpoint.instance.ID, maxRate)
 }
 
-// returningMost is how many calls a second this relay may make to an endpoint that came back after a skip and may be cold without
-// saying so yet: an even part of what a cold one bears. 0: no bound.
-func (s *Selector) returningMost(service *service) float64 {
+// maxRateAfterSkip is how many calls a second this relay may make to an endpoint that came back after a skip. Such an
+// endpoint may be cold without having announced it yet, so this is an equal share of what a cold endpoint can take. 0
+// means no bound.
+func (s *Selector) maxRateAfterSkip(service *service) float64 {
 	if service.warmup() <= 0 {
 		return 0
 	}
-	return service.backend.WarmupPerS / float64(s.allRelays())
+	return service.backend.WarmupPerS / float64(s.estimatedRelays())
 }
 
-// allRelays is an estimate of the number of relays in all zones.
-func (s *Selector) allRelays() int { return s.relays * max(1, len(s.options.Zones)) }
+// estimatedRelays estimates the number of relays in all zones, as if each zone had as many as this one.
+func (s *Selector) estimatedRelays() int { return s.zoneRelays * max(1, len(s.options.Zones)) }
--- a/internal/selector/connected.go
+++ b/internal/selector/connected.go
@@ -3,45 +3,49 @@
 import "slices"
 
 const (
-	// connectionWorth is the share of a request's worth that a new connection to an endpoint costs.
-	connectionWorth = 0.02
-	// recentMost bounds the endpoints of a tier that are remembered as used last, and connectedLooks those of them that are looked at.
-	recentMost     = 24
-	connectedLooks = 4
+	// newConnectionCost is the cost of opening a connection to an endpoint, as a fraction of the request's target
+	// latency.
+	newConnectionCost = 0.02
+	// maxRecentEndpoints is how many of the endpoints that answered last are remembered for each tier, and
+	// maxConnectedCandidates how many of them with an open connection are considered for a request.
+	maxRecentEndpoints     = 24
+	maxConnectedCandidates = 4
 )
 
-// isConnected tells whether a request to an endpoint finds an open connection. To open one takes another round trip.
+// isConnected reports whether a request to an endpoint would find an open connection. To open one takes another round
+// trip.
 func (s *Selector) isConnected(endpoint *endpoint) bool {
-	if s.options.HasConnection == nil || !s.on(KeptConnections) {
+	if s.options.HasConnection == nil || !s.enabled(OpenConnections) {
 		return true
 	}
 	return s.options.HasConnection(endpoint.instance.ID)
 }
 
-// noteRecent remembers that an endpoint has answered: its connection is kept, as a rule.
-func (t *tier) noteRecent(endpoint *endpoint) {
-	if at := slices.Index(t.recent, endpoint); at >= 0 {
-		t.recent = slices.Delete(t.recent, at, at+1)
+// recordRecent records that an endpoint has answered. Its connection is usually kept open.
+func (t *tier) recordRecent(endpoint *endpoint) {
+	if at := slices.Index(t.recentlyUsed, endpoint); at >= 0 {
+		t.recentlyUsed = slices.Delete(t.recentlyUsed, at, at+1)
 	}
-	if len(t.recent) >= recentMost {
-		t.recent = slices.Delete(t.recent, 0, 1)
+	if len(t.recentlyUsed) >= maxRecentEndpoints {
+		t.recentlyUsed = slices.Delete(t.recentlyUsed, 0, 1)
 	}
-	t.recent = append(t.recent, endpoint)
+	t.recentlyUsed = append(t.recentlyUsed, endpoint)
 }
 
-// addConnected adds a few endpoints to which a connection is open, out of those used last. The others of a large tier are found by chance
-// alone, and a relay of many has used few of them lately.
-func (s *Selector) addConnected(into []candidate, tier *tier) []candidate {
-	if s.options.HasConnection == nil || !s.on(KeptConnections) {
-		return into
+// addConnected appends a few endpoints to which a connection is open, out of those that answered last. Without this,
+// the endpoints of a large tier are mostly drawn at random, and a relay in a large fleet has used few of them
+// recently.
+func (s *Selector) addConnected(dst []candidate, tier *tier) []candidate {
+	if s.options.HasConnection == nil || !s.enabled(OpenConnections) {
+		return dst
 	}
 	found := 0
-	for index := len(tier.recent) - 1; index >= 0 && found < connectedLooks; index-- {
-		endpoint := tier.recent[index]
-		if endpoint.tier == tier && endpoint.place == placeWarm && s.isConnected(endpoint) {
-			into = append(into, candidate{endpoint: endpoint, rank: unranked})
+	for index := len(tier.recentlyUsed) - 1; index >= 0 && found < maxConnectedCandidates; index-- {
+		endpoint := tier.recentlyUsed[index]
+		if endpoint.tier == tier && endpoint.list == listWarm && s.isConnected(endpoint) {
+			dst = append(dst, candidate{endpoint: endpoint, rank: unranked})
 			found++
 		}
 	}
-	return into
+	return dst
 }
--- a/internal/selector/counts.go
+++ b/internal/selector/counts.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Counts tell how the endpoints stand and which failure rules have matched, for logs and figures.
+// Counts holds the number of endpoints in each state, the number of waiting requests, and how often failure rules
+// have matched, for logs and metrics.
 type Counts struct {
 	Warm    int
 	Cold    int
 	Skipped int
 	Silent  int
-	Waiting int
+	Waiting int // requests
 	Matched []RuleCount
 }
 
@@ -18,22 +19,22 @@
 	Times uint64
 }
 
-// Counts returns how things stand. It looks at each tier, not at each endpoint.
+// Counts returns the current counts. It goes through the tiers, not through the endpoints.
 func (s *Selector) Counts(now time.Time) Counts {
 	s.runTimers(now)
 	var counts Counts
 	for _, service := range s.services {
-		counts.Waiting += service.waiting.live
+		counts.Waiting += service.waiting.count
 		for _, tier := range service.tiers {
-			counts.Warm += len(tier.lists[placeWarm])
-			counts.Cold += len(tier.lists[placeOwned]) + len(tier.lists[placeForeign])
-			counts.Skipped += len(tier.lists[placeSkipped])
-			counts.Silent += len(tier.lists[placeSilent])
+			counts.Warm += len(tier.lists[listWarm])
+			counts.Cold += len(tier.lists[listColdOwned]) + len(tier.lists[listColdForeign])
+			counts.Skipped += len(tier.lists[listSkipped])
+			counts.Silent += len(tier.lists[listSilent])
 		}
 	}
 	for index := range failureRules {
 		name := failureRules[index].name
-		if times := s.matched[name]; times > 0 {
+		if times := s.ruleMatches[name]; times > 0 {
 			counts.Matched = append(counts.Matched, RuleCount{Rule: name, Times: times})
 		}
 	}
--- a/internal/selector/decision.go
+++ b/internal/selector/decision.go
@@ -11,10 +11,10 @@
 
 // The kinds of decision.
 const (
-	Send   DecisionKind = iota + 1 // send it to Instance and report with FirstByte and Done
-	Wait                           // ask again at Until, or when woken
-	Refuse                         // it did not run and never will: answer 503 with RetryAfter
-	Fail                           // it may have run, or can't be answered any more: answer 502 or 504
+	Send   DecisionKind = iota + 1 // send the request to Instance and report back with FirstByte and Done
+	Wait                           // call Choose again at Until, or when woken
+	Refuse                         // the request did not run and never will: answer 503 with RetryAfter
+	Fail                           // the request may have run, or can't be answered any more: answer 502 or 504
 )
 
 // String names the kind.
@@ -38,79 +38,80 @@
 // The reasons of decisions that are not Send.
 const (
 	ReasonDeadline  Reason = "deadline"     // no time is left
-	ReasonRan       Reason = "may have run" // and must not run again
-	ReasonBudget    Reason = "retry budget" // a further attempt is not paid for
+	ReasonRan       Reason = "may have run" // the request may have run and must not run again
+	ReasonBudget    Reason = "retry budget" // the retry budget allows no further attempt
 	ReasonAttempts  Reason = "attempts"     // enough endpoints were tried
-	ReasonSkipped   Reason = "all skipped"  // or cold, or beyond their pace
-	ReasonNone      Reason = "no endpoint"  // nothing may serve it
-	ReasonOverload  Reason = "overload"     // nothing can serve it in time
-	ReasonNoService Reason = "no service"   // its route names no service that is configured
+	ReasonSkipped   Reason = "all skipped"  // all endpoints are skipped, cold, or at their pacing rate
+	ReasonNone      Reason = "no endpoint"  // no endpoint may serve the request
+	ReasonOverload  Reason = "overload"     // no endpoint has capacity for the request
+	ReasonNoService Reason = "no service"   // the route of the request names no configured service
 )
 
-// Decision is what Choose says.
+// Decision is the result of Choose. The comment at a field names the kinds of decision that set it.
 type Decision struct {
 	Kind     DecisionKind
 	Instance registry.Instance // Send
 	Attempt  *Attempt          // Send
-	Forecast Forecast          // Send: what is expected of the attempt
+	Forecast Forecast          // Send: the estimate for the attempt
 	// GiveUpAt is when to give the attempt up as timed out (Send).
 	GiveUpAt   time.Time
 	Until      time.Time     // Wait
 	RetryAfter time.Duration // Refuse
 	Reason     Reason
-	// Forced tells that the endpoint was taken as a last resort: beyond its pace, or silent.
+	// Forced is set if the endpoint was chosen as a last resort: its pacing rate is exceeded, or its heartbeats have
+	// stopped.
 	Forced bool
 }
 
 // Attempt is one send of a request to an endpoint.
 type Attempt struct {
-	request  *Request
-	endpoint *endpoint
-	sentAt   time.Time
-	estimate estimate
-	requests float64 // estimated at the endpoint, from all relays
-	ranked   bool    // the endpoint stands in the ranking of the prompt's opening
-	forced   bool    // taken as a last resort
-	firstAt  time.Time
-	queued   bool // it found all places taken
-	done     bool
-	listed   bool // in the list of unanswered attempts
+	request          *Request
+	endpoint         *endpoint
+	sentAt           time.Time
+	estimate         estimate
+	endpointRequests float64   // estimate of the requests of all relays at the endpoint, when sent
+	ranked           bool      // the endpoint was in the ranking of the prompt prefix
+	forced           bool      // the endpoint was chosen as a last resort
+	firstByteAt      time.Time // zero: none has come
+	queued           bool      // all slots of the endpoint were in use when it was sent
+	done             bool      // its outcome was recorded
+	listed           bool      // in the list of unanswered attempts
 
 	previous, next *Attempt // in the list of unanswered attempts of the endpoint, in the order of sending
 }
 
-// expected is the expected time to the first byte.
-func (a *Attempt) expected() time.Duration { return fromMs(a.estimate.first()) }
+// expectedFirstByte is the expected time to the first byte.
+func (a *Attempt) expectedFirstByte() time.Duration { return fromMs(a.estimate.firstByteMs()) }
 
 // OutcomeKind says how an attempt ended.
 type OutcomeKind uint8
 
 // The kinds of outcome.
 const (
-	Success       OutcomeKind = iota + 1 // a whole answer of the endpoint that is no failure
+	Success       OutcomeKind = iota + 1 // a complete answer that is no failure
 	Full                                 // 503 or 429 with X-Not-Executed
 	NotExecuted                          // another answer with X-Not-Executed
-	Misdirected                          // 421: another instance has the address
+	Misdirected                          // 421: another instance now has the endpoint's address
 	ConnectFailed                        // nothing was sent
-	Reset                                // the connection broke, or the answer was cut off or was none
+	Reset                                // the connection broke, or the answer was incomplete or malformed
 	TimedOut                             // given up at GiveUpAt
-	EndpointError                        // the endpoint answered a failure of its own, which counts as run
-	ClientGone                           // the client went away; tells nothing of the endpoint
+	EndpointError                        // the endpoint answered with an error of its own; counts as run
+	ClientGone                           // the client disconnected; says nothing about the endpoint
 )
 
 // Outcome is how an attempt ended.
 type Outcome struct {
 	Kind OutcomeKind
-	// MayHaveRun tells that the endpoint may have begun work on the request.
+	// MayHaveRun is set if the endpoint may have started to work on the request.
 	MayHaveRun bool
-	ToldWait   time.Duration // with Full: how long the endpoint asks to be left alone; zero: not told
+	ToldWait   time.Duration // with Full: the wait that the endpoint asks for; zero: none
 }
 
-// EngineReport is what an endpoint tells of itself, as of some hundred milliseconds ago.
+// EngineReport is an endpoint's report of its own load. It is some hundred milliseconds old when it is received.
 type EngineReport struct {
-	Phase   string
-	Queued  int
-	Running int
-	KVUsed  int64 // tokens that can't give way
-	KVTotal int64
+	Phase   string // as the endpoint names it
+	Queued  int    // requests
+	Running int    // requests
+	KVUsed  int64  // tokens of running requests, which can't be evicted
+	KVTotal int64  // capacity in tokens
 }
--- a/internal/selector/distance.go
+++ b/internal/selector/distance.go
@@ -3,27 +3,27 @@
 import "time"
 
 const (
-	// distanceRise is the share by which a longer time to connect raises what is known of the way to a zone: most that delays a connection
-	// is not the way.
-	distanceRise = 0.05
-	// distanceMost bounds what is believed.
-	distanceMost = 2 * time.Second
+	// roundTripRise is the weight by which a longer connect time raises the estimate of the round trip to a zone. It
+	// is small because most of what delays a connection is not the network.
+	roundTripRise = 0.05
+	// maxRoundTrip is the connect time beyond which a sample is ignored.
+	maxRoundTrip = 2 * time.Second
 )
 
-// Connected takes how long it took to connect to an endpoint: about one round trip.
+// Connected records how long it took to connect to an endpoint, which is about one round trip.
 func (s *Selector) Connected(instanceID string, took time.Duration) {
 	endpoint := s.endpoints[instanceID]
-	if endpoint == nil || took <= 0 || took > distanceMost || !s.on(LearnedDistance) {
+	if endpoint == nil || took <= 0 || took > maxRoundTrip || !s.enabled(LearnedDistance) {
 		return
 	}
-	endpoint.watch.connected(took)
+	endpoint.watch.learnRoundTrip(took)
 }
 
-// connected learns the way to the zone: a shorter time counts at once, a longer one little by little.
-func (z *zoneWatch) connected(took time.Duration) {
+// learnRoundTrip updates the round trip to the zone: a shorter time counts at once, a longer one gradually.
+func (z *zoneWatch) learnRoundTrip(took time.Duration) {
 	if z.roundTrip == 0 || took < z.roundTrip {
 		z.roundTrip = took
 		return
 	}
-	z.roundTrip += time.Duration(distanceRise * float64(took-z.roundTrip))
+	z.roundTrip += time.Duration(roundTripRise * float64(took-z.roundTrip))
 }
--- a/internal/selector/endpoint.go
+++ b/internal/selector/endpoint.go
@@ -7,48 +7,48 @@
 	"wallflow/internal/registry"
 )
 
-// endpoint is what this relay knows of one instance.
+// endpoint is what this relay knows about one instance.
 type endpoint struct {
-	instance  registry.Instance
-	service   *service
-	tier      *tier
-	watch     *zoneWatch // of its zone
-	place     placeOf
-	index     int // in its tier's list
-	hash      uint64
-	removed   bool
-	coldUntil time.Time // counts as cold until then, whatever the instance says
-	recheckAt time.Time // when it is in the timer heap
-	skip      skip
-	pace      pace
-	health    health
-	load      load
-	cache     partCache
-	trial     *Attempt // the one that is out after a skip
-	listing   uint64   // number of the last list that named it
-	busy      bool     // this relay has requests there
-	busyIndex int      // in the list of those
+	instance     registry.Instance
+	service      *service
+	tier         *tier
+	watch        *zoneWatch // of the instance's zone
+	list         listKind   // the list of its tier that it is in
+	listIndex    int        // position in that list
+	hash         uint64     // of the instance id
+	removed      bool       // the instance is no longer listed
+	coldUntil    time.Time  // counts as cold until then, whatever the instance announces
+	recheckAt    time.Time  // time of its entry in the timer heap; zero: none
+	skip         skip
+	pacer        pacer
+	health       health
+	load         load
+	cache        prefixCache
+	trialAttempt *Attempt // the one attempt in flight after a skip; nil: none
+	listVersion  uint64   // version of the last instance list that contained it
+	busy         bool     // this relay has requests in flight there
+	busyIndex    int      // position in Selector.ownBusy
 }
 
 func newEndpoint(service *service, instance *registry.Instance) *endpoint {
 	return &endpoint{service: service, hash: hashText(instance.ID)}
 }
 
-// heard takes that something came from the endpoint.
-func (e *endpoint) heard(now time.Time) {
-	e.health.heard(now)
-	e.watch.heard(now)
+// recordReceived records that a message or data was received from the endpoint.
+func (e *endpoint) recordReceived(now time.Time) {
+	e.health.recordReceived(now)
+	e.watch.recordReceived(now)
 }
 
-// returnsCold has the endpoint count as cold for the warm-up of its service from now on.
-func (e *endpoint) returnsCold(now time.Time) {
+// markCold has the endpoint count as cold from now on, for the warm-up time of its service.
+func (e *endpoint) markCold(now time.Time) {
 	if warmup := e.service.warmup(); warmup > 0 {
 		e.coldUntil = now.Add(warmup)
 	}
 }
 
-// warmEnd is when the endpoint is warm; the zero time if it always was.
-func (e *endpoint) warmEnd() time.Time {
+// warmAt returns when the endpoint becomes or became warm; the zero time if it was never cold.
+func (e *endpoint) warmAt() time.Time {
 	if e.service.warmup() <= 0 && e.service.backend != nil {
 		return time.Time{}
 	}
@@ -58,7 +58,7 @@
 	return e.coldUntil
 }
 
-func (e *endpoint) isCold(now time.Time) bool { return e.warmEnd().After(now) }
+func (e *endpoint) isCold(now time.Time) bool { return e.warmAt().After(now) }
 
 // warmup is how long an endpoint of the service stays cold after its start.
 func (s *service) warmup() time.Duration {
@@ -68,68 +68,68 @@
 	return time.Duration(s.backend.WarmupS * float64(time.Second))
 }
 
-// settle puts an endpoint into the list that it belongs to now.
-func (s *Selector) settle(now time.Time, endpoint *endpoint) {
+// refreshList moves an endpoint to the list of its tier in which it belongs now.
+func (s *Selector) refreshList(now time.Time, endpoint *endpoint) {
 	if endpoint.removed {
 		return
 	}
-	endpoint.tier.place(endpoint, s.standing(now, endpoint))
-	switch endpoint.place {
-	case placeSkipped:
-		s.recheck(endpoint, endpoint.skip.until)
-	case placeOwned, placeForeign:
-		s.recheck(endpoint, endpoint.warmEnd())
+	endpoint.tier.moveTo(endpoint, s.listFor(now, endpoint))
+	switch endpoint.list {
+	case listSkipped:
+		s.scheduleRecheck(endpoint, endpoint.skip.until)
+	case listColdOwned, listColdForeign:
+		s.scheduleRecheck(endpoint, endpoint.warmAt())
 	}
 }
 
-// standing is the list that an endpoint belongs to.
-func (s *Selector) standing(now time.Time, endpoint *endpoint) placeOf {
+// listFor returns the list in which an endpoint belongs.
+func (s *Selector) listFor(now time.Time, endpoint *endpoint) listKind {
 	instance := &endpoint.instance
 	switch {
 	case s.evacuated[instance.Zone] || !instance.GoneAt.IsZero():
-		return placeNowhere
+		return listNone
 	case instance.State != registry.StateReady && instance.State != registry.StateSilent:
-		return placeNowhere
+		return listNone
 	case endpoint.skip.until.After(now):
-		return placeSkipped
-	case endpoint.isCold(now) && instance.State == registry.StateReady && s.owns != nil && s.owns(instance.ID):
-		return placeOwned
+		return listSkipped
+	case endpoint.isCold(now) && instance.State == registry.StateReady && s.ownsCold != nil && s.ownsCold(instance.ID):
+		return listColdOwned
 	case endpoint.isCold(now):
-		return placeForeign
+		return listColdForeign
 	case instance.State == registry.StateSilent:
-		return placeSilent
+		return listSilent
 	}
-	return placeWarm
+	return listWarm
 }
 
-// timer is when the standing of an endpoint is looked at again.
-type timer struct {
+// recheckTimer is the time at which an endpoint may have to move to another list.
+type recheckTimer struct {
 	at       time.Time
 	endpoint *endpoint
 }
 
-// recheck has the standing of an endpoint looked at again at a time.
-func (s *Selector) recheck(endpoint *endpoint, at time.Time) {
+// scheduleRecheck has the list of an endpoint determined again at a time.
+func (s *Selector) scheduleRecheck(endpoint *endpoint, at time.Time) {
 	if endpoint.recheckAt.Equal(at) {
 		return
 	}
 	endpoint.recheckAt = at
-	heap.Push(&s.timers, timer{at: at, endpoint: endpoint})
+	heap.Push(&s.timers, recheckTimer{at: at, endpoint: endpoint})
 }
 
-// runTimers moves the endpoints whose skip or warm-up has ended.
+// runTimers moves the endpoints whose skip or warm-up has ended to their new lists.
 func (s *Selector) runTimers(now time.Time) {
 	for len(s.timers) > 0 && !s.timers[0].at.After(now) {
-		due := heap.Pop(&s.timers).(timer)
+		due := heap.Pop(&s.timers).(recheckTimer)
 		if due.endpoint.recheckAt.Equal(due.at) {
 			due.endpoint.recheckAt = time.Time{}
-			s.settle(now, due.endpoint)
+			s.refreshList(now, due.endpoint)
 		}
 	}
 }
 
 // timerHeap orders timers by their time.
-type timerHeap []timer
+type timerHeap []recheckTimer
 
 // Len implements heap.Interface.
 func (h timerHeap) Len() int { return len(h) }
@@ -141,13 +141,13 @@
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(recheckTimer)) }
 
 // Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = timer{}
+	old[len(old)-1] = recheckTimer{}
 	*h = old[:len(old)-1]
 	return last
 }
--- a/internal/selector/estimate.go
+++ b/internal/selector/estimate.go
@@ -6,47 +6,51 @@
 )
 
 const (
-	// readWeight is what a token read at an engine costs beyond the delay of its own request: it delays all others there.
-	readWeight = 0.75
-	// readWeightFull is added to that at an engine whose places are all taken.
-	readWeightFull = 4.0
-	// regionByteWorth and zoneByteWorth are the shares of a request's worth that a byte costs between regions and zones.
-	regionByteWorth = 1e-5
-	zoneByteWorth   = 3.5e-6
-	// coldWorth is the share of the aim by which a cold endpoint is put behind a warm one.
-	coldWorth = 0.05
-	// fullness is the share by which a plain endpoint slows as its places fill.
-	fullness = 0.3
-	// noise is the share of a cost that varies by chance, so that relays which know the same do not act as one.
-	noise   = 0.05
-	noiseMs = 1.0
-	// plainSlots is taken for endpoints that name no slots.
-	plainSlots = 1
+	// prefillBaseWeight is what a millisecond of prefill at an engine costs beyond the delay of its own request, since it
+	// delays all other requests there.
+	prefillBaseWeight = 0.75
+	// prefillFullWeight is added to that, in proportion to the used slots, up to an engine with all slots in use.
+	prefillFullWeight = 4.0
+	// regionByteCost and zoneByteCost are the cost of a body byte sent to another region or zone, as a fraction of
+	// the target latency.
+	regionByteCost = 1e-5
+	zoneByteCost   = 3.5e-6
+	// coldCost is the cost of a cold endpoint compared with a warm one, as a fraction of the target latency.
+	coldCost = 0.05
+	// plainSlowdown is the fraction by which an endpoint without an engine slows down when its slots are all in use.
+	plainSlowdown = 0.3
+	// costJitter is the fraction of a cost, and costJitterMs the time, by which costs vary at random, so that relays
+	// with the same knowledge do not all choose the same endpoint.
+	costJitter   = 0.05
+	costJitterMs = 1.0
+	// defaultPlainSlots is assumed for endpoints that announce no slots.
+	defaultPlainSlots = 1
 )
 
-// preference is the part of the reading saved that the first endpoints of a prompt's ranking are credited with, though this relay
-// has not used them for it: others have, or will.
-var preference = [...]float64{1, 0.4, 0.2}
+// rankCredit is the fraction of the saved prefill time that is credited to the first endpoints in the ranking of a
+// prompt prefix although this relay has not sent the prefix there: other relays have, or will.
+var rankCredit = [...]float64{1, 0.4, 0.2}
 
-// estimate is what an attempt at an endpoint is expected to take, in milliseconds.
+// estimate is the expected cost of an attempt at an endpoint. Times are in milliseconds.
 type estimate struct {
-	travel float64 // on the network, both ways
-	wait   float64 // until the endpoint begins with it
-	late   float64 // part of wait: what answers came too late by before
-	own    float64 // from then to the first byte
-	cost   float64 // what is compared: the time, what others lose by it, and prices
-	kept   int     // parts that are kept
-	unread int     // tokens that must be read
-	saved  float64 // part of own that falls away if others have had the opening read there, as its ranking says
+	networkMs     float64 // network round trip
+	waitMs        float64 // until the endpoint starts with the request
+	latenessMs    float64 // part of waitMs: by how much recent answers were later than estimated
+	processingMs  float64 // from the start to the first byte
+	costMs        float64 // what endpoints are compared by: the time, the delay of other requests, and further costs
+	cachedParts   int     // leading parts of the prompt that are believed to be cached
+	prefillTokens int     // tokens that must be prefilled
+	savingMs      float64 // part of processingMs that is saved if other relays have sent the prefix there, as its rank predicts
 }
 
-// first is the expected time to the first byte.
-func (e *estimate) first() float64 { return e.travel + e.wait + e.own }
+// firstByteMs is the expected time to the first byte.
+func (e *estimate) firstByteMs() float64 { return e.networkMs + e.waitMs + e.processingMs }
 
-// hoped is the expected time to the first byte if the opening is kept where its ranking says.
-func (e *estimate) hoped() float64 { return e.first() - e.saved }
+// cachedFirstByteMs is the expected time to the first byte if the prompt prefix is cached where its ranking predicts.
+func (e *estimate) cachedFirstByteMs() float64 { return e.firstByteMs() - e.savingMs }
 
-// estimate says what an attempt at an endpoint is expected to take; rank is its place in the ranking of the prompt, or unranked.
+// estimate returns what an attempt at an endpoint is expected to cost. rank is the endpoint's rank for the prompt
+// prefix, or unranked.
 func (s *Selector) estimate(now time.Time, request *Request, endpoint *endpoint, rank int) estimate {
 	var e estimate
 	if endpoint.service.engine() != nil {
@@ -54,101 +58,107 @@
 	} else {
 		s.estimatePlain(now, endpoint, &e)
 	}
-	if s.on(Lateness) {
-		e.late = endpoint.load.late(now)
+	if s.enabled(Lateness) {
+		e.latenessMs = endpoint.load.decayedLatenessMs(now)
 	}
-	e.wait += e.late
-	e.travel = s.travel(endpoint)
+	e.waitMs += e.latenessMs
+	e.networkMs = s.networkMs(endpoint)
 	if !s.isConnected(endpoint) {
-		e.travel += s.travel(endpoint)
-		e.cost += connectionWorth * request.Route.TargetMs
+		e.networkMs += s.networkMs(endpoint)
+		e.costMs += newConnectionCost * request.Route.TargetMs
 	}
-	e.cost += e.first()
-	if s.on(Prices) {
-		e.cost += s.prices(request, endpoint)
+	e.costMs += e.firstByteMs()
+	if s.enabled(PlacementCosts) {
+		e.costMs += s.placementCostMs(request, endpoint)
 	}
-	if s.on(Suspicion) {
-		e.cost += s.suspicion(now, endpoint)
+	if s.enabled(Suspicion) {
+		e.costMs += s.suspicionCostMs(now, endpoint)
 	}
-	if s.on(Penalty) {
-		e.cost += endpoint.health.penalty(now)
+	if s.enabled(Penalty) {
+		e.costMs += endpoint.health.penaltyMs(now)
 	}
 	return e
 }
 
-// kept tells how many parts of a request's prompt the endpoint is believed to keep, and their tokens.
-func (s *Selector) kept(now time.Time, request *Request, endpoint *endpoint) (parts, tokens int) {
-	if !s.on(KeptParts) {
+// cachedPrefix returns how many leading parts of a request's prompt the endpoint is believed to cache, and their
+// tokens.
+func (s *Selector) cachedPrefix(now time.Time, request *Request, endpoint *endpoint) (parts, tokens int) {
+	if !s.enabled(CachedParts) {
 		return 0, 0
 	}
-	return endpoint.cache.kept(now, request.Parts)
+	return endpoint.cache.cachedPrefix(now, request.Parts)
 }
 
-// readingWeight is what a millisecond of reading at an engine costs beyond the delay of its own request: it delays all others there, the
-// more the fuller the engine is.
-func (s *Selector) readingWeight(occupied float64) float64 {
-	if !s.on(LoadedReading) {
-		return readWeight
+// prefillWeight is what a millisecond of prefill at an engine costs beyond the delay of its own request. It delays all
+// other requests there, and more of them the higher the occupancy.
+func (s *Selector) prefillWeight(occupancy float64) float64 {
+	if !s.enabled(LoadedPrefill) {
+		return prefillBaseWeight
 	}
-	return readWeight + readWeightFull*math.Min(1, occupied)
+	return prefillBaseWeight + prefillFullWeight*math.Min(1, occupancy)
 }
 
-// estimateEngine estimates for a model engine: a batch that decodes, and prompts read between its steps.
+// estimateEngine fills in the estimate for a model engine, which decodes a batch of requests and prefills prompts
+// between decode steps.
 func (s *Selector) estimateEngine(now time.Time, request *Request, endpoint *endpoint, rank int, e *estimate) {
-	model := &s.options.Engines
+	model := &s.options.EnginePrior
 	engine := endpoint.service.engine()
 	speed := &endpoint.service.speed
 	load := &endpoint.load
-	kept, keptTokens := s.kept(now, request, endpoint)
-	e.kept, e.unread = kept, max(0, request.TokensIn-keptTokens)
+	cachedParts, cachedTokens := s.cachedPrefix(now, request, endpoint)
+	e.cachedParts, e.prefillTokens = cachedParts, max(0, request.TokensIn-cachedTokens)
 
 	requests := s.requests(now, endpoint)
 	slots := float64(max(1, engine.Slots))
-	duration := endpoint.service.usual.duration(model.MeanDurationMs)
-	e.wait = load.reading(now, speed.tokensPerMs()) / speed.tokensPerMs()
-	if over := requests + 1 - slots; over > 0 {
-		e.wait += over / slots * duration
-	}
+	duration := endpoint.service.typicalDuration.orDefaultMs(model.MeanDurationMs)
+	// The engine first prefills the prompts that are queued already.
+	e.waitMs = load.prefillAhead(now, speed.tokensPerMs()) / speed.tokensPerMs()
+	// Without a free slot the request waits for others to end.
+	if excess := requests + 1 - slots; excess > 0 {
+		e.waitMs += excess / slots * duration
+	}
+	// Without enough free memory it waits for others to release theirs.
 	capacity := math.Max(1, float64(engine.KVCapacity))
-	if over := s.memory(now, endpoint) + float64(e.unread+request.answerMemory()) - capacity; over > 0 {
-		e.wait += over / capacity * duration * slots / math.Max(1, requests)
+	if excess := s.memoryTokens(now, endpoint) + float64(e.prefillTokens+request.answerTokens()) - capacity; excess > 0 {
+		e.waitMs += excess / capacity * duration * slots / math.Max(1, requests)
 	}
-	e.own = speed.firstMs(request.TokensIn, e.unread) + model.StepMsPerSlot*math.Min(requests, slots)
-	reading := speed.readingMs(request.TokensIn, e.unread)
-	weight := s.readingWeight(requests / slots)
-	e.cost = weight * reading
+	e.processingMs = speed.firstTokenMs(request.TokensIn, e.prefillTokens) + model.StepMsPerSlot*math.Min(requests, slots)
+	ownPrefillMs := speed.prefillMs(request.TokensIn, e.prefillTokens)
+	weight := s.prefillWeight(requests / slots)
+	e.costMs = weight * ownPrefillMs
 	if rank != unranked {
-		left := e.unread - shared(request.Parts, kept)
-		saved := reading - speed.readingMs(request.TokensIn, left)
-		e.saved = preference[rank] * saved
-		e.cost -= e.saved * (1 + weight)
+		remaining := e.prefillTokens - shareableTokens(request.Parts, cachedParts)
+		saving := ownPrefillMs - speed.prefillMs(request.TokensIn, remaining)
+		e.savingMs = rankCredit[rank] * saving
+		e.costMs -= e.savingMs * (1 + weight)
 	}
 }
 
-// estimatePlain estimates for a service without engines, by what its answers have taken.
+// estimatePlain fills in the estimate for a service without engines, from the average time of its answers.
 func (s *Selector) estimatePlain(now time.Time, endpoint *endpoint, e *estimate) {
 	requests := s.requests(now, endpoint)
 	slots := float64(endpoint.slots())
-	duration := endpoint.service.usual.duration(plainDurationMs)
-	e.own = duration * (1 + fullness*math.Min(1, requests/slots))
-	if over := requests + 1 - slots; over > 0 {
-		e.wait = over / slots * duration
+	duration := endpoint.service.typicalDuration.orDefaultMs(defaultPlainDurationMs)
+	e.processingMs = duration * (1 + plainSlowdown*math.Min(1, requests/slots))
+	if excess := requests + 1 - slots; excess > 0 {
+		e.waitMs = excess / slots * duration
 	}
 }
 
-// shared is the tokens of a prompt's parts that other requests may begin with as well and that are not kept.
-func shared(parts []PromptPart, kept int) int {
+// shareableTokens is the number of tokens in the prompt parts that are not cached and that other requests may share:
+// all but the last part.
+func shareableTokens(parts []PromptPart, cached int) int {
 	tokens := 0
-	for index := kept; index < len(parts)-1; index++ {
+	for index := cached; index < len(parts)-1; index++ {
 		tokens += parts[index].Tokens
 	}
 	return tokens
 }
 
-// travel is the time on the network to the first byte of an answer, both ways, in milliseconds.
-func (s *Selector) travel(endpoint *endpoint) float64 {
-	if known := endpoint.watch.roundTrip; known > 0 && s.on(LearnedDistance) {
-		return inMs(known)
+// networkMs is the network round trip to an endpoint, in milliseconds.
+func (s *Selector) networkMs(endpoint *endpoint) float64 {
+	if measured := endpoint.watch.roundTrip; measured > 0 && s.enabled(LearnedDistance) {
+		return inMs(measured)
 	}
 	switch {
 	case endpoint.instance.Zone == s.options.Zone:
@@ -159,45 +169,47 @@
 	return 2 * inMs(s.options.RegionDelay)
 }
 
-// prices turns what an attempt costs besides time into the milliseconds of the aim that are worth as much.
-func (s *Selector) prices(request *Request, endpoint *endpoint) float64 {
-	worth := 0.0
+// placementCostMs converts what an attempt costs besides time (bytes sent between zones or regions, load on a cold
+// endpoint) into milliseconds.
+func (s *Selector) placementCostMs(request *Request, endpoint *endpoint) float64 {
+	fraction := 0.0
 	switch {
 	case endpoint.instance.Zone == s.options.Zone:
 	case endpoint.tier.region == s.options.Region:
-		worth = zoneByteWorth * float64(request.BodyBytes)
+		fraction = zoneByteCost * float64(request.BodyBytes)
 	default:
-		worth = regionByteWorth * float64(request.BodyBytes)
+		fraction = regionByteCost * float64(request.BodyBytes)
 	}
-	if endpoint.place == placeOwned {
-		worth += coldWorth
+	if endpoint.list == listColdOwned {
+		fraction += coldCost
 	}
-	return worth * request.Route.TargetMs
+	return fraction * request.Route.TargetMs
 }
 
-// suspicion grows while an endpoint's oldest attempt is overdue: new ones go elsewhere if they can. Where others' are, it counts as much as
-// is waited for an answer at least.
-func (s *Selector) suspicion(now time.Time, endpoint *endpoint) float64 {
-	if endpoint.overdue(now, 1) == 0 {
+// suspicionCostMs is the cost of an endpoint with an overdue answer, so that new requests go elsewhere if they can.
+// It grows with the age of this relay's oldest unanswered attempt there. Where only requests of other relays are
+// overdue, it is the minimum time after which an answer counts as overdue.
+func (s *Selector) suspicionCostMs(now time.Time, endpoint *endpoint) float64 {
+	if endpoint.countOverdue(now, 1) == 0 {
 		if s.suspectedByOthers(now, endpoint) {
-			return inMs(patienceLeast)
+			return inMs(minOverdueDelay)
 		}
 		return 0
 	}
-	return inMs(now.Sub(endpoint.load.first.sentAt))
+	return inMs(now.Sub(endpoint.load.firstUnanswered.sentAt))
 }
 
-// vary makes equal costs differ by chance.
-func (s *Selector) vary(cost float64) float64 {
-	return cost + (noiseMs+noise*math.Abs(cost))*s.random.Float64()
+// addJitter adds a random amount to a cost, so that equal costs differ.
+func (s *Selector) addJitter(costMs float64) float64 {
+	return costMs + (costJitterMs+costJitter*math.Abs(costMs))*s.random.Float64()
 }
 
-// slots is how many requests the endpoint works on at once.
+// slots is how many requests the endpoint processes at once.
 func (e *endpoint) slots() int {
 	if engine := e.service.engine(); engine != nil && engine.Slots > 0 {
 		return engine.Slots
 	}
-	return max(plainSlots, e.instance.Slots)
+	return max(defaultPlainSlots, e.instance.Slots)
 }
 
 func inMs(duration time.Duration) float64 { return float64(duration) / float64(time.Millisecond) }
@@ -206,5 +218,7 @@
 	return time.Duration(milliseconds * float64(time.Millisecond))
 }
 
-// speedOf is how many prompt tokens an endpoint reads in a millisecond.
-func (s *Selector) speedOf(endpoint *endpoint) float64 { return endpoint.service.speed.tokensPerMs() }
+// prefillRate is how many prompt tokens an endpoint prefills in a millisecond.
+func (s *Selector) prefillRate(endpoint *endpoint) float64 {
+	return endpoint.service.speed.tokensPerMs()
+}
--- a/internal/selector/example_test.go
+++ b/internal/selector/example_test.go
@@ -9,7 +9,8 @@
 	"wallflow/internal/selector"
 )
 
-// A request goes to the own region's endpoint; when no connection is made, to the next region's.
+// A request is sent to the endpoint of this relay's region. When no connection can be made, it is sent to the next
+// region's.
 func Example() {
 	now := time.Unix(1_000_000, 0)
 	zones := map[string]string{"sve-hall-a": "svealand", "got-hall-b": "gotaland"}
@@ -31,14 +32,14 @@
 	second := s.Choose(now, request)
 	fmt.Println(second.Kind, second.Instance.ID)
 	s.Done(now, second.Attempt, selector.Outcome{Kind: selector.Reset, MayHaveRun: true})
-	fmt.Println(s.Choose(now, request).Kind) // it may have run, and must not run twice
+	fmt.Println(s.Choose(now, request).Kind) // it may have run and must not run twice
 	// Output:
 	// send i-1
 	// send i-2
 	// fail
 }
 
-// The parts of a prompt, in order, and the sizes of the prompt and its answer.
+// ParsePrompt returns the parts of a prompt, in order, and the sizes of the prompt and its answer.
 func ExampleParsePrompt() {
 	parts, in, out := selector.ParsePrompt("5c1e07a2:800,91bd3f06:410,e4402b7d:250", "1460,80")
 	fmt.Println(len(parts), parts[0].Tokens, in, out)
--- a/internal/selector/fleet_test.go
+++ b/internal/selector/fleet_test.go
@@ -13,7 +13,7 @@
 	"wallflow/internal/registry"
 )
 
-// The fleet that most tests use: an engine service with endpoints in three regions and a plain one with an endpoint in each.
+// The fleet of most tests has endpoints in three regions, for a service with engines and a plain one.
 const (
 	engines  = "advisor"
 	plain    = "register"
@@ -30,15 +30,15 @@
 	zones = map[string]string{homeZone: home, nextZone: next, lastZone: last}
 )
 
-// fleet is a Selector with a clock that the test moves.
+// fleet is a Selector with a clock that the test moves, and the instances that it knows.
 type fleet struct {
-	t        testing.TB
-	s        *Selector
-	now      time.Time
-	document *config.Document
-	compiled *config.Compiled
-	list     []registry.Instance
-	asked    int
+	t            testing.TB
+	s            *Selector
+	now          time.Time
+	document     *config.Document
+	compiled     *config.Compiled
+	list         []registry.Instance
+	requestCount int
 }
 
 func newFleet(t testing.TB) *fleet {
@@ -102,71 +102,74 @@
 			ID: id, Backend: backend, Address: "10.0.0.1:1", Zone: zone, Slots: slots, State: registry.StateReady,
 		})
 	}
-	f.tell()
+	f.publish()
 }
 
-func (f *fleet) tell() { f.s.SetInstances(f.now, f.list) }
+// publish sets the list of instances at the Selector.
+func (f *fleet) publish() { f.s.SetInstances(f.now, f.list) }
 
-// change edits the instances of a zone and tells the Selector.
+// change edits the instances of a zone and publishes them.
 func (f *fleet) change(zone string, edit func(*registry.Instance)) {
 	for index := range f.list {
 		if f.list[index].Zone == zone {
 			edit(&f.list[index])
 		}
 	}
-	f.tell()
+	f.publish()
 }
 
-func (f *fleet) after(pause time.Duration) { f.now = f.now.Add(pause) }
+// advance moves the clock.
+func (f *fleet) advance(pause time.Duration) { f.now = f.now.Add(pause) }
 
 // request makes a request of a route that arrives now.
 func (f *fleet) request(route string) *Request {
-	f.asked++
+	f.requestCount++
 	r := f.route(route)
 	return &Request{
-		Route: r, ID: fmt.Sprintf("r-%d", f.asked), TokensIn: 383, TokensOut: 45, BodyBytes: 770,
+		Route: r, ID: fmt.Sprintf("r-%d", f.requestCount), TokensIn: 383, TokensOut: 45, BodyBytes: 770,
 		Arrived: f.now, Deadline: f.now.Add(r.Timeout()),
 	}
 }
 
-// dossier makes a large request that begins with an opening.
-func (f *fleet) dossier(opening uint64) *Request {
+// dossier makes a large request with a shared prompt prefix.
+func (f *fleet) dossier(prefix uint64) *Request {
 	r := f.request("dossier")
-	r.Parts = []PromptPart{{ID: opening, Tokens: 13_300}, {ID: 1_000_000 + uint64(f.asked), Tokens: 3_720}}
+	r.Parts = []PromptPart{{ID: prefix, Tokens: 13_300}, {ID: 1_000_000 + uint64(f.requestCount), Tokens: 3_720}}
 	r.TokensIn, r.TokensOut, r.BodyBytes = 17_020, 120, 34_000
 	return r
 }
 
 func (f *fleet) choose(r *Request) Decision { return f.s.Choose(f.now, r) }
 
-// sent chooses for a request that must be sent.
-func (f *fleet) sent(r *Request) Decision {
+// mustSend calls Choose for a request that must be sent.
+func (f *fleet) mustSend(r *Request) Decision {
 	f.t.Helper()
 	d := f.choose(r)
 	assert.Equal(f.t, d.Kind, Send, "%v: %v", d.Kind, d.Reason)
 	return d
 }
 
-func (f *fleet) done(d Decision, kind OutcomeKind) {
+// finish ends the attempt of a decision with an outcome.
+func (f *fleet) finish(d Decision, kind OutcomeKind) {
 	f.s.Done(f.now, d.Attempt, Outcome{Kind: kind, MayHaveRun: kind == Reset || kind == TimedOut})
 }
 
-// served has a request answered after a time.
-func (f *fleet) served(d Decision, took time.Duration) {
-	f.after(took)
+// serve has a request answered after a time.
+func (f *fleet) serve(d Decision, took time.Duration) {
+	f.advance(took)
 	f.s.FirstByte(f.now, d.Attempt)
-	f.done(d, Success)
+	f.finish(d, Success)
 }
 
-// fail has a new request of a route fail with an outcome at an endpoint, whichever is chosen, and returns which.
+// fail has a new request of a route fail with an outcome at the endpoint that is chosen, and returns that endpoint.
 func (f *fleet) fail(route string, kind OutcomeKind) registry.Instance {
 	f.t.Helper()
-	d := f.sent(f.request(route))
-	f.done(d, kind)
+	d := f.mustSend(f.request(route))
+	f.finish(d, kind)
 	return d.Instance
 }
 
 func (f *fleet) endpoint(id string) *endpoint { return f.s.endpoints[id] }
 
-// count is how often a failure rule has matched.
-func (f *fleet) count(rule RuleName) uint64 { return f.s.matched[rule] }
+// ruleCount is how often a failure rule has matched.
+func (f *fleet) ruleCount(rule RuleName) uint64 { return f.s.ruleMatches[rule] }
--- a/internal/selector/health.go
+++ b/internal/selector/health.go
@@ -7,60 +7,63 @@
 )
 
 const (
-	streakSkip = 3 // failures in a row that skip an endpoint
-	recentSkip = 5 // failures of the last eight outcomes that do
-	// patienceFactor and patienceLeast say when an answer is overdue, beyond what was expected.
-	patienceFactor = 2
-	patienceLeast  = 400 * time.Millisecond
-	// failureCostMs and failureMemory say what a failure costs an endpoint, and when half of that is forgotten.
-	failureCostMs = 300
-	failureMemory = 5 * time.Second
+	maxFailureStreak  = 3 // failures in a row after which an endpoint is skipped
+	maxRecentFailures = 5 // failures among the last eight outcomes after which it is skipped
+	// An answer is overdue after overdueFactor times the expected time plus minOverdueDelay.
+	overdueFactor   = 2
+	minOverdueDelay = 400 * time.Millisecond
+	// failureCostMs is the cost in milliseconds that each recent failure adds to an endpoint, and failureHalfLife the
+	// half-life of that cost.
+	failureCostMs   = 300
+	failureHalfLife = 5 * time.Second
 )
 
-// health is what the outcomes at an endpoint say of it.
+// health is what the outcomes at an endpoint say about it.
 type health struct {
-	streak  int       // failed connections and time-outs in a row
-	recent  uint8     // last eight outcomes, a bit set for a failure
-	heardAt time.Time // something came from it
-	backAt  time.Time // first success after a skip
-	failAt  time.Time // the newest failure
+	failureStreak  int       // failures in a row: connections not made or broken, and timeouts
+	recentOutcomes uint8     // last eight outcomes, the newest in the lowest bit; 1: failure
+	lastReceivedAt time.Time // when data was last received from the endpoint
+	restoredAt     time.Time // first success after the last skip
+	lastFailureAt  time.Time // of the newest failure
 }
 
-func (h *health) heard(now time.Time) {
-	h.heardAt = now
-	h.streak = 0
+// recordReceived records that data was received from the endpoint, which ends a streak of failures.
+func (h *health) recordReceived(now time.Time) {
+	h.lastReceivedAt = now
+	h.failureStreak = 0
 }
 
-func (h *health) succeeded() { h.recent <<= 1 }
+func (h *health) recordSuccess() { h.recentOutcomes <<= 1 }
 
-func (h *health) failed(now time.Time) {
-	h.recent = h.recent<<1 | 1
-	h.failAt = now
+func (h *health) recordFailure(now time.Time) {
+	h.recentOutcomes = h.recentOutcomes<<1 | 1
+	h.lastFailureAt = now
 }
 
-// penalty is what each recent failure adds to the cost of an endpoint, in milliseconds. In a large fleet a relay meets a bad endpoint too
-// seldom to skip it, and one that fails at once looks free.
-func (h *health) penalty(now time.Time) float64 {
-	if h.recent == 0 {
+// penaltyMs is the cost, in milliseconds, that recent failures add to an endpoint. In a large fleet a relay uses a
+// bad endpoint too seldom to skip it, and an endpoint that fails at once looks idle.
+func (h *health) penaltyMs(now time.Time) float64 {
+	if h.recentOutcomes == 0 {
 		return 0
 	}
-	fade := math.Exp2(-now.Sub(h.failAt).Seconds() / failureMemory.Seconds())
-	return failureCostMs * float64(bits.OnesCount8(h.recent)) * fade
+	decay := math.Exp2(-now.Sub(h.lastFailureAt).Seconds() / failureHalfLife.Seconds())
+	return failureCostMs * float64(bits.OnesCount8(h.recentOutcomes)) * decay
 }
 
-func (h *health) mostlyFailing() bool { return bits.OnesCount8(h.recent) >= recentSkip }
+// mostlyFailing reports whether most of the recent outcomes were failures.
+func (h *health) mostlyFailing() bool { return bits.OnesCount8(h.recentOutcomes) >= maxRecentFailures }
 
-// overdueAt is when an attempt has been without an answer for too long.
+// overdueAt is when an attempt without an answer counts as overdue.
 func (a *Attempt) overdueAt() time.Time {
-	return a.sentAt.Add(patienceFactor*a.expected() + patienceLeast)
+	return a.sentAt.Add(overdueFactor*a.expectedFirstByte() + minOverdueDelay)
 }
 
-// overdue counts the oldest attempts, up to most, that have waited too long at an endpoint that has said nothing since they were
-// sent.
-func (e *endpoint) overdue(now time.Time, most int) int {
+// countOverdue counts the overdue attempts at an endpoint from which nothing was received since they were sent. It
+// starts from the oldest, and counts up to limit.
+func (e *endpoint) countOverdue(now time.Time, limit int) int {
 	count := 0
-	for attempt := e.load.first; attempt != nil && count < most; attempt = attempt.next {
-		if !now.After(attempt.overdueAt()) || !e.health.heardAt.Before(attempt.sentAt) {
+	for attempt := e.load.firstUnanswered; attempt != nil && count < limit; attempt = attempt.next {
+		if !now.After(attempt.overdueAt()) || !e.health.lastReceivedAt.Before(attempt.sentAt) {
 			return count
 		}
 		count++
@@ -68,5 +71,7 @@
 	return count
 }
 
-// hangs tells whether as many attempts are overdue as failures in a row skip an endpoint.
-func (e *endpoint) hangs(now time.Time) bool { return e.overdue(now, streakSkip) >= streakSkip }
+// isHanging reports whether as many attempts are overdue as failures in a row skip an endpoint.
+func (e *endpoint) isHanging(now time.Time) bool {
+	return e.countOverdue(now, maxFailureStreak) >= maxFailureStreak
+}
--- a/internal/selector/load.go
+++ b/internal/selector/load.go
@@ -6,164 +6,173 @@
 )
 
 const (
-	// reportFresh is how long a report tells what other relays send.
-	reportFresh = 3 * time.Second
-	// othersLike is how much of this relay's own load each other relay of the zone is taken to add where nothing reports.
-	othersLike = 0.7
-	// answerShare is the part of the most tokens of an answer that is taken to be in memory.
-	answerShare = 0.5
-	// errorMemory is the time in which what was learned of an endpoint's lateness falls to half.
-	errorMemory = 3 * time.Second
-	// errorWeight is the share of a new error that is learned.
-	errorWeight = 0.3
-	mostLateMs  = 3000.0
+	// reportTTL is how long an endpoint's report is used to estimate the load of other relays.
+	reportTTL = 3 * time.Second
+	// otherRelayLoadRatio is the load that each other relay of the zone is assumed to add, relative to this relay's
+	// own load, where nothing is reported.
+	otherRelayLoadRatio = 0.7
+	// answerMemoryFraction is the fraction of an answer's maximum tokens that is assumed to be in memory.
+	answerMemoryFraction = 0.5
+	// latenessHalfLife is the half-life of an endpoint's learned lateness.
+	latenessHalfLife = 3 * time.Second
+	// latenessEMAWeight is the weight of a new sample in the moving average of the lateness.
+	latenessEMAWeight = 0.3
+	// maxLatenessMs bounds the learned lateness, in milliseconds.
+	maxLatenessMs = 3000.0
 )
 
-// load is what an endpoint has to do, as far as this relay knows.
+// load is the work at an endpoint, as far as this relay knows.
 type load struct {
-	outstanding int // own attempts without an outcome
-	held        int // tokens of memory that these hold
-	unread      int // prompt tokens of the unanswered ones that must be read
-	first, last *Attempt
+	inFlight                        int      // this relay's attempts without an outcome
+	heldTokens                      int      // tokens of memory that these hold (estimate)
+	unansweredPrefill               int      // prompt tokens to prefill for the attempts without a first byte
+	firstUnanswered, lastUnanswered *Attempt // list of the attempts without a first byte, oldest first
 
-	backlog   float64   // tokens that are still to be read, as of backlogAt
-	backlogAt time.Time // it drains as the engine reads
+	prefillBacklog float64   // prompt tokens waiting for prefill, as of backlogAt
+	backlogAt      time.Time // the backlog shrinks from then on at the engine's prefill rate
 
-	others others // what other relays have there, if that is known
+	others othersLoad // load of other relays, if it is known
 
-	reported   EngineReport
-	reportedAt time.Time
-	othersRun  int   // requests of others, as of the report
-	othersHeld int64 // and their memory
+	reported       EngineReport
+	reportedAt     time.Time
+	othersRequests int   // requests of other relays, as of the report
+	othersMemory   int64 // tokens of memory that these hold
 
-	lateMs float64 // how much later than estimated answers came, as of lateAt
-	lateAt time.Time
+	latenessMs float64 // by how much answers were later than estimated, as of latenessAt
+	latenessAt time.Time
 }
 
-// report notes a report, less what it holds of this relay's own requests.
-func (l *load) report(now time.Time, report EngineReport) {
+// setReport stores an endpoint's report, and subtracts this relay's own requests to find those of other relays.
+func (l *load) setReport(now time.Time, report EngineReport) {
 	l.reported, l.reportedAt = report, now
-	l.othersRun = max(0, report.Running+report.Queued-l.outstanding)
-	l.othersHeld = max(0, report.KVUsed-int64(l.held))
+	l.othersRequests = max(0, report.Running+report.Queued-l.inFlight)
+	l.othersMemory = max(0, report.KVUsed-int64(l.heldTokens))
 }
 
-func (l *load) reports(now time.Time) bool {
-	return !l.reportedAt.IsZero() && now.Sub(l.reportedAt) < reportFresh
+// hasFreshReport reports whether there is a report recent enough to be used.
+func (l *load) hasFreshReport(now time.Time) bool {
+	return !l.reportedAt.IsZero() && now.Sub(l.reportedAt) < reportTTL
 }
 
-// requests is an estimate of the requests at the endpoint, from all relays.
+// requests estimates the requests of all relays at the endpoint.
 func (s *Selector) requests(now time.Time, endpoint *endpoint) float64 {
 	l := &endpoint.load
-	if s.knowsOthers(now) && endpoint.service.engine() != nil {
-		return float64(l.outstanding + l.others.requests)
+	if s.hasOtherLoads(now) && endpoint.service.engine() != nil {
+		return float64(l.inFlight + l.others.requests)
 	}
-	return l.guessRequests(now, s.relays)
+	return l.estimateRequests(now, s.zoneRelays)
 }
 
-// guessRequests is what this relay's own requests, and a report, say of those of all.
-func (l *load) guessRequests(now time.Time, relays int) float64 {
-	if l.reports(now) {
-		return float64(l.outstanding + l.othersRun)
+// estimateRequests estimates the requests of all relays from this relay's own requests and the endpoint's report, if
+// there is a fresh one.
+func (l *load) estimateRequests(now time.Time, zoneRelays int) float64 {
+	if l.hasFreshReport(now) {
+		return float64(l.inFlight + l.othersRequests)
 	}
-	return float64(l.outstanding) * (1 + othersLike*float64(relays-1))
+	return float64(l.inFlight) * (1 + otherRelayLoadRatio*float64(zoneRelays-1))
 }
 
-// memory is an estimate of the tokens that running requests hold.
-func (s *Selector) memory(now time.Time, endpoint *endpoint) float64 {
+// memoryTokens estimates the tokens of memory that the requests of all relays at the endpoint hold.
+func (s *Selector) memoryTokens(now time.Time, endpoint *endpoint) float64 {
 	l := &endpoint.load
-	if s.knowsOthers(now) {
-		return float64(l.held + l.others.held)
+	if s.hasOtherLoads(now) {
+		return float64(l.heldTokens + l.others.heldTokens)
 	}
-	return l.guessMemory(now, s.relays)
+	return l.estimateMemory(now, s.zoneRelays)
 }
 
-func (l *load) guessMemory(now time.Time, relays int) float64 {
-	if l.reports(now) {
-		return float64(l.held) + float64(l.othersHeld)
+// estimateMemory estimates the tokens of memory that the requests of all relays hold, in the same way as
+// estimateRequests.
+func (l *load) estimateMemory(now time.Time, zoneRelays int) float64 {
+	if l.hasFreshReport(now) {
+		return float64(l.heldTokens) + float64(l.othersMemory)
 	}
-	return float64(l.held) * (1 + othersLike*float64(relays-1))
+	return float64(l.heldTokens) * (1 + otherRelayLoadRatio*float64(zoneRelays-1))
 }
 
-// reading is an estimate of the tokens that are to be read before those of a new request.
-func (l *load) reading(now time.Time, tokensPerMs float64) float64 {
+// prefillAhead estimates the prompt tokens that the engine will prefill before those of a new request.
+func (l *load) prefillAhead(now time.Time, tokensPerMs float64) float64 {
 	drained := now.Sub(l.backlogAt).Seconds() * 1000 * tokensPerMs
-	return math.Min(math.Max(0, l.backlog-drained), float64(l.unread+l.others.unread))
+	return math.Min(math.Max(0, l.prefillBacklog-drained), float64(l.unansweredPrefill+l.others.unansweredPrefill))
 }
 
-// late is how much later than estimated answers come now, in milliseconds.
-func (l *load) late(now time.Time) float64 {
-	if l.lateMs == 0 {
+// decayedLatenessMs is by how much answers are expected to be later than estimated now, in milliseconds.
+func (l *load) decayedLatenessMs(now time.Time) float64 {
+	if l.latenessMs == 0 {
 		return 0
 	}
-	return l.lateMs * math.Exp2(-now.Sub(l.lateAt).Seconds()/errorMemory.Seconds())
+	return l.latenessMs * math.Exp2(-now.Sub(l.latenessAt).Seconds()/latenessHalfLife.Seconds())
 }
 
-// learn takes by how much an answer came later than what is known of the load explains.
-func (l *load) learn(now time.Time, errorMs float64) {
-	late := l.late(now)
-	late += errorWeight * (errorMs - late)
-	l.lateMs, l.lateAt = math.Min(mostLateMs, math.Max(0, late)), now
+// learnLateness adds a sample: by how many milliseconds an answer came later than the known load explains.
+func (l *load) learnLateness(now time.Time, errorMs float64) {
+	updatedMs := l.decayedLatenessMs(now)
+	updatedMs += latenessEMAWeight * (errorMs - updatedMs)
+	l.latenessMs, l.latenessAt = math.Min(maxLatenessMs, math.Max(0, updatedMs)), now
 }
 
-// begin books an attempt.
-func (l *load) begin(now time.Time, attempt *Attempt, tokensPerMs float64) {
-	l.outstanding++
-	l.held += attempt.memory()
-	l.backlog = l.reading(now, tokensPerMs) + float64(attempt.estimate.unread)
+// addAttempt adds an attempt that is being sent.
+func (l *load) addAttempt(now time.Time, attempt *Attempt, tokensPerMs float64) {
+	l.inFlight++
+	l.heldTokens += attempt.memoryTokens()
+	l.prefillBacklog = l.prefillAhead(now, tokensPerMs) + float64(attempt.estimate.prefillTokens)
 	l.backlogAt = now
-	l.unread += attempt.estimate.unread
+	l.unansweredPrefill += attempt.estimate.prefillTokens
 	l.link(attempt)
 }
 
-// answered books the first byte of an attempt.
-func (l *load) answered(attempt *Attempt) {
+// markAnswered records that the first byte of an attempt was received.
+func (l *load) markAnswered(attempt *Attempt) {
 	if !attempt.listed {
 		return
 	}
-	l.unread -= attempt.estimate.unread
+	l.unansweredPrefill -= attempt.estimate.prefillTokens
 	l.unlink(attempt)
 }
 
-// end books the end of an attempt.
-func (l *load) end(attempt *Attempt) {
-	l.answered(attempt)
-	l.outstanding--
-	l.held -= attempt.memory()
+// removeAttempt removes an attempt that has ended.
+func (l *load) removeAttempt(attempt *Attempt) {
+	l.markAnswered(attempt)
+	l.inFlight--
+	l.heldTokens -= attempt.memoryTokens()
 }
 
 func (l *load) link(attempt *Attempt) {
-	attempt.previous = l.last
-	if l.last == nil {
-		l.first = attempt
+	attempt.previous = l.lastUnanswered
+	if l.lastUnanswered == nil {
+		l.firstUnanswered = attempt
 	} else {
-		l.last.next = attempt
+		l.lastUnanswered.next = attempt
 	}
-	l.last = attempt
+	l.lastUnanswered = attempt
 	attempt.listed = true
 }
 
 func (l *load) unlink(attempt *Attempt) {
 	if attempt.previous == nil {
-		l.first = attempt.next
+		l.firstUnanswered = attempt.next
 	} else {
 		attempt.previous.next = attempt.next
 	}
 	if attempt.next == nil {
-		l.last = attempt.previous
+		l.lastUnanswered = attempt.previous
 	} else {
 		attempt.next.previous = attempt.previous
 	}
 	attempt.previous, attempt.next, attempt.listed = nil, nil, false
 }
 
-// giveUp takes the unanswered attempts off: an endpoint that has just been skipped is not judged by them again.
-func (l *load) giveUp() {
-	for l.first != nil {
-		l.answered(l.first)
+// clearUnanswered removes all attempts from the list of unanswered ones, so that an endpoint that has just been
+// skipped is not skipped a second time because of them.
+func (l *load) clearUnanswered() {
+	for l.firstUnanswered != nil {
+		l.markAnswered(l.firstUnanswered)
 	}
 }
 
-// memory is how many tokens an attempt is taken to hold. Parts that were kept already are shared with others.
-func (a *Attempt) memory() int { return a.estimate.unread + a.request.answerMemory() }
+// memoryTokens is how many tokens of memory an attempt is assumed to hold. Prompt parts that were already cached are
+// shared with other requests and not counted.
+func (a *Attempt) memoryTokens() int { return a.estimate.prefillTokens + a.request.answerTokens() }
 
-func (r *Request) answerMemory() int { return int(answerShare * float64(r.TokensOut)) }
+// answerTokens is how many tokens of memory the answer is assumed to hold.
+func (r *Request) answerTokens() int { return int(answerMemoryFraction * float64(r.TokensOut)) }
--- a/internal/selector/mechanism.go
+++ b/internal/selector/mechanism.go
@@ -6,93 +6,94 @@
 	"strings"
 )
 
-// Mechanism is a part of the decision that can be switched off, so that what it is worth can be measured.
+// Mechanism is a part of the decision that can be switched off, so that its effect can be measured.
 type Mechanism string
 
-// The mechanisms.
+// The mechanisms. Their values are the names used in settings and flags. "Opening" stands for prompt prefix there,
+// "reading" for prefill, and "kept" for cached or, with connections, open.
 const (
-	Affinity        Mechanism = "affinity"         // endpoints are ranked by the prompt's opening
-	OpeningHomes    Mechanism = "opening-homes"    // a prompt begins in the region that its opening hashes to
-	KeptParts       Mechanism = "kept-parts"       // what this relay had read counts as kept
-	SharedOpenings  Mechanism = "shared-openings"  // what other relays had read counts as kept
-	FreePlacing     Mechanism = "free-placing"     // an opening that nobody keeps is read wherever that is best
-	SharedLoads     Mechanism = "shared-loads"     // what other relays have at engines counts
-	SharedSuspicion Mechanism = "shared-suspicion" // overdue answers of other relays count
-	Admission       Mechanism = "admission"        // what finds all engines full is refused
-	Urgency         Mechanism = "urgency"          // the less urgent are refused first
-	LoadedReading   Mechanism = "loaded-reading"   // reading costs more where more requests wait for it
-	LearnedSpeed    Mechanism = "learned-speed"    // how fast engines read, from their answers
-	LearnedDistance Mechanism = "learned-distance" // the time to other zones, from connecting
-	Lateness        Mechanism = "lateness"         // an endpoint that answered late is expected to again
-	Pace            Mechanism = "pace"             // calls a second are bounded after a refusal as full
-	Skips           Mechanism = "skips"            // failing endpoints are skipped
-	ZoneWatch       Mechanism = "zone-watch"       // a silent zone is left as a whole
-	Penalty         Mechanism = "penalty"          // failures cost an endpoint in comparisons
-	Suspicion       Mechanism = "suspicion"        // an overdue answer costs an endpoint in comparisons
-	Prices          Mechanism = "prices"           // bytes between zones and regions cost in comparisons
-	KeptConnections Mechanism = "kept-connections" // a connection that is to be opened costs its time and its price
+	PrefixAffinity  Mechanism = "affinity"         // endpoints are ranked by the hash of the prompt prefix
+	PrefixHomes     Mechanism = "opening-homes"    // a prompt is first tried in the region that its prefix hashes to
+	CachedParts     Mechanism = "kept-parts"       // prompts that this relay sent to an engine count as cached there
+	SharedPrefixes  Mechanism = "shared-openings"  // prefixes that other relays sent to an engine count as cached there
+	FreePlacement   Mechanism = "free-placing"     // a prefix that no endpoint caches is prefilled wherever that costs least
+	SharedLoads     Mechanism = "shared-loads"     // the load of other relays at engines counts
+	SharedSuspicion Mechanism = "shared-suspicion" // answers overdue at other relays count
+	Admission       Mechanism = "admission"        // requests are held or refused when all engines are full
+	Urgency         Mechanism = "urgency"          // less urgent requests are refused first
+	LoadedPrefill   Mechanism = "loaded-reading"   // prefill costs more at engines with more requests, since it delays them
+	LearnedSpeed    Mechanism = "learned-speed"    // the prefill rate of engines is learned from their answers
+	LearnedDistance Mechanism = "learned-distance" // round trips to zones are learned from connect times
+	Lateness        Mechanism = "lateness"         // an endpoint that answered late is expected to do so again
+	Pacing          Mechanism = "pace"             // the send rate to an endpoint is bounded after it answered that it is full
+	Skips           Mechanism = "skips"            // failing endpoints are skipped for a time
+	ZoneWatch       Mechanism = "zone-watch"       // a silent zone is avoided as a whole
+	Penalty         Mechanism = "penalty"          // recent failures raise the cost of an endpoint
+	Suspicion       Mechanism = "suspicion"        // an overdue answer raises the cost of an endpoint
+	PlacementCosts  Mechanism = "prices"           // bytes sent between zones and regions, and cold endpoints, have a cost
+	OpenConnections Mechanism = "kept-connections" // opening a connection has a cost, so open ones are preferred
 	Waiting         Mechanism = "waiting"          // a request waits for an endpoint instead of being refused at once
-	RetrySpread     Mechanism = "retry-spread"     // refused clients come back spread over time
-	ColdBound       Mechanism = "cold-bound"       // calls to cold endpoints are bounded (rule FAILBACK)
+	RetrySpread     Mechanism = "retry-spread"     // the wait advised to refused clients is jittered
+	ColdBound       Mechanism = "cold-bound"       // the send rate to cold endpoints is bounded (rule FAILBACK of the specification)
 )
 
-// mechanismUses says of each mechanism what goes without it, in the order of listing.
-var mechanismUses = []struct {
+// mechanismDescriptions says for each mechanism what happens without it, in the order of listing.
+var mechanismDescriptions = []struct {
 	Mechanism
 	without string
 }{
-	{Affinity, "prompts with the same opening meet by chance alone"},
-	{OpeningHomes, "each region reads each opening"},
-	{KeptParts, "every prompt counts as unread"},
-	{SharedOpenings, "what other relays had read is guessed by the ranking"},
-	{FreePlacing, "an opening that nobody keeps is read where its hash says"},
-	{SharedLoads, "what other relays have at engines is guessed from the own requests"},
-	{SharedSuspicion, "each relay finds out by itself what is silent"},
+	{PrefixAffinity, "requests with the same prompt prefix reach the same endpoint only by chance"},
+	{PrefixHomes, "each region prefills each prompt prefix"},
+	{CachedParts, "every prompt counts as not cached"},
+	{SharedPrefixes, "prefixes that other relays sent to engines are predicted by the ranking alone"},
+	{FreePlacement, "a prefix that no endpoint caches is prefilled where its hash maps to"},
+	{SharedLoads, "the load of other relays at engines is estimated from this relay's own requests"},
+	{SharedSuspicion, "each relay has to detect silent endpoints by itself"},
 	{Admission, "nothing is refused for overload"},
-	{Urgency, "all kinds are refused alike"},
-	{LoadedReading, "reading costs the same at an idle engine and at a full one"},
-	{LearnedSpeed, "engines are taken to be as fast as the prior says"},
-	{LearnedDistance, "zones and regions are taken to be as far as the prior says"},
-	{Lateness, "late answers teach nothing of their endpoint"},
-	{Pace, "endpoints that refused as full are called as often as before"},
+	{Urgency, "requests of all priorities are refused alike"},
+	{LoadedPrefill, "prefill costs the same at an idle engine and at a full one"},
+	{LearnedSpeed, "engines are assumed to be as fast as the prior says"},
+	{LearnedDistance, "round trips to zones and regions are assumed to be as the prior says"},
+	{Lateness, "late answers do not change the estimates for their endpoint"},
+	{Pacing, "endpoints that answered that they are full are called as often as before"},
 	{Skips, "failing endpoints are called like any other"},
-	{ZoneWatch, "a silent zone is left endpoint by endpoint"},
+	{ZoneWatch, "a silent zone is detected endpoint by endpoint"},
 	{Penalty, "failures cost nothing until an endpoint is skipped"},
 	{Suspicion, "overdue answers cost nothing until an endpoint is skipped"},
-	{Prices, "another region costs nothing but its distance"},
-	{KeptConnections, "an endpoint to which a connection is open is chosen like any other"},
-	{Waiting, "a request that no endpoint takes now is refused"},
-	{RetrySpread, "all refused clients are told the same wait"},
-	{ColdBound, "cold endpoints are called like warm ones by their owner; breaks rule FAILBACK"},
+	{PlacementCosts, "another region costs nothing but its round trip"},
+	{OpenConnections, "endpoints with an open connection are not preferred"},
+	{Waiting, "a request that no endpoint admits now is refused"},
+	{RetrySpread, "all refused clients are advised the same wait"},
+	{ColdBound, "owners call cold endpoints like warm ones; violates rule FAILBACK"},
 }
 
 // Mechanisms lists the names of all mechanisms.
 func Mechanisms() []Mechanism {
 	var names []Mechanism
-	for _, use := range mechanismUses {
-		names = append(names, use.Mechanism)
+	for _, description := range mechanismDescriptions {
+		names = append(names, description.Mechanism)
 	}
 	return names
 }
 
-// DescribeMechanisms tells of each mechanism what goes without it, a line each.
+// DescribeMechanisms returns a line for each mechanism that says what happens without it.
 func DescribeMechanisms() string {
 	var lines []string
-	for _, use := range mechanismUses {
-		lines = append(lines, fmt.Sprintf("%s: %s", use.Mechanism, use.without))
+	for _, description := range mechanismDescriptions {
+		lines = append(lines, fmt.Sprintf("%s: %s", description.Mechanism, description.without))
 	}
 	return strings.Join(lines, "\n")
 }
 
-// UnknownMechanismError says that a name is none of a mechanism.
+// UnknownMechanismError is returned for a name that is not a mechanism.
 type UnknownMechanismError struct{ Name string }
 
-// Error names the mechanisms that there are.
+// Error implements error. It lists the known mechanisms.
 func (e *UnknownMechanismError) Error() string {
-	return fmt.Sprintf("%q is no mechanism; there are %v", e.Name, Mechanisms())
+	return fmt.Sprintf("unknown mechanism %q; known mechanisms: %v", e.Name, Mechanisms())
 }
 
-// ParseMechanisms reads names of mechanisms.
+// ParseMechanisms converts names to mechanisms.
 func ParseMechanisms(names []string) ([]Mechanism, error) {
 	var parsed []Mechanism
 	for _, name := range names {
@@ -104,7 +105,7 @@
 	return parsed, nil
 }
 
-// mechanismSet is the mechanisms that are switched off.
+// mechanismSet holds the mechanisms that are switched off.
 type mechanismSet map[Mechanism]bool
 
 func newMechanismSet(disabled []Mechanism) mechanismSet {
@@ -115,7 +116,7 @@
 	return set
 }
 
-// on tells whether a mechanism works.
-func (s *Selector) on(mechanism Mechanism) bool {
+// enabled reports whether a mechanism is switched on.
+func (s *Selector) enabled(mechanism Mechanism) bool {
 	return len(s.disabled) == 0 || !s.disabled[mechanism]
 }
--- a/internal/selector/others.go
+++ b/internal/selector/others.go
@@ -6,166 +6,174 @@
 	"wallflow/internal/workload"
 )
 
-// othersFresh is how long what other relays have at endpoints is believed.
-const othersFresh = 2 * time.Second
-
-// others is what the other relays have at an endpoint, as they say.
-type others struct {
-	requests int
-	unread   int // prompt tokens to be read
-	held     int // tokens of memory
-	overdue  int // requests without an answer that should have one, with nothing heard from the endpoint since
+// otherLoadsTTL is how long reported loads of other relays are used.
+const otherLoadsTTL = 2 * time.Second
+
+// othersLoad is the load of the other relays at an endpoint, as they report it.
+type othersLoad struct {
+	requests          int
+	unansweredPrefill int // prompt tokens of their requests without a first byte that must be prefilled
+	heldTokens        int // tokens of memory that their requests hold
+	overdue           int // overdue requests to an endpoint from which nothing was received since they were sent
 }
 
-// key names the endpoint to other relays.
+// key identifies the endpoint in messages between relays.
 func (e *endpoint) key() workload.Key { return workload.Key(e.hash) }
 
-// TakeReport is what this relay tells the others: what it has at model engines, what their answers told of their speed, and which openings
-// they were given to read since the last call.
+// TakeReport returns what this relay reports to the others: its load at model engines, its samples of their prefill
+// speed, and the prompt prefixes that it sent to them since the last call.
 func (s *Selector) TakeReport(now time.Time) workload.Report {
-	report := workload.Report{Loads: s.ownLoads(now), Sums: s.ownSums(now), Readings: s.readings}
-	s.readings = nil
+	report := workload.Report{Loads: s.ownLoads(now), Sums: s.ownSums(now), Readings: s.unsentPrefills}
+	s.unsentPrefills = nil
 	return report
 }
 
-// ownLoads is what this relay has at model engines.
+// ownLoads returns this relay's load at model engines.
 func (s *Selector) ownLoads(now time.Time) workload.Loads {
-	loads := make(workload.Loads, len(s.busy))
-	for _, endpoint := range s.busy {
+	loads := make(workload.Loads, len(s.ownBusy))
+	for _, endpoint := range s.ownBusy {
 		load := &endpoint.load
-		loads[endpoint.key()] = workload.Load{Requests: load.outstanding, Unread: load.unread, Held: load.held, Overdue: s.ownOverdue(now, endpoint)}
+		loads[endpoint.key()] = workload.Load{Requests: load.inFlight, Unread: load.unansweredPrefill,
+			Held: load.heldTokens, Overdue: s.overdueToReport(now, endpoint)}
 	}
 	return loads
 }
 
-// SetOthers takes what all other relays have at model engines. Not known: this relay has to guess from its own requests.
+// SetOthers sets the load of all other relays at model engines. If it is not known, this relay goes on with the last
+// known loads until they expire, and then estimates them from its own requests.
 func (s *Selector) SetOthers(now time.Time, loads workload.Loads, known bool) {
-	if !known || !s.on(SharedLoads) {
-		return // what was known ages
+	if !known || !s.enabled(SharedLoads) {
+		return // the last known loads expire
 	}
-	s.othersAt = now
-	for _, endpoint := range s.loaded {
+	s.otherLoadsAt = now
+	for _, endpoint := range s.othersBusy {
 		if _, still := loads[endpoint.key()]; !still {
-			endpoint.load.setOthers(now, others{}, s.speedOf(endpoint))
+			endpoint.load.setOthers(now, othersLoad{}, s.prefillRate(endpoint))
 		}
 	}
-	clear(s.loaded)
-	s.loaded = s.loaded[:0]
-	for _, watch := range s.watches {
+	clear(s.othersBusy)
+	s.othersBusy = s.othersBusy[:0]
+	for _, watch := range s.zoneWatches {
 		watch.othersOverdue = 0
 	}
-	for key, told := range loads {
+	for key, reported := range loads {
 		endpoint := s.byKey[key]
 		if endpoint == nil {
 			continue
 		}
-		endpoint.load.setOthers(now, others{requests: told.Requests, unread: told.Unread, held: told.Held, overdue: told.Overdue}, s.speedOf(endpoint))
-		s.loaded = append(s.loaded, endpoint)
-		endpoint.watch.othersOverdue += told.Overdue
+		endpoint.load.setOthers(now, othersLoad{requests: reported.Requests, unansweredPrefill: reported.Unread,
+			heldTokens: reported.Held, overdue: reported.Overdue}, s.prefillRate(endpoint))
+		s.othersBusy = append(s.othersBusy, endpoint)
+		endpoint.watch.othersOverdue += reported.Overdue
 	}
 }
 
-// overdueTold bounds the overdue requests at one endpoint that other relays are told of.
-const overdueTold = 8
+// maxOverdueReported bounds the overdue requests at one endpoint that are reported to other relays.
+const maxOverdueReported = 8
 
-// ownOverdue counts this relay's overdue requests at an endpoint. None are told while this process may have stood still itself.
-func (s *Selector) ownOverdue(now time.Time, endpoint *endpoint) int {
-	if !s.on(SharedSuspicion) || now.Sub(s.awakeSince) < settleAfter {
+// overdueToReport returns the number of this relay's overdue requests at an endpoint. It is zero while this process
+// itself may have been stalled.
+func (s *Selector) overdueToReport(now time.Time, endpoint *endpoint) int {
+	if !s.enabled(SharedSuspicion) || now.Sub(s.activeSince) < stallRecovery {
 		return 0
 	}
-	return endpoint.overdue(now, overdueTold)
+	return endpoint.countOverdue(now, maxOverdueReported)
 }
 
-// suspectedByOthers tells whether requests of other relays are overdue at an endpoint that has said nothing here lately either.
+// suspectedByOthers reports whether requests of other relays are overdue at an endpoint from which this relay has not
+// received anything recently either.
 func (s *Selector) suspectedByOthers(now time.Time, endpoint *endpoint) bool {
-	return s.on(SharedSuspicion) && s.knowsOthers(now) && endpoint.load.others.overdue > 0 &&
-		now.Sub(endpoint.health.heardAt) > patienceLeast
+	return s.enabled(SharedSuspicion) && s.hasOtherLoads(now) && endpoint.load.others.overdue > 0 &&
+		now.Sub(endpoint.health.lastReceivedAt) > minOverdueDelay
 }
 
-// knowsOthers tells whether the loads of other relays are known.
-func (s *Selector) knowsOthers(now time.Time) bool {
-	return s.on(SharedLoads) && !s.othersAt.IsZero() && now.Sub(s.othersAt) < othersFresh
+// hasOtherLoads reports whether the loads of other relays are known and recent.
+func (s *Selector) hasOtherLoads(now time.Time) bool {
+	return s.enabled(SharedLoads) && !s.otherLoadsAt.IsZero() && now.Sub(s.otherLoadsAt) < otherLoadsTTL
 }
 
-// setOthers takes what others have at the endpoint now. What came anew waits behind what is to be read already.
-func (l *load) setOthers(now time.Time, told others, tokensPerMs float64) {
-	l.backlog = l.reading(now, tokensPerMs)
+// setOthers sets the load of other relays at the endpoint. Prefill work that is new queues behind the backlog.
+func (l *load) setOthers(now time.Time, reported othersLoad, tokensPerMs float64) {
+	l.prefillBacklog = l.prefillAhead(now, tokensPerMs)
 	l.backlogAt = now
-	if more := told.unread - l.others.unread; more > 0 {
-		l.backlog += float64(more)
+	if added := reported.unansweredPrefill - l.others.unansweredPrefill; added > 0 {
+		l.prefillBacklog += float64(added)
 	}
-	l.others = told
+	l.others = reported
 }
 
-// noteBusy keeps the list of endpoints at which this relay has requests.
-func (s *Selector) noteBusy(endpoint *endpoint) {
+// updateBusy adds an engine to the list of those at which this relay has requests in flight, or removes it.
+func (s *Selector) updateBusy(endpoint *endpoint) {
 	switch {
 	case endpoint.service.engine() == nil:
-	case endpoint.load.outstanding > 0 && !endpoint.busy:
-		endpoint.busy, endpoint.busyIndex = true, len(s.busy)
-		s.busy = append(s.busy, endpoint)
-	case endpoint.load.outstanding == 0 && endpoint.busy:
-		last := len(s.busy) - 1
-		s.busy[endpoint.busyIndex] = s.busy[last]
-		s.busy[endpoint.busyIndex].busyIndex = endpoint.busyIndex
-		s.busy[last] = nil
-		s.busy = s.busy[:last]
+	case endpoint.load.inFlight > 0 && !endpoint.busy:
+		endpoint.busy, endpoint.busyIndex = true, len(s.ownBusy)
+		s.ownBusy = append(s.ownBusy, endpoint)
+	case endpoint.load.inFlight == 0 && endpoint.busy:
+		last := len(s.ownBusy) - 1
+		s.ownBusy[endpoint.busyIndex] = s.ownBusy[last]
+		s.ownBusy[endpoint.busyIndex].busyIndex = endpoint.busyIndex
+		s.ownBusy[last] = nil
+		s.ownBusy = s.ownBusy[:last]
 		endpoint.busy = false
 	}
 }
 
-// readingsHeld bounds the openings that wait to be told to other relays.
-const readingsHeld = 64
+// maxUnsentPrefills bounds the prompt prefixes that wait to be reported to other relays.
+const maxUnsentPrefills = 64
 
-// noteReading has the other relays told that an endpoint reads, or uses, the opening of a prompt. One that is bound to home regions is told
-// to nobody, since readings go to all regions.
-func (s *Selector) noteReading(endpoint *endpoint, request *Request) {
-	if _, affine := request.affinity(); !affine || len(request.Parts) < 2 || request.isBound() || len(s.readings) >= readingsHeld {
+// queuePrefillReport queues a report to the other relays that an endpoint prefills or reuses the prefix of a prompt.
+// The prefix of a request that is bound to home regions is not reported, since reports go to all regions.
+func (s *Selector) queuePrefillReport(endpoint *endpoint, request *Request) {
+	if _, hasAffinity := request.affinityHash(); !hasAffinity || len(request.Parts) < 2 || request.isBound() ||
+		len(s.unsentPrefills) >= maxUnsentPrefills {
 		return
 	}
-	opening := request.Parts[0]
-	s.readings = append(s.readings, workload.Reading{Part: opening.ID, Tokens: opening.Tokens, Endpoint: endpoint.key()})
+	prefix := request.Parts[0]
+	s.unsentPrefills = append(s.unsentPrefills, workload.Reading{Part: prefix.ID, Tokens: prefix.Tokens, Endpoint: endpoint.key()})
 }
 
-// NoteReadings takes which openings other relays had endpoints read: they are kept there.
-func (s *Selector) NoteReadings(now time.Time, readings []workload.Reading) {
-	if !s.on(SharedOpenings) {
+// NoteReadings records which prompt prefixes other relays sent to which endpoints, where they are cached from now on.
+func (s *Selector) NoteReadings(now time.Time, prefills []workload.Reading) {
+	if !s.enabled(SharedPrefixes) {
 		return
 	}
-	for _, reading := range readings {
-		endpoint := s.byKey[reading.Endpoint]
+	for _, prefill := range prefills {
+		endpoint := s.byKey[prefill.Endpoint]
 		if endpoint == nil || endpoint.service.engine() == nil {
 			continue
 		}
-		opening := PromptPart{ID: reading.Part, Tokens: reading.Tokens}
-		endpoint.cache.use(now, []PromptPart{opening}, endpoint.cacheCapacity())
-		s.keepers.note(now, reading.Part, endpoint)
+		prefix := PromptPart{ID: prefill.Part, Tokens: prefill.Tokens}
+		endpoint.cache.add(now, []PromptPart{prefix}, endpoint.cacheCapacity())
+		s.holders.record(now, prefill.Part, endpoint)
 	}
 }
 
-// serviceKey names a service to other relays.
+// serviceKey identifies a service in messages between relays.
 func serviceKey(name string) workload.Key { return workload.Key(hashText(name)) }
 
-// ownSums is what the answers to this relay have told of the engines' speed.
+// ownSums returns this relay's samples of the prefill speed of each service's engines, as sums of the normal
+// equations (see speed.go).
 func (s *Selector) ownSums(now time.Time) workload.Sums {
 	sums := make(workload.Sums)
 	for name, service := range s.services {
 		if service.engine() != nil {
-			service.speed.fade(now)
-			sums[serviceKey(name)] = service.speed.own.figures()
+			service.speed.decay(now)
+			sums[serviceKey(name)] = service.speed.own.encode()
 		}
 	}
 	return sums
 }
 
-// SetOthersSums takes what the answers to the other relays have told of the engines' speed.
+// SetOthersSums sets the other relays' samples of the prefill speed of each service's engines, in the form that
+// ownSums returns.
 func (s *Selector) SetOthersSums(sums workload.Sums) {
-	if !s.on(LearnedSpeed) {
+	if !s.enabled(LearnedSpeed) {
 		return
 	}
 	for name, service := range s.services {
-		if told, known := sums[serviceKey(name)]; known && service.engine() != nil {
-			service.speed.setOthers(sumsOf(told))
+		if reported, known := sums[serviceKey(name)]; known && service.engine() != nil {
+			service.speed.setOthers(decodeSums(reported))
 		}
 	}
 }
--- a/internal/selector/outcome.go
+++ b/internal/selector/outcome.go
@@ -3,56 +3,58 @@
 import "time"
 
 const (
-	// reconnectAfter is how long a request avoids an endpoint that it found no connection to.
-	reconnectAfter = 100 * time.Millisecond
-	// fullAfter is how long a request avoids an endpoint that was full.
-	fullAfter = 150 * time.Millisecond
-	// forever is how long a request avoids an endpoint that may have run it, or is not the one it was.
-	forever = time.Hour
+	// avoidAfterConnectFailure is how long a request avoids an endpoint after a failed connection to it.
+	avoidAfterConnectFailure = 100 * time.Millisecond
+	// avoidAfterFull is the minimum time for which a request avoids an endpoint that answered that it is full.
+	avoidAfterFull = 150 * time.Millisecond
+	// avoidForever is how long a request avoids an endpoint after other outcomes: the endpoint may have run it, or
+	// another instance has its address. It is longer than any request lives.
+	avoidForever = time.Hour
 )
 
-// FirstByte takes that the first event, or the head of an answer that has no events, has come.
+// FirstByte records that the first event of an answer was received, or the header of an answer without events.
 func (s *Selector) FirstByte(now time.Time, attempt *Attempt) {
-	if attempt.done || !attempt.firstAt.IsZero() {
+	if attempt.done || !attempt.firstByteAt.IsZero() {
 		return
 	}
 	endpoint := attempt.endpoint
-	endpoint.heard(now)
-	endpoint.load.answered(attempt)
+	endpoint.recordReceived(now)
+	endpoint.load.markAnswered(attempt)
 	took := now.Sub(attempt.sentAt)
 	s.learnSpeed(now, attempt, inMs(took))
-	endpoint.load.learn(now, inMs(took-attempt.expected())+attempt.estimate.late)
-	attempt.firstAt = now
+	endpoint.load.learnLateness(now, inMs(took-attempt.expectedFirstByte())+attempt.estimate.latenessMs)
+	attempt.firstByteAt = now
 }
 
-// Done takes the outcome of an attempt. It must be called once for each decision to Send; further calls do nothing.
+// Done records the outcome of an attempt. It must be called once for each decision to send; further calls have no
+// effect.
 func (s *Selector) Done(now time.Time, attempt *Attempt, outcome Outcome) {
 	if attempt.done {
 		return
 	}
 	attempt.done = true
 	endpoint, request := attempt.endpoint, attempt.request
-	endpoint.load.end(attempt)
-	s.noteBusy(endpoint)
-	if endpoint.trial == attempt {
-		endpoint.trial = nil
+	endpoint.load.removeAttempt(attempt)
+	s.updateBusy(endpoint)
+	if endpoint.trialAttempt == attempt {
+		endpoint.trialAttempt = nil
 	}
-	s.account(now, attempt, outcome)
-	if !outcome.ran() {
-		endpoint.cache.forget(request.unread(attempt.estimate.kept))
+	s.recordOutcome(now, attempt, outcome)
+	if !outcome.countsAsRun() {
+		endpoint.cache.remove(request.uncachedParts(attempt.estimate.cachedParts))
 	}
 	switch outcome.Kind {
 	case Success:
-		s.succeeded(now, attempt)
+		s.handleSuccess(now, attempt)
 	case ClientGone:
 	default:
-		s.failed(now, attempt, outcome)
+		s.handleFailure(now, attempt, outcome)
 	}
-	s.wakeFor(endpoint.service)
+	s.wakeFirst(endpoint.service)
 }
 
-// ran tells whether the endpoint may have begun work.
-func (o Outcome) ran() bool {
+// countsAsRun reports whether the endpoint may have started to work on the request.
+func (o Outcome) countsAsRun() bool {
 	switch o.Kind {
 	case Success, EndpointError:
 		return true
@@ -62,104 +64,107 @@
 	return o.MayHaveRun
 }
 
-// arrived tells whether the request came to an endpoint.
-func (o Outcome) arrived() bool { return o.Kind != ConnectFailed }
+// reachedEndpoint reports whether the request reached an endpoint.
+func (o Outcome) reachedEndpoint() bool { return o.Kind != ConnectFailed }
 
-// account notes for the request what the attempt did.
-func (s *Selector) account(now time.Time, attempt *Attempt, outcome Outcome) {
+// recordOutcome counts the attempt for its request, and has the request avoid the endpoint.
+func (s *Selector) recordOutcome(now time.Time, attempt *Attempt, outcome Outcome) {
 	request, endpoint := attempt.request, attempt.endpoint
-	if outcome.arrived() {
+	if outcome.reachedEndpoint() {
 		request.arrivals++
 	}
-	if outcome.ran() {
+	if outcome.countsAsRun() {
 		request.runs++
 	}
 	switch outcome.Kind {
 	case ConnectFailed:
-		request.avoid(endpoint, now.Add(reconnectAfter))
+		request.avoid(endpoint, now.Add(avoidAfterConnectFailure))
 	case Full:
-		request.avoid(endpoint, now.Add(max(fullAfter, outcome.ToldWait)))
+		request.avoid(endpoint, now.Add(max(avoidAfterFull, outcome.ToldWait)))
 	default:
-		request.avoid(endpoint, now.Add(forever))
+		request.avoid(endpoint, now.Add(avoidForever))
 	}
 }
 
-// unread are the parts of the prompt that were not kept when an attempt was sent.
-func (r *Request) unread(kept int) []PromptPart {
-	return r.Parts[min(kept, len(r.Parts)):]
+// uncachedParts returns the parts of the prompt after the first ones that were cached when an attempt was sent;
+// cached is the number of those.
+func (r *Request) uncachedParts(cached int) []PromptPart {
+	return r.Parts[min(cached, len(r.Parts)):]
 }
 
-// succeeded takes a whole answer.
-func (s *Selector) succeeded(now time.Time, attempt *Attempt) {
+// handleSuccess updates the endpoint after a complete answer.
+func (s *Selector) handleSuccess(now time.Time, attempt *Attempt) {
 	endpoint := attempt.endpoint
-	endpoint.tier.noteRecent(endpoint)
+	endpoint.tier.recordRecent(endpoint)
 	s.learnDuration(now, attempt)
-	endpoint.service.served.of(now, attempt.request.Route.Priority).served++
-	endpoint.heard(now)
-	endpoint.health.succeeded()
+	endpoint.service.recentCounts.countFor(now, attempt.request.Route.Priority).served++
+	endpoint.recordReceived(now)
+	endpoint.health.recordSuccess()
 	if endpoint.skip.clear() {
-		endpoint.pace.restart(now)
-		endpoint.health.backAt = now
-		s.settle(now, endpoint)
-		s.wakeTier(endpoint.service)
+		endpoint.pacer.restart(now)
+		endpoint.health.restoredAt = now
+		s.refreshList(now, endpoint)
+		s.wakeService(endpoint.service)
 		return
 	}
-	growth, most := paceQuick, 0.0
+	growth, maxRate := fastGrowth, 0.0
 	if warmup := endpoint.service.warmup(); warmup > 0 {
-		growth = paceCreep
-		if now.Before(endpoint.health.backAt.Add(warmup)) {
-			most = s.returningMost(endpoint.service)
+		growth = slowGrowth
+		if now.Before(endpoint.health.restoredAt.Add(warmup)) {
+			maxRate = s.maxRateAfterSkip(endpoint.service)
 		}
 	}
-	endpoint.pace.creep(now, growth, most)
+	endpoint.pacer.grow(now, growth, maxRate)
 }
 
-// learnDuration learns how long an answer takes once it has begun, or as a whole where answers have no events.
+// learnDuration adds a sample of how long an answer takes after its first byte, or as a whole where answers have no
+// events.
 func (s *Selector) learnDuration(now time.Time, attempt *Attempt) {
 	service := attempt.endpoint.service
-	if service.engine() != nil && !attempt.firstAt.IsZero() {
-		service.usual.learn(inMs(now.Sub(attempt.firstAt))) // without its waiting: the load that there is slows it as well
+	if service.engine() != nil && !attempt.firstByteAt.IsZero() {
+		// This excludes the time in the queue, but includes the slowdown of the batch by its current load.
+		service.typicalDuration.learn(inMs(now.Sub(attempt.firstByteAt)))
 		return
 	}
 	if !attempt.queued {
-		service.usual.learn(inMs(now.Sub(attempt.sentAt)))
+		service.typicalDuration.learn(inMs(now.Sub(attempt.sentAt)))
 	}
 }
 
-// failed takes an outcome that is no answer.
-func (s *Selector) failed(now time.Time, attempt *Attempt, outcome Outcome) {
+// handleFailure updates the endpoint after any other outcome and applies the failure rules.
+func (s *Selector) handleFailure(now time.Time, attempt *Attempt, outcome Outcome) {
 	health := &attempt.endpoint.health
-	if attempt.sentAt.Before(health.backAt) && outcome.Kind != Full {
-		return // it was sent before the endpoint came back from a skip
+	if attempt.sentAt.Before(health.restoredAt) && outcome.Kind != Full {
+		return // sent before the endpoint came back from its last skip
 	}
 	switch outcome.Kind {
 	case Full, NotExecuted, Misdirected:
-		attempt.endpoint.heard(now)
+		attempt.endpoint.recordReceived(now)
 	case EndpointError:
-		attempt.endpoint.heard(now)
-		health.failed(now)
+		attempt.endpoint.recordReceived(now)
+		health.recordFailure(now)
 	case TimedOut:
-		if health.heardAt.After(attempt.sentAt) {
-			return // it answered others meanwhile: slow, not gone
+		if health.lastReceivedAt.After(attempt.sentAt) {
+			return // it has answered other requests since: slow, not gone
 		}
-		health.streak++
+		health.failureStreak++
 	default:
-		health.streak++
-		health.failed(now)
+		health.failureStreak++
+		health.recordFailure(now)
 	}
-	s.judge(attempt.endpoint, &evidence{now: now, attempt: attempt, outcome: outcome})
+	s.applyFailureRules(attempt.endpoint, &evidence{now: now, attempt: attempt, outcome: outcome})
 }
 
-// learnSpeed takes what an answer tells of how fast engines read. One that had to wait for others, or came from a cold engine, tells
-// nothing.
+// learnSpeed adds a sample of how fast an engine prefills. It leaves out the answers of cold engines, answers that
+// had to wait for other requests, and those received just after a stall of this process.
 func (s *Selector) learnSpeed(now time.Time, attempt *Attempt, tookMs float64) {
 	endpoint, estimate := attempt.endpoint, &attempt.estimate
-	if !s.on(LearnedSpeed) || endpoint.service.engine() == nil || endpoint.isCold(now) || attempt.queued {
+	if !s.enabled(LearnedSpeed) || endpoint.service.engine() == nil || endpoint.isCold(now) || attempt.queued {
 		return
 	}
-	queued := estimate.wait - estimate.late
-	if queued > fitWaitShare*estimate.own || now.Sub(s.awakeSince) < settleAfter {
+	queued := estimate.waitMs - estimate.latenessMs
+	if queued > maxLearnWaitFraction*estimate.processingMs || now.Sub(s.activeSince) < stallRecovery {
 		return
 	}
-	endpoint.service.speed.learn(now, attempt.request.TokensIn, estimate.unread, tookMs-estimate.travel-queued)
+	endpoint.service.speed.learn(now, attempt.request.TokensIn, estimate.prefillTokens, tookMs-estimate.networkMs-queued)
 }
--- a/internal/selector/parse_test.go
+++ b/internal/selector/parse_test.go
@@ -16,7 +16,7 @@
 		in     int
 		out    int
 	}{
-		{"as spoken", "5c1e07a2:800,91bd3f06:410", "1210,80", []PromptPart{{0x5c1e07a2, 800}, {0x91bd3f06, 410}}, 1210, 80},
+		{"as clients send it", "5c1e07a2:800,91bd3f06:410", "1210,80", []PromptPart{{0x5c1e07a2, 800}, {0x91bd3f06, 410}}, 1210, 80},
 		{"none", "", "", nil, 0, 0},
 		{"spaces", " a:1 , b:2", " 3 , 4 ", []PromptPart{{0xa, 1}, {0xb, 2}}, 3, 4},
 		{"no usage", "a:1,b:2", "", []PromptPart{{0xa, 1}, {0xb, 2}}, 3, 0},
--- a/internal/selector/penalty_test.go
+++ b/internal/selector/penalty_test.go
@@ -7,26 +7,26 @@
 	"gotest.tools/v3/assert"
 )
 
-// One failure has the next requests go elsewhere for a while, though it is too little for a skip; it is forgotten with time.
-func TestFailureCostsAnEndpoint(t *testing.T) {
+// After one failure, which is too little for a skip, the next requests are sent elsewhere for a while.
+func TestFailurePenalizesEndpoint(t *testing.T) {
 	f := newFleet(t)
 	f.engines(homeZone, 4)
 	failed := f.fail("query", EndpointError)
 	for range 12 {
-		d := f.sent(f.request("query"))
+		d := f.mustSend(f.request("query"))
 		assert.Assert(t, d.Instance.ID != failed.ID)
-		f.served(d, 20*time.Millisecond)
+		f.serve(d, 20*time.Millisecond)
 	}
 	assert.Assert(t, f.endpoint(failed.ID).skip.until.IsZero())
-	f.after(10 * failureMemory)
-	assert.Assert(t, f.endpoint(failed.ID).health.penalty(f.now) < noiseMs)
+	f.advance(10 * failureHalfLife)
+	assert.Assert(t, f.endpoint(failed.ID).health.penaltyMs(f.now) < costJitterMs)
 }
 
-// An endpoint that is the only one of its region is taken all the same.
-func TestFailureKeepsNoRequestFromTheOnlyEndpoint(t *testing.T) {
+// The only endpoint of a region is used despite a recent failure.
+func TestPenaltyDoesNotExcludeOnlyEndpoint(t *testing.T) {
 	f := newFleet(t)
 	f.plain(homeZone, 1)
 	f.plain(lastZone, 1)
 	failed := f.fail("gate", EndpointError)
-	assert.Equal(t, f.sent(f.request("gate")).Instance.ID, failed.ID)
+	assert.Equal(t, f.mustSend(f.request("gate")).Instance.ID, failed.ID)
 }
--- a/internal/selector/opening_test.go
+++ b/internal/selector/prefix_test.go
@@ -11,7 +11,7 @@
 	"wallflow/internal/registry"
 )
 
-// newFleetAt is newFleet for a relay in another zone.
+// newFleetAt returns a fleet whose relay is in another zone.
 func newFleetAt(t testing.TB, zone string, seed uint64) *fleet {
 	f := newFleet(t)
 	f.s = New(Options{
@@ -23,7 +23,7 @@
 	return f
 }
 
-func TestRelaysOfAllRegionsMeetAtOneEndpointForAnOpening(t *testing.T) {
+func TestRelaysOfAllRegionsAgreeOnEndpointForPrefix(t *testing.T) {
 	relays := []*fleet{newFleetAt(t, homeZone, 3), newFleetAt(t, nextZone, 4), newFleetAt(t, lastZone, 5)}
 	regions := map[string]int{}
 	for _, relay := range relays {
@@ -31,17 +31,17 @@
 		relay.engines(nextZone, 4)
 		relay.engines(lastZone, 6)
 	}
-	for opening := range uint64(180) {
-		var met string
+	for prefix := range uint64(180) {
+		var chosen string
 		for _, relay := range relays {
-			d := relay.sent(relay.dossier(opening))
-			if met == "" {
-				met = d.Instance.ID
+			d := relay.mustSend(relay.dossier(prefix))
+			if chosen == "" {
+				chosen = d.Instance.ID
 				regions[zones[d.Instance.Zone]]++
 			}
-			assert.Equal(t, d.Instance.ID, met, "opening %d from %s", opening, relay.s.options.Zone)
-			relay.served(d, 300*time.Millisecond)
-			relay.after(200 * time.Millisecond)
+			assert.Equal(t, d.Instance.ID, chosen, "prefix %d from %s", prefix, relay.s.options.Zone)
+			relay.serve(d, 300*time.Millisecond)
+			relay.advance(200 * time.Millisecond)
 		}
 	}
 	// 8, 4 and 6 of 18 endpoints
@@ -50,7 +50,7 @@
 	assert.Assert(t, regions[last] > 40 && regions[last] < 80, "%v", regions)
 }
 
-func TestOpeningsStayWithinTheirHomes(t *testing.T) {
+func TestPrefixesStayInHomeRegions(t *testing.T) {
 	f := newFleetAt(t, nextZone, 6)
 	f.engines(homeZone, 2)
 	f.engines(nextZone, 8)
@@ -58,88 +58,88 @@
 		f.document.Routes[index].HomeRegions = []string{home}
 	}
 	f.configure()
-	for opening := range uint64(50) {
-		d := f.sent(f.dossier(opening))
+	for prefix := range uint64(50) {
+		d := f.mustSend(f.dossier(prefix))
 		assert.Equal(t, d.Instance.Zone, homeZone)
-		f.served(d, 300*time.Millisecond)
-		f.after(200 * time.Millisecond)
+		f.serve(d, 300*time.Millisecond)
+		f.advance(200 * time.Millisecond)
 	}
 }
 
-func TestABodyLargerThanItsOpeningIsWorthStaysInItsRegion(t *testing.T) {
+func TestLargeBodyStaysInItsRegion(t *testing.T) {
 	f := newFleetAt(t, nextZone, 7)
 	f.engines(homeZone, 8)
 	f.engines(nextZone, 4)
-	for opening := range uint64(50) {
-		r := f.dossier(opening)
-		r.BodyBytes = 13_300*crossingBytes + 1
-		d := f.sent(r)
+	for prefix := range uint64(50) {
+		r := f.dossier(prefix)
+		r.BodyBytes = 13_300*maxBodyBytesPerPrefixToken + 1
+		d := f.mustSend(r)
 		assert.Equal(t, d.Instance.Zone, nextZone)
-		f.served(d, 300*time.Millisecond)
-		f.after(200 * time.Millisecond)
+		f.serve(d, 300*time.Millisecond)
+		f.advance(200 * time.Millisecond)
 	}
 }
 
-func TestAnOpeningFollowsItsRankingWhenItsEndpointIsGone(t *testing.T) {
+func TestPrefixMovesWhenItsRegionDrains(t *testing.T) {
 	f := newFleetAt(t, homeZone, 8)
 	f.engines(homeZone, 4)
 	f.engines(nextZone, 4)
 	before := map[uint64]string{}
-	for opening := range uint64(60) {
-		d := f.sent(f.dossier(opening))
-		before[opening] = d.Instance.Zone
-		f.served(d, 300*time.Millisecond)
-		f.after(300 * time.Millisecond)
+	for prefix := range uint64(60) {
+		d := f.mustSend(f.dossier(prefix))
+		before[prefix] = d.Instance.Zone
+		f.serve(d, 300*time.Millisecond)
+		f.advance(300 * time.Millisecond)
 	}
 	f.change(nextZone, func(instance *registry.Instance) { instance.State = registry.StateDraining })
-	for opening := range uint64(60) {
-		d := f.sent(f.dossier(opening))
+	for prefix := range uint64(60) {
+		d := f.mustSend(f.dossier(prefix))
 		assert.Equal(t, d.Instance.Zone, homeZone)
-		f.served(d, 300*time.Millisecond)
-		f.after(300 * time.Millisecond)
+		f.serve(d, 300*time.Millisecond)
+		f.advance(300 * time.Millisecond)
 	}
 }
 
-func TestARankingCountsInItsHomeRegionAlone(t *testing.T) {
+func TestRankingAppliesOnlyInPrefixHome(t *testing.T) {
 	f := newFleetAt(t, homeZone, 9)
 	f.engines(homeZone, 4)
 	f.engines(nextZone, 4)
-	for opening := range uint64(200) {
-		r := f.dossier(opening)
-		f.s.begin(f.now, r)
+	for prefix := range uint64(200) {
+		r := f.dossier(prefix)
+		f.s.initRequest(f.now, r)
 		order := f.s.tiersFor(r)
 		if order[0].region == home {
 			continue
 		}
-		var later earliestChange
-		own := f.s.best(f.now, r, order[1], search{}, &later)
+		var nextChange earliestChange
+		own := f.s.bestInTier(f.now, r, order[1], searchOptions{}, &nextChange)
 		assert.Equal(t, order[1].region, home)
-		assert.Equal(t, own.estimate.saved, 0.0, "nobody reads the opening %d here", opening)
-		kept := f.s.best(f.now, r, order[0], search{home: true}, &later)
-		assert.Assert(t, kept.estimate.saved > 300, "%f", kept.estimate.saved)
-		assert.Assert(t, kept.cost < own.cost)
+		assert.Equal(t, own.estimate.savingMs, 0.0, "no other relay sends prefix %d here", prefix)
+		atHome := f.s.bestInTier(f.now, r, order[0], searchOptions{prefixHome: true}, &nextChange)
+		assert.Assert(t, atHome.estimate.savingMs > 300, "%f", atHome.estimate.savingMs)
+		assert.Assert(t, atHome.costMs < own.costMs)
 	}
 }
 
-func TestAnOpeningTooLargeForItsAimStaysAtItsHome(t *testing.T) {
+func TestPrefixTooLargeForTargetStaysAtItsHome(t *testing.T) {
 	relays := []*fleet{newFleetAt(t, homeZone, 10), newFleetAt(t, nextZone, 11), newFleetAt(t, lastZone, 12)}
 	for _, relay := range relays {
 		relay.engines(homeZone, 8)
 		relay.engines(nextZone, 4)
 		relay.engines(lastZone, 6)
 	}
-	for opening := range uint64(60) {
-		var met string
+	for prefix := range uint64(60) {
+		var chosen string
 		for _, relay := range relays {
-			r := relay.dossier(opening)
+			r := relay.dossier(prefix)
 			r.Parts[0].Tokens, r.TokensIn, r.BodyBytes = 39_900, 43_620, 88_000
-			d := relay.sent(r)
-			if met == "" {
-				met = d.Instance.ID
+			d := relay.mustSend(r)
+			if chosen == "" {
+				chosen = d.Instance.ID
 			}
-			assert.Equal(t, d.Instance.ID, met, "read whole it is late anywhere, kept it is in time: opening %d", opening)
-			relay.served(d, 300*time.Millisecond)
-			relay.after(500 * time.Millisecond)
+			assert.Equal(t, d.Instance.ID, chosen, "within target only where the prefix %d is cached", prefix)
+			relay.serve(d, 300*time.Millisecond)
+			relay.advance(500 * time.Millisecond)
 		}
 	}
 }
--- a/internal/selector/property_test.go
+++ b/internal/selector/property_test.go
@@ -12,245 +12,254 @@
 	"wallflow/internal/registry"
 )
 
-// play is a random walk over a Selector: whatever comes in any order, some things never happen.
-type play struct {
+// randomWalk calls a Selector with random events in random order and checks the invariants that must hold after any
+// of them.
+type randomWalk struct {
 	*fleet
-	r         *rapid.T
-	evacuated []string
-	owned     map[string]bool
-	open      []Decision
-	waiting   []*Request
-	cold      map[string][]time.Time // sends to endpoints while they were cold
-	requests  []time.Time
-	repeats   []time.Time
-	tries     map[*Request]*tally
+	r            *rapid.T
+	evacuated    []string
+	owned        map[string]bool
+	attempts     []Decision
+	waiting      []*Request
+	coldSends    map[string][]time.Time // times of sends to endpoints that were cold
+	requestTimes []time.Time
+	retryTimes   []time.Time
+	tallies      map[*Request]*tally
 }
 
-// tally is what the walk knows of one request.
+// tally holds what the walk knows about one request.
 type tally struct {
-	arrivals int
-	runs     int
-	out      bool
+	arrivals        int
+	runs            int
+	attemptInFlight bool
 }
 
 const (
-	walkRatio  = 0.2
-	walkWindow = 10 * time.Second
+	retryRatio  = 0.2
+	retryWindow = 10 * time.Second
 )
 
-func newPlay(t *testing.T, r *rapid.T) *play {
-	p := &play{fleet: newFleet(t), r: r, owned: map[string]bool{}, cold: map[string][]time.Time{}, tries: map[*Request]*tally{}}
+func newRandomWalk(t *testing.T, r *rapid.T) *randomWalk {
+	w := &randomWalk{fleet: newFleet(t), r: r, owned: map[string]bool{}, coldSends: map[string][]time.Time{}, tallies: map[*Request]*tally{}}
 	seed := rapid.Uint64().Draw(r, "seed")
-	p.s.random = rand.New(rand.NewPCG(seed, 1))
-	p.s.options.Budget = budget.NewRetryBudget(budget.Options{Ratio: walkRatio, Window: walkWindow})
+	w.s.random = rand.New(rand.NewPCG(seed, 1))
+	w.s.options.Budget = budget.NewRetryBudget(budget.Options{Ratio: retryRatio, Window: retryWindow})
 	for _, zone := range []string{homeZone, nextZone, lastZone} {
-		p.engines(zone, rapid.IntRange(0, 40).Draw(r, "engines"))
-		p.plain(zone, rapid.IntRange(0, 2).Draw(r, "plain"))
+		w.engines(zone, rapid.IntRange(0, 40).Draw(r, "engines"))
+		w.plain(zone, rapid.IntRange(0, 2).Draw(r, "plain"))
 	}
-	return p
+	return w
 }
 
-func TestWalksKeepTheRules(t *testing.T) {
+func TestRandomWalksKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		p := newPlay(t, r)
+		w := newRandomWalk(t, r)
 		for range rapid.IntRange(1, 200).Draw(r, "steps") {
-			p.after(time.Duration(rapid.IntRange(0, 400).Draw(r, "ms")) * time.Millisecond)
-			p.step()
+			w.advance(time.Duration(rapid.IntRange(0, 400).Draw(r, "ms")) * time.Millisecond)
+			w.step()
 		}
-		p.finish()
+		w.checkFinished()
 	})
 }
 
-func (p *play) step() {
-	switch rapid.IntRange(0, 11).Draw(p.r, "step") {
+// step generates one random event.
+func (w *randomWalk) step() {
+	switch rapid.IntRange(0, 11).Draw(w.r, "step") {
 	case 0:
-		p.edit()
+		w.changeInstance()
 	case 1:
-		p.evacuated = slices.Clone([]string{homeZone, nextZone, lastZone}[:rapid.IntRange(0, 2).Draw(p.r, "evacuated")])
-		p.s.SetEvacuated(p.now, p.evacuated)
+		w.evacuated = slices.Clone([]string{homeZone, nextZone, lastZone}[:rapid.IntRange(0, 2).Draw(w.r, "evacuated")])
+		w.s.SetEvacuated(w.now, w.evacuated)
 	case 2:
-		p.own()
+		w.setOwners()
 	case 3, 4, 5, 6:
-		p.ask()
+		w.sendRequests()
 	case 7:
-		p.again()
+		w.retryWaiting()
 	default:
-		p.outcome()
+		w.completeAttempt()
 	}
-	for _, request := range p.s.Woken() {
-		p.r.Logf("woken %s", request.ID)
+	for _, request := range w.s.Woken() {
+		w.r.Logf("woken %s", request.ID)
 	}
 }
 
-// edit changes one instance.
-func (p *play) edit() {
-	if len(p.list) == 0 {
+// changeInstance changes one instance.
+func (w *randomWalk) changeInstance() {
+	if len(w.list) == 0 {
 		return
 	}
-	instance := &p.list[rapid.IntRange(0, len(p.list)-1).Draw(p.r, "instance")]
+	instance := &w.list[rapid.IntRange(0, len(w.list)-1).Draw(w.r, "instance")]
 	states := []registry.State{registry.StateReady, registry.StateReady, registry.StateDraining, registry.StateSilent, registry.StateGone}
-	instance.State = rapid.SampledFrom(states).Draw(p.r, "state")
+	instance.State = rapid.SampledFrom(states).Draw(w.r, "state")
 	instance.GoneAt = time.Time{}
 	instance.ColdUntil = time.Time{}
-	switch rapid.IntRange(0, 3).Draw(p.r, "more") {
+	switch rapid.IntRange(0, 3).Draw(w.r, "more") {
 	case 0:
-		instance.GoneAt = p.now.Add(time.Second)
+		instance.GoneAt = w.now.Add(time.Second)
 	case 1:
-		instance.ColdUntil = p.now.Add(3 * time.Second)
+		instance.ColdUntil = w.now.Add(3 * time.Second)
 	}
-	p.tell()
+	w.publish()
 }
 
-func (p *play) own() {
-	p.owned = map[string]bool{}
-	share := rapid.IntRange(1, 3).Draw(p.r, "share")
-	for index := range p.list {
-		if index%share == 0 {
-			p.owned[p.list[index].ID] = true
+// setOwners changes the number of relays in the zone and the cold endpoints that this relay owns.
+func (w *randomWalk) setOwners() {
+	w.owned = map[string]bool{}
+	relays := rapid.IntRange(1, 3).Draw(w.r, "relays")
+	for index := range w.list {
+		if index%relays == 0 {
+			w.owned[w.list[index].ID] = true
 		}
 	}
-	owned := p.owned
-	p.s.SetPeers(p.now, share, func(id string) bool { return owned[id] })
+	owned := w.owned
+	w.s.SetPeers(w.now, relays, func(id string) bool { return owned[id] })
 }
 
-func (p *play) ask() {
-	route := rapid.SampledFrom([]string{"dossier", "query", "gate", "safe"}).Draw(p.r, "route")
-	for range rapid.IntRange(1, 30).Draw(p.r, "count") {
-		request := p.request(route)
+// sendRequests submits new requests of one route.
+func (w *randomWalk) sendRequests() {
+	route := rapid.SampledFrom([]string{"dossier", "query", "gate", "safe"}).Draw(w.r, "route")
+	for range rapid.IntRange(1, 30).Draw(w.r, "count") {
+		request := w.request(route)
 		if route == "dossier" {
-			request = p.dossier(rapid.Uint64Range(1, 5).Draw(p.r, "opening"))
+			request = w.dossier(rapid.Uint64Range(1, 5).Draw(w.r, "prefix"))
 		}
-		request.Waiter = nobody{}
-		p.tries[request] = &tally{}
-		p.requests = append(p.requests, p.now)
-		p.decide(request)
+		request.Waiter = noopWaiter{}
+		w.tallies[request] = &tally{}
+		w.requestTimes = append(w.requestTimes, w.now)
+		w.decide(request)
 	}
 }
 
-// again has a request that waits ask again.
-func (p *play) again() {
-	if len(p.waiting) == 0 {
+// retryWaiting calls Choose again for a waiting request.
+func (w *randomWalk) retryWaiting() {
+	if len(w.waiting) == 0 {
 		return
 	}
-	request := p.waiting[0]
-	p.waiting = p.waiting[1:]
-	p.decide(request)
+	request := w.waiting[0]
+	w.waiting = w.waiting[1:]
+	w.decide(request)
 }
 
-// outcome ends an attempt that is out.
-func (p *play) outcome() {
-	if len(p.open) == 0 {
+// completeAttempt ends an attempt that is in flight.
+func (w *randomWalk) completeAttempt() {
+	if len(w.attempts) == 0 {
 		return
 	}
-	at := rapid.IntRange(0, len(p.open)-1).Draw(p.r, "attempt")
-	d := p.open[at]
-	p.open = slices.Delete(p.open, at, at+1)
-	kind := OutcomeKind(rapid.IntRange(int(Success), int(ClientGone)).Draw(p.r, "outcome"))
-	outcome := Outcome{Kind: kind, MayHaveRun: rapid.Bool().Draw(p.r, "ran")}
-	if kind == Full && rapid.Bool().Draw(p.r, "told") {
+	at := rapid.IntRange(0, len(w.attempts)-1).Draw(w.r, "attempt")
+	d := w.attempts[at]
+	w.attempts = slices.Delete(w.attempts, at, at+1)
+	kind := OutcomeKind(rapid.IntRange(int(Success), int(ClientGone)).Draw(w.r, "outcome"))
+	outcome := Outcome{Kind: kind, MayHaveRun: rapid.Bool().Draw(w.r, "ran")}
+	if kind == Full && rapid.Bool().Draw(w.r, "advised wait") {
 		outcome.ToldWait = time.Second
 	}
 	if kind == Success {
-		p.s.FirstByte(p.now, d.Attempt)
+		w.s.FirstByte(w.now, d.Attempt)
 	}
-	p.s.Done(p.now, d.Attempt, outcome)
+	w.s.Done(w.now, d.Attempt, outcome)
 	request := d.Attempt.request
-	tally := p.tries[request]
-	tally.out = false
-	if outcome.arrived() {
+	tally := w.tallies[request]
+	tally.attemptInFlight = false
+	if outcome.reachedEndpoint() {
 		tally.arrivals++
 	}
-	if outcome.ran() {
+	if outcome.countsAsRun() {
 		tally.runs++
 	}
 	if kind != Success && kind != ClientGone {
-		p.decide(request)
+		w.decide(request)
 	}
 }
 
-func (p *play) decide(request *Request) {
-	d := p.choose(request)
-	tally := p.tries[request]
+// decide calls Choose for a request and checks the decision.
+func (w *randomWalk) decide(request *Request) {
+	d := w.choose(request)
+	tally := w.tallies[request]
 	switch d.Kind {
 	case Send:
-		p.checkSend(request, d)
-		tally.out = true
-		p.open = append(p.open, d)
+		w.checkSend(request, d)
+		tally.attemptInFlight = true
+		w.attempts = append(w.attempts, d)
 	case Wait:
-		if !d.Until.After(p.now) || d.Until.After(request.Deadline) {
-			p.r.Fatalf("waits until %v, now %v", d.Until, p.now)
+		if !d.Until.After(w.now) || d.Until.After(request.Deadline) {
+			w.r.Fatalf("waits until %v, now %v", d.Until, w.now)
 		}
-		p.waiting = append(p.waiting, request)
+		w.waiting = append(w.waiting, request)
 	case Refuse:
 		if tally.runs > 0 {
-			p.r.Fatalf("refused a request that may have run")
+			w.r.Fatalf("refused a request that may have run")
 		}
 		if d.RetryAfter <= 0 {
-			p.r.Fatalf("refused without advice")
+			w.r.Fatalf("refused without an advised wait")
 		}
 	case Fail:
 		if tally.runs == 0 {
-			p.r.Fatalf("failed a request that has not run: %s", d.Reason)
+			w.r.Fatalf("failed a request that has not run: %s", d.Reason)
 		}
 	default:
-		p.r.Fatalf("no decision")
+		w.r.Fatalf("no decision")
 	}
 }
 
-func (p *play) checkSend(request *Request, d Decision) {
-	at := slices.IndexFunc(p.list, func(i registry.Instance) bool { return i.ID == d.Instance.ID })
-	instance := p.list[at]
+// checkSend checks that a request may be sent to the endpoint of a decision.
+func (w *randomWalk) checkSend(request *Request, d Decision) {
+	at := slices.IndexFunc(w.list, func(i registry.Instance) bool { return i.ID == d.Instance.ID })
+	instance := w.list[at]
 	route := request.Route
-	tally := p.tries[request]
+	tally := w.tallies[request]
 	switch {
 	case instance.State == registry.StateDraining || instance.State == registry.StateGone || !instance.GoneAt.IsZero():
-		p.r.Fatalf("sent to an endpoint that leaves")
-	case slices.Contains(p.evacuated, instance.Zone):
-		p.r.Fatalf("sent to an evacuated zone")
+		w.r.Fatalf("sent to an endpoint that is draining or gone")
+	case slices.Contains(w.evacuated, instance.Zone):
+		w.r.Fatalf("sent to an evacuated zone")
 	case len(route.HomeRegions) > 0 && !slices.Contains(route.HomeRegions, zones[instance.Zone]):
-		p.r.Fatalf("sent to a region that is no home")
+		w.r.Fatalf("sent to a region that is not a home region")
 	case instance.Backend != route.Backend:
-		p.r.Fatalf("sent to another service")
-	case !p.now.Before(request.Deadline):
-		p.r.Fatalf("sent after its deadline")
-	case tally.out:
-		p.r.Fatalf("sent twice at once")
+		w.r.Fatalf("sent to another service")
+	case !w.now.Before(request.Deadline):
+		w.r.Fatalf("sent after its deadline")
+	case tally.attemptInFlight:
+		w.r.Fatalf("sent while another attempt is in flight")
 	case tally.runs > 0 && (!route.Idempotent() || tally.runs >= route.Retries):
-		p.r.Fatalf("runs too often")
+		w.r.Fatalf("sent though it has run too often")
 	case d.GiveUpAt.After(request.Deadline):
-		p.r.Fatalf("given up after the deadline")
+		w.r.Fatalf("the attempt times out after the deadline")
 	}
 	if tally.arrivals > 0 {
-		p.checkBudget()
+		w.checkBudget()
 	}
-	p.checkCold(instance)
+	w.checkCold(instance)
 }
 
-// checkBudget counts the repeats of the window that ends now. The walk counts both services together, which is as strict: the sum
-// of what each allows.
-func (p *play) checkBudget() {
-	p.repeats = append(p.repeats, p.now)
-	most := walkRatio * float64(since(p.requests, p.now, walkWindow))
-	if got := since(p.repeats, p.now, walkWindow); float64(got) > most {
-		p.r.Fatalf("%d repeats where %.1f are allowed", got, most)
+// checkBudget counts the retries in the window that ends now. Both services are counted together, which is as strict,
+// since the sum of what each allows is the limit.
+func (w *randomWalk) checkBudget() {
+	w.retryTimes = append(w.retryTimes, w.now)
+	limit := retryRatio * float64(countSince(w.requestTimes, w.now, retryWindow))
+	if got := countSince(w.retryTimes, w.now, retryWindow); float64(got) > limit {
+		w.r.Fatalf("%d retries where %.1f are allowed", got, limit)
 	}
 }
 
-func (p *play) checkCold(instance registry.Instance) {
-	endpoint := p.endpoint(instance.ID)
-	if !endpoint.isCold(p.now) {
+// checkCold checks a send to an endpoint, if that is cold: this relay must own the endpoint and keep to its request
+// rate.
+func (w *randomWalk) checkCold(instance registry.Instance) {
+	endpoint := w.endpoint(instance.ID)
+	if !endpoint.isCold(w.now) {
 		return
 	}
-	if !p.owned[instance.ID] {
-		p.r.Fatalf("sent to a cold endpoint of another owner")
+	if !w.owned[instance.ID] {
+		w.r.Fatalf("sent to a cold endpoint of another owner")
 	}
-	p.cold[instance.ID] = append(p.cold[instance.ID], p.now)
-	if got := since(p.cold[instance.ID], p.now, time.Second); got > 17 {
-		p.r.Fatalf("%d requests in a second to a cold endpoint", got)
+	w.coldSends[instance.ID] = append(w.coldSends[instance.ID], w.now)
+	if got := countSince(w.coldSends[instance.ID], w.now, time.Second); got > 17 {
+		w.r.Fatalf("%d requests in a second to a cold endpoint", got)
 	}
 }
 
-func since(times []time.Time, now time.Time, window time.Duration) int {
+// countSince counts the times that lie within the window that ends now.
+func countSince(times []time.Time, now time.Time, window time.Duration) int {
 	count := 0
 	for _, at := range times {
 		if now.Sub(at) < window {
@@ -260,43 +269,44 @@
 	return count
 }
 
-// finish ends all attempts: nothing is left booked.
-func (p *play) finish() {
-	for _, d := range p.open {
-		p.s.Done(p.now, d.Attempt, Outcome{Kind: ClientGone})
-		p.s.Done(p.now, d.Attempt, Outcome{Kind: ClientGone})
+// checkFinished ends all attempts and checks that nothing is left of them.
+func (w *randomWalk) checkFinished() {
+	for _, d := range w.attempts {
+		w.s.Done(w.now, d.Attempt, Outcome{Kind: ClientGone})
+		w.s.Done(w.now, d.Attempt, Outcome{Kind: ClientGone})
 	}
-	for id, endpoint := range p.s.endpoints {
+	for id, endpoint := range w.s.endpoints {
 		load := &endpoint.load
-		if load.outstanding != 0 || load.held != 0 || load.unread != 0 || load.first != nil || load.last != nil {
-			p.r.Fatalf("%s: %+v is left", id, load)
+		if load.inFlight != 0 || load.heldTokens != 0 || load.unansweredPrefill != 0 ||
+			load.firstUnanswered != nil || load.lastUnanswered != nil {
+			w.r.Fatalf("%s: attempts remain: %+v", id, load)
 		}
 		tokens := 0
 		for _, part := range endpoint.cache.parts {
 			tokens += part.tokens
 		}
 		if tokens != endpoint.cache.tokens {
-			p.r.Fatalf("%s: %d tokens kept, %d counted", id, tokens, endpoint.cache.tokens)
+			w.r.Fatalf("%s: %d tokens cached, %d counted", id, tokens, endpoint.cache.tokens)
 		}
 	}
-	p.checkLists()
+	w.checkLists()
 }
 
-// checkLists finds each endpoint where its place and index say.
-func (p *play) checkLists() {
-	for _, service := range p.s.services {
+// checkLists checks that each endpoint is in the list and at the index that it records.
+func (w *randomWalk) checkLists() {
+	for _, service := range w.s.services {
 		for _, tier := range service.tiers {
 			grouped := 0
 			for _, group := range tier.groups {
 				grouped += len(group)
 			}
 			if tier.groups != nil && grouped != len(tier.warm()) {
-				p.r.Fatalf("%d endpoints grouped of %d", grouped, len(tier.warm()))
+				w.r.Fatalf("%d endpoints grouped of %d", grouped, len(tier.warm()))
 			}
-			for place, list := range tier.lists {
-				for index, endpoint := range list {
-					if endpoint.place != placeOf(place) || endpoint.index != index {
-						p.r.Fatalf("endpoint at %d of list %d says %d, %d", index, place, endpoint.index, endpoint.place)
+			for kind, endpoints := range tier.lists {
+				for index, endpoint := range endpoints {
+					if endpoint.list != listKind(kind) || endpoint.listIndex != index {
+						w.r.Fatalf("endpoint at %d of list %d records index %d, list %d", index, kind, endpoint.listIndex, endpoint.list)
 					}
 				}
 			}
--- a/internal/selector/request.go
+++ b/internal/selector/request.go
@@ -8,56 +8,57 @@
 	"wallflow/internal/config"
 )
 
-// PromptPart is one part of a prompt. Parts with the same ID are the same text.
+// PromptPart is one part of a prompt. Parts with the same ID have the same text.
 type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// Waiter is told when a request that waits should ask again.
+// Waiter is notified when a waiting request should call Choose again.
 type Waiter interface {
-	// Wake has the request ask Choose again soon. It must not block and must not call the Selector.
+	// Wake has the request call Choose again soon. It must not block and must not call the Selector.
 	Wake()
 }
 
-// Request is one try of a client. The caller fills in the public fields, and uses the same Request for all calls of Choose.
+// Request is one try of a client; if the client tries again, that is another Request. The caller fills in the public
+// fields, and passes the same Request to all calls of Choose for it.
 type Request struct {
 	Route     *config.Route
 	ID        string
-	Parts     []PromptPart // in order; the last belongs to the request itself or to its session
-	TokensIn  int          // of the prompt
-	TokensOut int          // at most, of the answer
+	Parts     []PromptPart // in order; the last is specific to the request or its session
+	TokensIn  int          // tokens of the prompt
+	TokensOut int          // maximum tokens of the answer
 	BodyBytes int
 	Arrived   time.Time
-	Deadline  time.Time // the earlier of the client's deadline and the route's time-out
-	Waiter    Waiter    // may be nil: the caller asks again at Decision.Until
-
-	begun        bool
-	apart        bool // its opening doesn't matter for the choice
-	plan         *plan
-	serviceIndex int // index of the service drawn from the split
-	tried        []trial
-	offered      bool // an endpoint was offered the request
-	arrivals     int  // attempts that reached an endpoint
-	runs         int  // attempts that may have run
-	waiting      bool // has been told to wait, and not yet to ask again
-	listed       bool // in the list of waiting requests of its service
+	Deadline  time.Time // the earlier of the client's deadline and the route's timeout
+	Waiter    Waiter    // may be nil: the caller then calls Choose again at Decision.Until only
+
+	initialized  bool // see initRequest
+	noAffinity   bool // endpoints are not ranked by the prompt prefix
+	plan         *routePlan
+	serviceIndex int         // index in plan.services of the service drawn
+	avoidances   []avoidance // endpoints that it was sent to
+	offered      bool        // the request was sent to an endpoint at least once
+	arrivals     int         // attempts that reached an endpoint
+	runs         int         // attempts that may have run
+	waiting      bool        // the last decision was Wait, and the request was not woken since
+	listed       bool        // in the list of waiting requests of its service, perhaps no longer waiting
 }
 
-// trial is an endpoint that the request was sent to, and until when the request avoids it.
-type trial struct {
+// avoidance is an endpoint that the request was sent to, and until when the request avoids it.
+type avoidance struct {
 	endpoint *endpoint
 	until    time.Time
 }
 
 const (
-	maxParts = 64
-	// maxTokens bounds what a header may claim.
+	maxParts = 64 // of a prompt
+	// maxTokens bounds the token counts accepted from a header.
 	maxTokens = 1 << 24
 )
 
-// ParsePrompt reads the X-Prefix-Hash header (ID:TOKENS, split by commas, the ID in hex) and the X-Token-Usage header (of the
-// prompt, and the most out). What can't be read is left out.
+// ParsePrompt parses the X-Prefix-Hash header (ID:TOKENS, separated by commas, the ID in hex) and the X-Token-Usage
+// header (tokens of the prompt, and maximum tokens of the answer). What can't be parsed is left out.
 func ParsePrompt(prefixHash, tokenUsage string) (parts []PromptPart, tokensIn, tokensOut int) {
 	parts = parseParts(prefixHash)
 	in, out, _ := strings.Cut(tokenUsage, ",")
@@ -70,6 +71,7 @@
 	return parts, tokensIn, tokensOut
 }
 
+// parseParts parses the X-Prefix-Hash header, up to the first part that can't be parsed.
 func parseParts(header string) []PromptPart {
 	if header == "" {
 		return nil
@@ -80,7 +82,7 @@
 		name, tokens, _ := strings.Cut(strings.TrimSpace(item), ":")
 		id, err := strconv.ParseUint(name, 16, 64)
 		if err != nil {
-			return parts // parts count only if all before them do
+			return parts // a part counts only if all parts before it do
 		}
 		parts = append(parts, PromptPart{ID: id, Tokens: parseTokens(tokens)})
 		if !more {
@@ -91,6 +93,7 @@
 	return parts
 }
 
+// parseTokens parses a token count; what can't be parsed counts as 0.
 func parseTokens(text string) int {
 	tokens, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil || tokens < 0 {
@@ -99,18 +102,23 @@
 	return min(tokens, maxTokens)
 }
 
-// left is the time that remains until the request must have its final answer.
-func (r *Request) left(now time.Time) time.Duration { return r.Deadline.Add(-endMargin).Sub(now) }
+// timeLeft is the time until the request must have its final answer.
+func (r *Request) timeLeft(now time.Time) time.Duration {
+	return r.Deadline.Add(-deadlineMargin).Sub(now)
+}
 
-// aimLeft is the time that remains until an answer is late.
-func (r *Request) aimLeft(now time.Time) time.Duration {
+// targetLeft is the time until an answer misses the route's target latency.
+func (r *Request) targetLeft(now time.Time) time.Duration {
 	return r.Arrived.Add(r.Route.Target()).Sub(now)
 }
 
-// offerBy is when the request must have been offered to an endpoint, and until when it may be refused at the full price.
-func (r *Request) offerBy() time.Time { return r.Arrived.Add(r.Route.Target() / offerShare) }
+// offerDeadline is the time by which the request must have been offered to an endpoint. After it the request is sent
+// even beyond pacing rates, and no longer refused for overload.
+func (r *Request) offerDeadline() time.Time {
+	return r.Arrived.Add(r.Route.Target() / offerTargetDivisor)
+}
 
-// mayRunAgain tells whether one more attempt may be made after what the attempts so far have done.
+// mayRunAgain reports whether one more attempt may be made, given what the previous attempts have run.
 func (r *Request) mayRunAgain() bool {
 	if r.runs == 0 {
 		return true
@@ -118,23 +126,23 @@
 	return r.Route.Idempotent() && r.runs < r.Route.Retries
 }
 
-// isBound tells whether home regions alone may serve the request.
+// isBound reports whether the request may be served only in its route's home regions.
 func (r *Request) isBound() bool { return len(r.Route.HomeRegions) > 0 }
 
-// size is how many tokens of memory the request needs in an engine.
-func (r *Request) size() int { return r.TokensIn + r.TokensOut }
+// totalTokens is how many tokens of memory the request needs in an engine.
+func (r *Request) totalTokens() int { return r.TokensIn + r.TokensOut }
 
-// avoid notes that an endpoint is not tried again before a time.
+// avoid records that an endpoint is not tried again before a time.
 func (r *Request) avoid(endpoint *endpoint, until time.Time) {
-	r.tried = append(r.tried, trial{endpoint: endpoint, until: until})
+	r.avoidances = append(r.avoidances, avoidance{endpoint: endpoint, until: until})
 }
 
-// avoids tells until when the request avoids an endpoint; the zero time if it does not.
-func (r *Request) avoids(endpoint *endpoint) time.Time {
+// avoidedUntil returns until when the request avoids an endpoint; the zero time if it does not.
+func (r *Request) avoidedUntil(endpoint *endpoint) time.Time {
 	var until time.Time
-	for _, trial := range r.tried {
-		if trial.endpoint == endpoint && trial.until.After(until) {
-			until = trial.until
+	for _, avoided := range r.avoidances {
+		if avoided.endpoint == endpoint && avoided.until.After(until) {
+			until = avoided.until
 		}
 	}
 	return until
--- a/internal/selector/rules.go
+++ b/internal/selector/rules.go
@@ -2,103 +2,106 @@
 
 import "time"
 
-// evidence is one outcome at an endpoint, as the failure rules see it.
+// evidence is one outcome at an endpoint, as input to the failure rules.
 type evidence struct {
 	now     time.Time
 	attempt *Attempt
 	outcome Outcome
 }
 
-// RuleName names a failure rule.
+// RuleName is the name of a failure rule.
 type RuleName string
 
-// rule is one failure rule: what it matches, and what follows.
+// rule is one failure rule: the outcomes that it matches, and what is done then; a nil action does nothing.
 type rule struct {
-	name  RuleName
-	match func(e *endpoint, v *evidence) bool
-	then  func(s *Selector, e *endpoint, v *evidence)
+	name   RuleName
+	match  func(e *endpoint, v *evidence) bool
+	action func(s *Selector, e *endpoint, v *evidence)
 }
 
-// failureRules is evaluated in order; the first that matches decides. All of them let the request fall through to the next
-// endpoint or tier, where it may be tried again at all.
+// failureRules are evaluated in order; only the first that matches is applied. After each of them the request may be
+// sent to the next endpoint or tier, if it may be tried again at all.
 var failureRules = []rule{
-	// Another instance has the address: this one is gone.
-	{"misdirected", func(_ *endpoint, v *evidence) bool { return v.outcome.Kind == Misdirected }, (*Selector).leave},
-	// A request larger than an endpoint's memory is told that it is full, which tells nothing.
+	// Another instance has the address, so this one is gone.
+	{"misdirected", func(_ *endpoint, v *evidence) bool { return v.outcome.Kind == Misdirected }, (*Selector).skipMisdirected},
+	// An endpoint answers that it is full to a request larger than its memory, which says nothing about its load.
 	{"oversize", func(e *endpoint, v *evidence) bool { return v.outcome.Kind == Full && e.tooSmall(v.attempt.request) }, nil},
-	{"told wait", func(_ *endpoint, v *evidence) bool { return v.outcome.Kind == Full && v.outcome.ToldWait > 0 }, (*Selector).obey},
-	{"full", func(_ *endpoint, v *evidence) bool { return v.outcome.Kind == Full }, (*Selector).slow},
+	{"told wait", func(_ *endpoint, v *evidence) bool { return v.outcome.Kind == Full && v.outcome.ToldWait > 0 },
+		(*Selector).skipForAdvisedWait},
+	{"full", func(_ *endpoint, v *evidence) bool { return v.outcome.Kind == Full }, (*Selector).halvePace},
 	{"declined", func(_ *endpoint, v *evidence) bool { return v.outcome.Kind == NotExecuted }, nil},
-	{"trial failed", func(e *endpoint, _ *evidence) bool { return e.skip.down }, (*Selector).failedTrial},
-	{"in a row", func(e *endpoint, _ *evidence) bool { return e.health.streak >= streakSkip }, (*Selector).skipNow},
-	// Outages may fail only most calls: successes between do not clear them.
+	{"trial failed", func(e *endpoint, _ *evidence) bool { return e.skip.needsTrial }, (*Selector).extendSkipAfterTrial},
+	{"in a row", func(e *endpoint, _ *evidence) bool { return e.health.failureStreak >= maxFailureStreak }, (*Selector).skipNow},
+	// Some outages make most calls fail, but not all: successes in between do not end them.
 	{"mostly failing", func(e *endpoint, _ *evidence) bool { return e.health.mostlyFailing() }, (*Selector).skipNow},
 	{"failed", func(*endpoint, *evidence) bool { return true }, nil},
 }
 
-// judge applies the first rule that matches an outcome, and counts it.
-func (s *Selector) judge(endpoint *endpoint, evidence *evidence) {
+// applyFailureRules applies the first rule that matches an outcome, and counts the match.
+func (s *Selector) applyFailureRules(endpoint *endpoint, evidence *evidence) {
 	for index := range failureRules {
 		rule := &failureRules[index]
 		if !rule.match(endpoint, evidence) {
 			continue
 		}
-		if rule.then != nil {
-			rule.then(s, endpoint, evidence)
+		if rule.action != nil {
+			rule.action(s, endpoint, evidence)
 		}
-		s.matched[rule.name]++
+		s.ruleMatches[rule.name]++
 		return
 	}
 }
 
-// leave skips an endpoint that is gone for as long as skips last.
-func (s *Selector) leave(endpoint *endpoint, evidence *evidence) {
-	endpoint.skip.rest(evidence.now, skipMost)
-	s.settle(evidence.now, endpoint)
+// skipMisdirected skips an endpoint that is gone, for the longest time that an endpoint is skipped.
+func (s *Selector) skipMisdirected(endpoint *endpoint, evidence *evidence) {
+	endpoint.skip.extendTo(evidence.now, maxSkip)
+	s.refreshList(evidence.now, endpoint)
 }
 
-// obey skips an endpoint for the wait that it told.
-func (s *Selector) obey(endpoint *endpoint, evidence *evidence) {
-	s.slow(endpoint, evidence)
-	endpoint.skip.rest(evidence.now, evidence.outcome.ToldWait)
-	s.settle(evidence.now, endpoint)
+// skipForAdvisedWait skips an endpoint for the wait that it asked for.
+func (s *Selector) skipForAdvisedWait(endpoint *endpoint, evidence *evidence) {
+	s.halvePace(endpoint, evidence)
+	endpoint.skip.extendTo(evidence.now, evidence.outcome.ToldWait)
+	s.refreshList(evidence.now, endpoint)
 }
 
-// slow halves the pace of an endpoint that is full.
-func (s *Selector) slow(endpoint *endpoint, evidence *evidence) {
-	if !s.on(Pace) {
+// halvePace halves the send rate to an endpoint that is full.
+func (s *Selector) halvePace(endpoint *endpoint, evidence *evidence) {
+	if !s.enabled(Pacing) {
 		return
 	}
-	endpoint.pace.halve(evidence.now, evidence.attempt.sentAt)
+	endpoint.pacer.halve(evidence.now, evidence.attempt.sentAt)
 }
 
-// failedTrial skips an endpoint for longer. What was sent before the skip began adds nothing.
-func (s *Selector) failedTrial(endpoint *endpoint, evidence *evidence) {
+// extendSkipAfterTrial skips an endpoint again, for longer. The failure of an attempt that was sent before the skip
+// began does not count.
+func (s *Selector) extendSkipAfterTrial(endpoint *endpoint, evidence *evidence) {
 	if evidence.attempt.sentAt.Before(endpoint.skip.since) {
 		return
 	}
-	s.enterSkip(evidence.now, endpoint)
+	s.skipEndpoint(evidence.now, endpoint)
 }
 
+// skipNow skips a failing endpoint.
 func (s *Selector) skipNow(endpoint *endpoint, evidence *evidence) {
-	s.enterSkip(evidence.now, endpoint)
+	s.skipEndpoint(evidence.now, endpoint)
 }
 
-// enterSkip puts an endpoint into the skip table.
-func (s *Selector) enterSkip(now time.Time, endpoint *endpoint) {
-	if !s.on(Skips) {
+// skipEndpoint skips an endpoint, longer than the last time if nothing has succeeded since.
+func (s *Selector) skipEndpoint(now time.Time, endpoint *endpoint) {
+	if !s.enabled(Skips) {
 		return
 	}
 	endpoint.skip.extend(now, s.random)
-	endpoint.health.streak = 0
-	endpoint.health.recent = 0
-	endpoint.load.giveUp()
-	endpoint.trial = nil
-	s.settle(now, endpoint)
+	endpoint.health.failureStreak = 0
+	endpoint.health.recentOutcomes = 0
+	endpoint.load.clearUnanswered()
+	endpoint.trialAttempt = nil
+	s.refreshList(now, endpoint)
 }
 
-// tooSmall tells whether a request needs more memory than the endpoint has.
+// tooSmall reports whether a request needs more memory than the endpoint has.
 func (e *endpoint) tooSmall(request *Request) bool {
 	engine := e.service.engine()
-	return engine != nil && int64(request.size()) > engine.KVCapacity
+	return engine != nil && int64(request.totalTokens()) > engine.KVCapacity
 }
