--- a/internal/selector/rules_test.go
+++ b/internal/selector/rules_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFirstMatchingRuleDecides has one outcome come to an endpoint and says which rule must match and whether it is skipped.
+// TestFirstMatchingRuleDecides ends attempts with the given outcomes and checks which rule matches the last one, and
+// whether the endpoint is skipped.
 func TestFirstMatchingRuleDecides(t *testing.T) {
 	run := Outcome{Kind: Reset, MayHaveRun: true}
 	cases := []struct {
@@ -18,7 +19,7 @@
 		skipped bool
 	}{
 		{"another instance", nil, Outcome{Kind: Misdirected}, "misdirected", true},
-		{"a told wait", nil, Outcome{Kind: Full, ToldWait: time.Second}, "told wait", true},
+		{"an advised wait", nil, Outcome{Kind: Full, ToldWait: time.Second}, "told wait", true},
 		{"full", nil, Outcome{Kind: Full}, "full", false},
 		{"full after failures", []Outcome{run, run}, Outcome{Kind: Full}, "full", false},
 		{"declined", nil, Outcome{Kind: NotExecuted}, "declined", false},
@@ -37,29 +38,29 @@
 			f := newFleet(t)
 			f.plain(homeZone, 1)
 			for _, outcome := range append(c.before, c.outcome) {
-				f.after(10 * time.Millisecond)
-				d := f.sent(f.request("gate"))
-				f.after(10 * time.Millisecond)
+				f.advance(10 * time.Millisecond)
+				d := f.mustSend(f.request("gate"))
+				f.advance(10 * time.Millisecond)
 				f.s.Done(f.now, d.Attempt, outcome)
 			}
-			assert.Assert(t, f.count(c.rule) > 0, "%v", f.s.Counts(f.now).Matched)
+			assert.Assert(t, f.ruleCount(c.rule) > 0, "%v", f.s.Counts(f.now).Matched)
 			assert.Equal(t, f.s.Counts(f.now).Skipped > 0, c.skipped)
 		})
 	}
 }
 
-func TestOversizeRequestSaysNothingOfTheEndpoint(t *testing.T) {
+func TestOversizeRequestIsNotHeldAgainstEndpoint(t *testing.T) {
 	f := newFleet(t)
 	f.engines(homeZone, 1)
 	r := f.dossier(1)
 	r.TokensIn = 400_000
-	d := f.sent(r)
-	f.done(d, Full)
-	assert.Equal(t, f.count("oversize"), uint64(1))
-	assert.Equal(t, f.endpoint(d.Instance.ID).pace.rate, 0.0)
+	d := f.mustSend(r)
+	f.finish(d, Full)
+	assert.Equal(t, f.ruleCount("oversize"), uint64(1))
+	assert.Equal(t, f.endpoint(d.Instance.ID).pacer.rate, 0.0)
 }
 
-func TestClientGoneSaysNothing(t *testing.T) {
+func TestClientGoneIsNotHeldAgainstEndpoint(t *testing.T) {
 	f := newFleet(t)
 	f.plain(homeZone, 1)
 	for range 10 {
@@ -69,14 +70,14 @@
 	assert.Equal(t, len(f.s.Counts(f.now).Matched), 0)
 }
 
-func TestSlowAnswersBetweenOthersSkipNothing(t *testing.T) {
+func TestTimeoutsBetweenAnswersDoNotSkip(t *testing.T) {
 	f := newFleet(t)
 	f.engines(homeZone, 1)
 	for range 5 {
-		slow, quick := f.sent(f.request("query")), f.sent(f.request("query"))
-		f.served(quick, 50*time.Millisecond)
-		f.after(time.Second)
-		f.done(slow, TimedOut)
+		slow, quick := f.mustSend(f.request("query")), f.mustSend(f.request("query"))
+		f.serve(quick, 50*time.Millisecond)
+		f.advance(time.Second)
+		f.finish(slow, TimedOut)
 	}
 	assert.Equal(t, f.s.Counts(f.now).Skipped, 0)
 }
@@ -88,20 +89,20 @@
 	for range 3 {
 		assert.Equal(t, f.fail("gate", ConnectFailed).Zone, homeZone)
 	}
-	assert.Equal(t, f.sent(f.request("gate")).Instance.Zone, nextZone, "skipped: the next tier")
-	f.after(skipFirst + skipFirst/2)
-	trial := f.sent(f.request("gate"))
+	assert.Equal(t, f.mustSend(f.request("gate")).Instance.Zone, nextZone, "skipped: the next tier")
+	f.advance(firstSkip + firstSkip/2)
+	trial := f.mustSend(f.request("gate"))
 	assert.Equal(t, trial.Instance.Zone, homeZone, "the trial")
-	assert.Equal(t, f.sent(f.request("gate")).Instance.Zone, nextZone, "one trial at a time")
-	f.served(trial, 10*time.Millisecond)
+	assert.Equal(t, f.mustSend(f.request("gate")).Instance.Zone, nextZone, "one trial at a time")
+	f.serve(trial, 10*time.Millisecond)
 	e := f.endpoint(trial.Instance.ID)
-	assert.Equal(t, e.pace.rate, paceRestart, "after a skip the pace restarts")
-	assert.Equal(t, f.sent(f.request("gate")).Instance.Zone, nextZone, "beyond the pace: the next tier")
-	f.after(time.Second)
-	d := f.sent(f.request("gate"))
+	assert.Equal(t, e.pacer.rate, restartRate, "after a skip the pacing rate restarts")
+	assert.Equal(t, f.mustSend(f.request("gate")).Instance.Zone, nextZone, "beyond the pacing rate: the next tier")
+	f.advance(time.Second)
+	d := f.mustSend(f.request("gate"))
 	assert.Equal(t, d.Instance.Zone, homeZone)
-	f.served(d, 10*time.Millisecond)
-	assert.Assert(t, e.pace.rate > paceRestart, "it creeps back on success")
+	f.serve(d, 10*time.Millisecond)
+	assert.Assert(t, e.pacer.rate > restartRate, "the rate grows with successes")
 }
 
 func TestSkipsGrowToTenSecondsAndVary(t *testing.T) {
@@ -114,7 +115,7 @@
 	var lengths []time.Duration
 	for range 8 {
 		length := e.skip.until.Sub(f.now)
-		assert.Assert(t, length <= skipMost)
+		assert.Assert(t, length <= maxSkip)
 		lengths = append(lengths, length)
 		f.now = e.skip.until
 		f.fail("gate", ConnectFailed)
@@ -124,51 +125,51 @@
 	assert.Assert(t, lengths[6] != lengths[7], "skips vary")
 }
 
-func TestFailuresFromBeforeTheSkipAddNothing(t *testing.T) {
+func TestFailuresSentBeforeSkipDoNotExtendIt(t *testing.T) {
 	f := newFleet(t)
 	f.plain(homeZone, 1)
-	var out []Decision
+	var sent []Decision
 	for range 6 {
-		out = append(out, f.sent(f.request("gate")))
+		sent = append(sent, f.mustSend(f.request("gate")))
 	}
-	f.after(10 * time.Millisecond)
-	for _, d := range out {
-		f.done(d, Reset)
+	f.advance(10 * time.Millisecond)
+	for _, d := range sent {
+		f.finish(d, Reset)
 	}
 	e := f.endpoint(f.list[0].ID)
-	assert.Equal(t, e.skip.length, skipFirst)
-	assert.Equal(t, f.count("in a row"), uint64(1))
+	assert.Equal(t, e.skip.length, firstSkip)
+	assert.Equal(t, f.ruleCount("in a row"), uint64(1))
 }
 
-func TestFullHalvesThePaceOnce(t *testing.T) {
+func TestFullHalvesPacingRateOnce(t *testing.T) {
 	f := newFleet(t)
 	f.plain(homeZone, 1)
-	var out []Decision
+	var sent []Decision
 	for range 8 {
-		out = append(out, f.sent(f.request("gate")))
+		sent = append(sent, f.mustSend(f.request("gate")))
 	}
-	f.after(100 * time.Millisecond)
-	for _, d := range out {
-		f.done(d, Full)
+	f.advance(100 * time.Millisecond)
+	for _, d := range sent {
+		f.finish(d, Full)
 	}
 	e := f.endpoint(f.list[0].ID)
-	assert.Equal(t, e.pace.rate, 4.0, "half the last second's rate")
-	assert.Equal(t, f.s.Counts(f.now).Skipped, 0, "full is not skipped")
+	assert.Equal(t, e.pacer.rate, 4.0, "half of the last second's calls")
+	assert.Equal(t, f.s.Counts(f.now).Skipped, 0, "a full endpoint is not skipped")
 }
 
-func TestToldWaitIsKept(t *testing.T) {
+func TestAdvisedWaitIsHonored(t *testing.T) {
 	f := newFleet(t)
 	f.plain(homeZone, 1)
 	f.plain(nextZone, 1)
-	d := f.sent(f.request("gate"))
+	d := f.mustSend(f.request("gate"))
 	f.s.Done(f.now, d.Attempt, Outcome{Kind: Full, ToldWait: 4 * time.Second})
 	for range 15 {
-		other := f.sent(f.request("gate"))
+		other := f.mustSend(f.request("gate"))
 		assert.Equal(t, other.Instance.Zone, nextZone)
-		f.served(other, 250*time.Millisecond)
+		f.serve(other, 250*time.Millisecond)
 	}
-	f.after(500 * time.Millisecond)
-	assert.Equal(t, f.sent(f.request("gate")).Instance.Zone, homeZone)
+	f.advance(500 * time.Millisecond)
+	assert.Equal(t, f.mustSend(f.request("gate")).Instance.Zone, homeZone)
 }
 
 func TestHangingEndpointIsSkippedBeforeItsTimeOuts(t *testing.T) {
@@ -176,10 +177,10 @@
 	f.engines(homeZone, 1)
 	f.engines(lastZone, 1)
 	for range 4 {
-		assert.Equal(t, f.sent(f.request("query")).Instance.Zone, homeZone)
+		assert.Equal(t, f.mustSend(f.request("query")).Instance.Zone, homeZone)
 	}
-	f.after(1500 * time.Millisecond) // no answer to any
-	assert.Equal(t, f.sent(f.request("query")).Instance.Zone, lastZone)
+	f.advance(1500 * time.Millisecond) // none of them was answered
+	assert.Equal(t, f.mustSend(f.request("query")).Instance.Zone, lastZone)
 	assert.Equal(t, f.s.Counts(f.now).Skipped, 1)
 }
 
@@ -189,44 +190,44 @@
 	f.engines(lastZone, 1)
 	for range 3 {
 		f.fail("query", ConnectFailed)
-		f.after(time.Millisecond)
+		f.advance(time.Millisecond)
 	}
-	f.after(3 * time.Second)
-	assert.Equal(t, f.sent(f.request("query")).Instance.Zone, homeZone, "the trial")
-	f.after(2 * time.Second)
-	assert.Equal(t, f.sent(f.request("query")).Instance.Zone, lastZone)
+	f.advance(3 * time.Second)
+	assert.Equal(t, f.mustSend(f.request("query")).Instance.Zone, homeZone, "the trial")
+	f.advance(2 * time.Second)
+	assert.Equal(t, f.mustSend(f.request("query")).Instance.Zone, lastZone)
 	assert.Equal(t, f.s.Counts(f.now).Skipped, 1, "skipped again, for longer")
 }
 
-func TestOldCallsDoNotSkipAnEndpointThatCameBack(t *testing.T) {
+func TestOldCallsDoNotSkipRestoredEndpoint(t *testing.T) {
 	f := newFleet(t)
 	f.engines(homeZone, 1)
 	var old []Decision
 	for range 6 {
-		old = append(old, f.sent(f.request("query")))
+		old = append(old, f.mustSend(f.request("query")))
 	}
-	f.after(1500 * time.Millisecond)
-	f.choose(f.request("query")) // it hangs: skipped
-	f.after(3 * time.Second)
-	f.served(f.sent(f.request("query")), 50*time.Millisecond)
+	f.advance(1500 * time.Millisecond)
+	f.choose(f.request("query")) // the endpoint hangs and is skipped
+	f.advance(3 * time.Second)
+	f.serve(f.mustSend(f.request("query")), 50*time.Millisecond)
 	for _, d := range old {
-		f.done(d, Reset)
+		f.finish(d, Reset)
 	}
 	assert.Equal(t, f.s.Counts(f.now).Skipped, 0)
 }
 
-// TestSkipHoldsWhileItsTierIsLookedThrough asks twice for an endpoint that enters the skip table with the first question, as when it
-// is drawn by chance twice.
-func TestSkipHoldsWhileItsTierIsLookedThrough(t *testing.T) {
+// TestSkipHoldsWithinTierSearch calls admitAt twice for an endpoint that is skipped by the first call, as happens
+// when the endpoint is drawn at random twice.
+func TestSkipHoldsWithinTierSearch(t *testing.T) {
 	f := newFleet(t)
 	f.engines(homeZone, 1)
 	for range 4 {
-		f.sent(f.request("query"))
+		f.mustSend(f.request("query"))
 	}
-	f.after(1500 * time.Millisecond)
+	f.advance(1500 * time.Millisecond)
 	r, e := f.request("query"), f.endpoint(f.list[0].ID)
 	for range 2 {
-		assert.Equal(t, f.s.admits(f.now, r, e, false), e.skip.until)
+		assert.Equal(t, f.s.admitAt(f.now, r, e, false), e.skip.until)
 		assert.Assert(t, e.skip.until.After(f.now))
 	}
 }
--- a/internal/selector/selector.go
+++ b/internal/selector/selector.go
@@ -13,80 +13,81 @@
 	"wallflow/internal/workload"
 )
 
-// Selector chooses endpoints for the requests of one relay. It is not safe for use by several goroutines: the caller holds a lock.
+// Selector chooses endpoints for the requests of one relay. It is not safe for concurrent use: the caller holds a
+// lock.
 type Selector struct {
-	options    Options
-	disabled   mechanismSet
-	random     *rand.Rand
-	compiled   *config.Compiled
-	services   map[string]*service
-	endpoints  map[string]*endpoint // by instance id
-	ordered    []*endpoint          // the same, in the order of their coming: equal inputs give equal decisions
-	plans      map[*config.Route]*plan
-	regions    []string // the own region first, then the others in a fixed order
-	evacuated  map[string]bool
-	relays     int // in the zone, this one included
-	owns       func(instanceID string) bool
-	cold       *budget.ColdLimiter
-	matched    map[RuleName]uint64
-	watches    map[string]*zoneWatch // by zone
-	decidedAt  time.Time
-	awakeSince time.Time // decisions have been asked for without a long pause since
-	timers     timerHeap // when endpoints change their standing by the passing of time
-	woken      []*Request
-	listing    uint64 // number of the last whole list
-	scratch    []candidate
+	options         Options
+	disabled        mechanismSet
+	random          *rand.Rand
+	compiled        *config.Compiled
+	services        map[string]*service
+	endpoints       map[string]*endpoint // by instance id
+	endpointList    []*endpoint          // the same in order of arrival, so that equal inputs give equal decisions; may contain removed ones
+	plans           map[*config.Route]*routePlan
+	regions         []string // this relay's region first, then the others in a fixed order
+	evacuated       map[string]bool
+	zoneRelays      int                          // number of relays in this zone, including this one
+	ownsCold        func(instanceID string) bool // whether this relay owns a cold endpoint, so that it may send to it
+	coldLimiter     *budget.ColdLimiter
+	ruleMatches     map[RuleName]uint64   // how often each failure rule has matched
+	zoneWatches     map[string]*zoneWatch // by zone
+	lastDecisionAt  time.Time             // when Choose was last called
+	activeSince     time.Time             // since when Choose has been called without a long pause
+	timers          timerHeap             // when endpoints may have to move to another list of their tier
+	woken           []*Request            // requests that Woken returns next
+	listVersion     uint64                // version of the last complete instance list
+	candidateBuffer []candidate           // reused between decisions
 
-	byKey    map[workload.Key]*endpoint // model engines and others, as other relays name them
-	busy     []*endpoint                // engines at which this relay has requests
-	loaded   []*endpoint                // endpoints at which other relays have any
-	keepers  keepers                    // endpoints by the openings that they keep
-	readings []workload.Reading         // openings that the others are to be told of
-	othersAt time.Time                  // when their loads were told last
+	byKey          map[workload.Key]*endpoint // all endpoints, by their key in messages between relays
+	ownBusy        []*endpoint                // engines at which this relay has requests in flight
+	othersBusy     []*endpoint                // endpoints at which other relays have any
+	holders        prefixHolders              // endpoints by the prompt prefixes that they cache
+	unsentPrefills []workload.Reading         // prompt prefixes to report to the other relays
+	otherLoadsAt   time.Time                  // when the loads of other relays were last set
 
-	tierScratch []*tier
+	tierBuffer []*tier // reused between decisions
 }
 
-// The list of endpoints in order is packed when it is longer than this many times the endpoints, and a few more.
+// endpointList is compacted when it is longer than compactFactor times the number of endpoints plus compactSlack.
 const (
-	packFactor = 2
-	packLeast  = 16
+	compactFactor = 2
+	compactSlack  = 16
 )
 
-// New returns a Selector that knows no configuration and no endpoints.
+// New returns a Selector without a configuration and without endpoints.
 func New(options Options) *Selector {
 	options.complete()
 	return &Selector{
-		options:   options,
-		disabled:  newMechanismSet(options.Disabled),
-		random:    options.Random,
-		services:  map[string]*service{},
-		endpoints: map[string]*endpoint{},
-		plans:     map[*config.Route]*plan{},
-		regions:   regionOrder(options),
-		evacuated: map[string]bool{},
-		watches:   map[string]*zoneWatch{},
-		relays:    1,
-		matched:   map[RuleName]uint64{},
-		cold:      budget.NewColdLimiter(),
-		byKey:     map[workload.Key]*endpoint{},
-		keepers:   keepers{},
+		options:     options,
+		disabled:    newMechanismSet(options.Disabled),
+		random:      options.Random,
+		services:    map[string]*service{},
+		endpoints:   map[string]*endpoint{},
+		plans:       map[*config.Route]*routePlan{},
+		regions:     regionOrder(options),
+		evacuated:   map[string]bool{},
+		zoneWatches: map[string]*zoneWatch{},
+		zoneRelays:  1,
+		ruleMatches: map[RuleName]uint64{},
+		coldLimiter: budget.NewColdLimiter(),
+		byKey:       map[workload.Key]*endpoint{},
+		holders:     prefixHolders{},
 	}
 }
 
-// SetConfig takes on a configuration. Requests of older ones keep their routes.
+// SetConfig sets the configuration. Requests that began under an older one keep their routes.
 func (s *Selector) SetConfig(now time.Time, compiled *config.Compiled) {
 	s.compiled = compiled
 	clear(s.plans)
-	for _, service := range s.sorted() {
+	for _, service := range s.sortedServices() {
 		service.backend, _ = compiled.Backend(service.name)
 		if service.backend == nil && service.empty() {
 			delete(s.services, service.name)
 			continue
 		}
-		s.settleCold(now, service)
+		s.refreshCold(now, service)
 	}
-	s.setUrgency(compiled.Document())
+	s.updateUrgency(compiled.Document())
 	if s.options.Budget != nil {
 		s.options.Budget.Keep(func(name string) bool {
 			_, configured := compiled.Backend(name)
@@ -96,28 +97,29 @@
 	s.wakeAll()
 }
 
-// SetInstances takes on the whole list of instances. What is known of those that stay is kept.
+// SetInstances sets the complete list of instances. What is known about instances that remain is kept.
 func (s *Selector) SetInstances(now time.Time, instances []registry.Instance) {
-	s.listing++
+	s.listVersion++
 	for index := range instances {
 		s.upsert(now, &instances[index])
 	}
-	for _, endpoint := range s.ordered {
-		if !endpoint.removed && endpoint.listing != s.listing {
+	for _, endpoint := range s.endpointList {
+		if !endpoint.removed && endpoint.listVersion != s.listVersion {
 			s.remove(endpoint)
 		}
 	}
-	s.pack()
+	s.compactEndpoints()
 	s.wakeAll()
 }
 
-// SetInstance takes on what is new of one instance.
+// SetInstance adds, updates or removes one instance.
 func (s *Selector) SetInstance(now time.Time, instance registry.Instance) {
 	s.upsert(now, &instance)
-	s.pack()
-	s.wakeTier(s.service(instance.Backend))
+	s.compactEndpoints()
+	s.wakeService(s.service(instance.Backend))
 }
 
+// upsert adds or updates the endpoint of an instance, or removes it if the instance is gone.
 func (s *Selector) upsert(now time.Time, instance *registry.Instance) {
 	known := s.endpoints[instance.ID]
 	if instance.State == registry.StateGone {
@@ -134,29 +136,29 @@
 		known = newEndpoint(s.service(instance.Backend), instance)
 		s.endpoints[instance.ID] = known
 		s.byKey[known.key()] = known
-		s.ordered = append(s.ordered, known)
+		s.endpointList = append(s.endpointList, known)
 	}
-	known.instance, known.listing = *instance, s.listing
-	known.watch = s.watchOf(instance.Zone)
-	s.join(known)
-	s.settle(now, known)
+	known.instance, known.listVersion = *instance, s.listVersion
+	known.watch = s.zoneWatchFor(instance.Zone)
+	s.assignTier(known)
+	s.refreshList(now, known)
 }
 
-// join puts an endpoint into the tier of its service and region.
-func (s *Selector) join(endpoint *endpoint) {
+// assignTier assigns an endpoint to the tier of its service and region.
+func (s *Selector) assignTier(endpoint *endpoint) {
 	region := s.options.Zones[endpoint.instance.Zone]
 	tier := endpoint.service.tier(region)
 	if endpoint.tier == tier {
 		return
 	}
 	if endpoint.tier != nil {
-		endpoint.tier.place(endpoint, placeNowhere)
+		endpoint.tier.moveTo(endpoint, listNone)
 	}
 	endpoint.tier = tier
 }
 
 func (s *Selector) remove(endpoint *endpoint) {
-	endpoint.tier.place(endpoint, placeNowhere)
+	endpoint.tier.moveTo(endpoint, listNone)
 	endpoint.removed = true
 	delete(s.endpoints, endpoint.instance.ID)
 	if s.byKey[endpoint.key()] == endpoint {
@@ -164,16 +166,16 @@
 	}
 }
 
-// pack drops the removed endpoints from the ordered list, once they are many.
-func (s *Selector) pack() {
-	if len(s.ordered) <= packFactor*len(s.endpoints)+packLeast {
+// compactEndpoints drops the removed endpoints from endpointList once there are many of them.
+func (s *Selector) compactEndpoints() {
+	if len(s.endpointList) <= compactFactor*len(s.endpoints)+compactSlack {
 		return
 	}
-	s.ordered = slices.DeleteFunc(s.ordered, func(e *endpoint) bool { return e.removed })
+	s.endpointList = slices.DeleteFunc(s.endpointList, func(e *endpoint) bool { return e.removed })
 }
 
-// SetEvacuated takes on the list of evacuated zones: nothing is sent to their endpoints. The endpoints of a zone that is taken
-// back count as cold from now on.
+// SetEvacuated sets the list of evacuated zones, to whose endpoints nothing is sent. When a zone is no longer
+// evacuated, its endpoints count as cold from then on.
 func (s *Selector) SetEvacuated(now time.Time, zones []string) {
 	evacuated := make(map[string]bool, len(zones))
 	for _, zone := range zones {
@@ -181,7 +183,7 @@
 	}
 	before := s.evacuated
 	s.evacuated = evacuated
-	for _, endpoint := range s.ordered {
+	for _, endpoint := range s.endpointList {
 		if endpoint.removed {
 			continue
 		}
@@ -190,69 +192,70 @@
 			continue
 		}
 		if before[zone] {
-			endpoint.returnsCold(now)
+			endpoint.markCold(now)
 		}
-		s.settle(now, endpoint)
+		s.refreshList(now, endpoint)
 	}
 	s.wakeAll()
 }
 
-// SetPeers tells how many relays the zone has, this one included, and which cold endpoints this relay owns.
+// SetPeers sets the number of relays in this zone, including this one, and the function that reports whether this
+// relay owns a cold endpoint.
 func (s *Selector) SetPeers(now time.Time, relaysInZone int, owns func(instanceID string) bool) {
-	s.relays = max(1, relaysInZone)
-	s.owns = owns
-	for _, service := range s.sorted() {
-		s.settleCold(now, service)
+	s.zoneRelays = max(1, relaysInZone)
+	s.ownsCold = owns
+	for _, service := range s.sortedServices() {
+		s.refreshCold(now, service)
 	}
 	s.wakeAll()
 }
 
-// settleCold looks again at the endpoints of a service that were cold.
-func (s *Selector) settleCold(now time.Time, service *service) {
+// refreshCold determines the lists of a service's cold endpoints again.
+func (s *Selector) refreshCold(now time.Time, service *service) {
 	for _, region := range s.regions {
 		tier := service.tiers[region]
 		if tier == nil {
 			continue
 		}
-		cold := slices.Concat(tier.lists[placeOwned], tier.lists[placeForeign])
+		cold := slices.Concat(tier.lists[listColdOwned], tier.lists[listColdForeign])
 		for _, endpoint := range cold {
-			s.settle(now, endpoint)
+			s.refreshList(now, endpoint)
 		}
 	}
 }
 
-// Report takes what an endpoint tells of itself.
+// Report records an endpoint's report of its load.
 func (s *Selector) Report(now time.Time, instanceID string, report EngineReport) {
 	endpoint := s.endpoints[instanceID]
 	if endpoint == nil {
 		return
 	}
-	endpoint.load.report(now, report)
+	endpoint.load.setReport(now, report)
 }
 
-// sorted lists the services in a fixed order.
-func (s *Selector) sorted() []*service {
+// sortedServices lists the services in a fixed order.
+func (s *Selector) sortedServices() []*service {
 	return slices.SortedFunc(maps.Values(s.services), func(a, b *service) int { return strings.Compare(a.name, b.name) })
 }
 
-// service finds or makes the record of a service.
+// service returns the record of a service, and creates it if there is none.
 func (s *Selector) service(name string) *service {
 	known := s.services[name]
 	if known == nil {
-		known = newService(name, newSpeed(&s.options.Engines))
+		known = newService(name, newPrefillSpeed(&s.options.EnginePrior))
 		if s.compiled != nil {
 			known.backend, _ = s.compiled.Backend(name)
 		}
 		s.services[name] = known
 		if s.compiled != nil {
-			s.setUrgency(s.compiled.Document())
+			s.updateUrgency(s.compiled.Document())
 		}
 	}
 	return known
 }
 
-// regionOrder lists the own region first, then the others by name, beginning after the own: relays of different regions that
-// spill begin at different neighbours.
+// regionOrder lists this relay's region first, then the others by name, beginning after the own one and wrapping
+// around. So relays of different regions send their overflow to different regions first.
 func regionOrder(options Options) []string {
 	var regions []string
 	for _, region := range options.Zones {
--- a/internal/selector/skip.go
+++ b/internal/selector/skip.go
@@ -6,43 +6,45 @@
 )
 
 const (
-	skipFirst  = 2 * time.Second  // most outages last longer, and a trial costs one call
-	skipMost   = 10 * time.Second // no skip is longer
-	skipGrowth = 1.5              // from one skip to the next while trials fail
-	skipJitter = 0.2              // share by which a skip varies: relays do not return together
-	skipBase   = skipMost * 5 / 6 // so that the longest vary too, and none is longer than skipMost
+	firstSkip           = 2 * time.Second  // most outages last longer, and a trial costs only one call
+	maxSkip             = 10 * time.Second // no skip is longer
+	skipGrowth          = 1.5              // factor from one skip to the next while trials fail
+	skipJitter          = 0.2              // fraction by which a skip varies, so that relays do not return together
+	maxSkipBeforeJitter = maxSkip * 5 / 6  // so that the longest skips vary too, and none exceeds maxSkip
 )
 
-// skip is an endpoint's entry in the skip table.
+// skip is the state of an endpoint that is, or was, skipped.
 type skip struct {
-	since  time.Time
-	until  time.Time
-	length time.Duration // of the last skip, before the jitter; 0: in good standing
-	down   bool          // skipped, and nothing delivered since: one trial at a time
+	since      time.Time
+	until      time.Time
+	length     time.Duration // of the last skip, before jitter; 0: not skipped since the last success
+	needsTrial bool          // skipped and without a success since: gets one trial at a time
 }
 
-// extend enters the endpoint in the table, for longer than the last time.
-func (k *skip) extend(now time.Time, random *rand.Rand) {
-	length := skipFirst
-	if k.down && k.length > 0 {
-		length = min(skipBase, time.Duration(float64(k.length)*skipGrowth))
+// extend starts a skip, longer than the last one if nothing has succeeded since that.
+func (s *skip) extend(now time.Time, random *rand.Rand) {
+	length := firstSkip
+	if s.needsTrial && s.length > 0 {
+		length = min(maxSkipBeforeJitter, time.Duration(float64(s.length)*skipGrowth))
 	}
-	varied := time.Duration(float64(length) * (1 + skipJitter*(2*random.Float64()-1)))
-	k.since, k.until, k.length, k.down = now, now.Add(varied), length, true
+	jittered := time.Duration(float64(length) * (1 + skipJitter*(2*random.Float64()-1)))
+	s.since, s.until, s.length, s.needsTrial = now, now.Add(jittered), length, true
 }
 
-// rest enters the endpoint for a wait that it was told, or that is known.
-func (k *skip) rest(now time.Time, wait time.Duration) {
-	if until := now.Add(min(wait, skipMost)); until.After(k.until) {
-		k.since, k.until = now, until
+// extendTo skips the endpoint for a known wait, such as one that it asked for, unless it is already skipped for
+// longer.
+func (s *skip) extendTo(now time.Time, wait time.Duration) {
+	if until := now.Add(min(wait, maxSkip)); until.After(s.until) {
+		s.since, s.until = now, until
 	}
 }
 
-// clear takes an endpoint that was down out of the table, and tells whether it was. A wait that was told stays.
-func (k *skip) clear() bool {
-	if !k.down {
+// clear resets the skip of an endpoint that needed a trial, and reports whether it did. An endpoint that is only
+// skipped for a wait that it asked for remains skipped.
+func (s *skip) clear() bool {
+	if !s.needsTrial {
 		return false
 	}
-	*k = skip{}
+	*s = skip{}
 	return true
 }
--- a/internal/selector/speed.go
+++ b/internal/selector/speed.go
@@ -7,50 +7,56 @@
 	"wallflow/internal/workload"
 )
 
-// How fast engines read is learned from their answers. The time from sending to the first event, less the way and what waited before, is
-// taken to be a constant, a part for each token read, and a part for each pair of tokens that attention compares:
+// The speed of engines is learned from their answers. The time from sending to the first event, less the network
+// round trip and the expected wait, is modeled as a constant, a part for each token that is prefilled, and a part for
+// each pair of tokens that attention compares:
 //
-//	first = constant + perThousand*unread/1000 + perMillionPairs*pairs/10^6
+//	first = constant + perThousand*uncached/1000 + perMillionPairs*pairs/10^6
 //
-// The three figures are fitted by least squares of the relative error, with the prior as a ridge, from sums that fade with time. Sums of
-// several relays add up, so that a relay learns from the answers of all (see package workload).
+// The three coefficients are fitted by least squares of the relative error, with the prior as a ridge penalty, from
+// sums that decay with time. The sums of several relays can be added, so a relay learns from the answers to all
+// relays (see package workload).
 
 const (
-	// fitMemory is the time in which what an answer tells counts half.
-	fitMemory = 60 * time.Second
-	// priorAnswers is how many answers the prior is worth.
-	priorAnswers = 2
-	// fitOutlier: an answer that took more than so many times what was expected counts as having taken just that: it waited for something.
-	fitOutlier = 3
-	// fitAbove is the weight of an answer that came later than expected: most that delays it is not the engine's reading.
-	fitAbove = 0.35
-	// fitWaitShare: an answer tells nothing of the speed if more than this share of what was expected was waiting.
-	fitWaitShare = 0.25
-	// fitLeastMs bounds below what an answer is expected to take, so that relative errors stay bounded.
-	fitLeastMs = 5.0
-	// slowestFactor and fastestFactor bound how far the figures go from the prior.
-	slowestFactor = 20.0
-	fastestFactor = 20.0
+	// fitHalfLife is the half-life of the weight of an answer.
+	fitHalfLife = 60 * time.Second
+	// priorWeight is the weight of the prior, in answers.
+	priorWeight = 2
+	// outlierFactor bounds the time that an answer counts as having taken, as a multiple of the expected time, since
+	// a longer one was delayed by something else.
+	outlierFactor = 3
+	// lateAnswerWeight is the weight of an answer that came later than expected, since most of what delays an answer
+	// is not the engine's prefill.
+	lateAnswerWeight = 0.35
+	// maxLearnWaitFraction is the fraction of its expected processing time that an answer may be expected to wait for
+	// it to be used.
+	maxLearnWaitFraction = 0.25
+	// minExpectedMs is the minimum for the expected time of an answer, so that relative errors stay bounded.
+	minExpectedMs = 5.0
+	// maxSlowdown and maxSpeedup bound how far the coefficients may move from the prior.
+	maxSlowdown = 20.0
+	maxSpeedup  = 20.0
 )
 
+// fitTerms is the number of coefficients.
 const fitTerms = 3
 
-// fitVector is the three figures, or what is multiplied by each.
+// fitVector holds the three coefficients, or the terms that they are multiplied by.
 type fitVector [fitTerms]float64
 
 func (v fitVector) dot(other fitVector) float64 { return v[0]*other[0] + v[1]*other[1] + v[2]*other[2] }
 
-// readingTerms are what the figures are multiplied by for a prompt of which unread tokens at the end are to be read.
-func readingTerms(total, unread int) fitVector {
-	all, read := float64(total), float64(total-unread)
-	return fitVector{1, float64(unread) / 1e3, (all*all - read*read) / 2 / 1e6}
+// prefillTerms returns the terms for a prompt of total tokens, of which the last uncached ones must be prefilled.
+func prefillTerms(total, uncached int) fitVector {
+	all, cached := float64(total), float64(total-uncached)
+	return fitVector{1, float64(uncached) / 1e3, (all*all - cached*cached) / 2 / 1e6}
 }
 
-// fitSums is what answers have told: the sums of the normal equations.
+// fitSums accumulates answers as the sums of the normal equations.
 type fitSums struct {
-	squares [fitTerms][fitTerms]float64
-	results fitVector
-	answers float64
+	squares [fitTerms][fitTerms]float64 // sums of the products of two terms
+	results fitVector                   // sums of the products of a term and the time taken
+	answers float64                     // number of answers
 }
 
 func (s *fitSums) add(other *fitSums) {
@@ -63,6 +69,7 @@
 	s.answers += other.answers
 }
 
+// scale multiplies all sums by a factor.
 func (s *fitSums) scale(factor float64) {
 	for row := range s.squares {
 		for column := range s.squares[row] {
@@ -73,8 +80,8 @@
 	s.answers *= factor
 }
 
-// observe adds an answer.
-func (s *fitSums) observe(terms fitVector, tookMs, weight float64) {
+// addAnswer adds a sample: an answer with these terms that took tookMs.
+func (s *fitSums) addAnswer(terms fitVector, tookMs, weight float64) {
 	for row := range s.squares {
 		for column := range s.squares[row] {
 			s.squares[row][column] += weight * terms[row] * terms[column]
@@ -84,83 +91,87 @@
 	s.answers++
 }
 
-// figures are the sums as other relays are told them.
-func (s *fitSums) figures() [workload.SumTerms]float64 {
+// encode returns the sums in the form in which they are sent to other relays.
+func (s *fitSums) encode() [workload.SumTerms]float64 {
 	return [workload.SumTerms]float64{
 		s.squares[0][0], s.squares[0][1], s.squares[0][2], s.squares[1][1], s.squares[1][2], s.squares[2][2],
 		s.results[0], s.results[1], s.results[2], s.answers,
 	}
 }
 
-// sumsOf reads sums that another relay told.
-func sumsOf(told [workload.SumTerms]float64) *fitSums {
+// decodeSums returns the sums that another relay encoded.
+func decodeSums(encoded [workload.SumTerms]float64) *fitSums {
 	return &fitSums{
-		squares: [fitTerms][fitTerms]float64{{told[0], told[1], told[2]}, {told[1], told[3], told[4]}, {told[2], told[4], told[5]}},
-		results: fitVector{told[6], told[7], told[8]},
-		answers: told[9],
+		squares: [fitTerms][fitTerms]float64{{encoded[0], encoded[1], encoded[2]}, {encoded[1], encoded[3], encoded[4]},
+			{encoded[2], encoded[4], encoded[5]}},
+		results: fitVector{encoded[6], encoded[7], encoded[8]},
+		answers: encoded[9],
 	}
 }
 
-// speed is how fast the engines of a service read.
-type speed struct {
-	prior   fitVector
-	figures fitVector // as fitted last
-	own     fitSums
-	ownAt   time.Time
-	others  fitSums // of other relays
+// prefillSpeed is the learned speed of a service's engines.
+type prefillSpeed struct {
+	prior        fitVector
+	coefficients fitVector // of the last fit
+	own          fitSums   // of this relay's answers
+	ownAt        time.Time // when own was last decayed
+	others       fitSums   // of the answers to other relays
 }
 
-func newSpeed(model *EngineModel) speed {
-	prior := fitVector{model.FirstMs + model.StepMs, 1e3 / model.TokensPerMs, model.PairsMs}
-	return speed{prior: prior, figures: prior}
+func newPrefillSpeed(model *EngineModel) prefillSpeed {
+	prior := fitVector{model.FirstTokenMs + model.StepMs, 1e3 / model.TokensPerMs, model.MsPerMillionPairs}
+	return prefillSpeed{prior: prior, coefficients: prior}
 }
 
-// readingMs is the time to read the end of a prompt, and firstMs the time to the first event of an idle engine.
-func (s *speed) readingMs(total, unread int) float64 {
-	terms := readingTerms(total, unread)
+// prefillMs is the time to prefill the uncached end of a prompt, and firstTokenMs the time to the first event at an
+// idle engine.
+func (s *prefillSpeed) prefillMs(total, uncached int) float64 {
+	terms := prefillTerms(total, uncached)
 	terms[0] = 0
-	return s.figures.dot(terms)
+	return s.coefficients.dot(terms)
 }
 
-func (s *speed) firstMs(total, unread int) float64 { return s.figures.dot(readingTerms(total, unread)) }
+func (s *prefillSpeed) firstTokenMs(total, uncached int) float64 {
+	return s.coefficients.dot(prefillTerms(total, uncached))
+}
 
-// tokensPerMs is the speed of reading without what pairs add.
-func (s *speed) tokensPerMs() float64 { return 1e3 / s.figures[1] }
+// tokensPerMs is the prefill rate in prompt tokens per millisecond, without the time for token pairs.
+func (s *prefillSpeed) tokensPerMs() float64 { return 1e3 / s.coefficients[1] }
 
-// fade lets what this relay's answers told count less.
-func (s *speed) fade(now time.Time) {
+// decay reduces the weight of this relay's answers to now.
+func (s *prefillSpeed) decay(now time.Time) {
 	if !s.ownAt.IsZero() {
-		s.own.scale(math.Exp2(-now.Sub(s.ownAt).Seconds() / fitMemory.Seconds()))
+		s.own.scale(math.Exp2(-now.Sub(s.ownAt).Seconds() / fitHalfLife.Seconds()))
 	}
 	s.ownAt = now
 }
 
-// learn takes how long an answer took, without the way and what waited before it.
-func (s *speed) learn(now time.Time, total, unread int, tookMs float64) {
-	s.fade(now)
-	terms := readingTerms(total, unread)
-	expected := math.Max(fitLeastMs, s.figures.dot(terms))
-	weight := 1 / (expected * math.Max(fitLeastMs, tookMs))
+// learn adds a sample: an answer took tookMs, without the network round trip and the wait before its prefill.
+func (s *prefillSpeed) learn(now time.Time, total, uncached int, tookMs float64) {
+	s.decay(now)
+	terms := prefillTerms(total, uncached)
+	expected := math.Max(minExpectedMs, s.coefficients.dot(terms))
+	weight := 1 / (expected * math.Max(minExpectedMs, tookMs))
 	if tookMs > expected {
-		weight *= fitAbove
-		tookMs = math.Min(tookMs, fitOutlier*expected)
+		weight *= lateAnswerWeight
+		tookMs = math.Min(tookMs, outlierFactor*expected)
 	}
-	s.own.observe(terms, math.Max(0, tookMs), weight)
+	s.own.addAnswer(terms, math.Max(0, tookMs), weight)
 	s.fit()
 }
 
-// setOthers takes what the answers of other relays have told.
-func (s *speed) setOthers(sums *fitSums) {
+// setOthers sets the sums of the other relays' answers.
+func (s *prefillSpeed) setOthers(sums *fitSums) {
 	s.others = *sums
 	s.fit()
 }
 
-// fit solves the normal equations, with the prior worth some answers of each kind.
-func (s *speed) fit() {
+// fit solves the normal equations. The prior counts like priorWeight answers.
+func (s *prefillSpeed) fit() {
 	sums := s.own
 	sums.add(&s.others)
 	for term := range fitTerms {
-		weight := priorAnswers / (s.prior[term] * s.prior[term]) / fitTerms
+		weight := priorWeight / (s.prior[term] * s.prior[term]) / fitTerms
 		sums.squares[term][term] += weight
 		sums.results[term] += weight * s.prior[term]
 	}
@@ -169,11 +180,11 @@
 		return
 	}
 	for term := range solved {
-		s.figures[term] = math.Min(math.Max(solved[term], s.prior[term]/fastestFactor), s.prior[term]*slowestFactor)
+		s.coefficients[term] = math.Min(math.Max(solved[term], s.prior[term]/maxSpeedup), s.prior[term]*maxSlowdown)
 	}
 }
 
-// solve finds x with a·x = b by elimination with pivots; false: there is none.
+// solve returns x with a·x = b by Gaussian elimination with pivoting; false if a is singular.
 func solve(a [fitTerms][fitTerms]float64, b fitVector) (fitVector, bool) {
 	for column := range fitTerms {
 		pivot := column
@@ -204,17 +215,17 @@
 	return b, true
 }
 
-// Speed is how fast the engines of a service read, as far as is known.
+// Speed is the learned speed of a service's engines.
 type Speed struct {
 	Service     string
 	TokensPerMs float64
-	Answers     float64 // of all relays that this rests on, faded
+	Answers     float64 // number of answers to all relays that it is based on, decayed
 }
 
-// Speeds lists how fast the engines of each service read, in the order of the services' names.
+// Speeds returns the speed of each service's engines, in order of the services' names.
 func (s *Selector) Speeds() []Speed {
 	var speeds []Speed
-	for _, service := range s.sorted() {
+	for _, service := range s.sortedServices() {
 		if service.engine() != nil {
 			speed := &service.speed
 			speeds = append(speeds, Speed{service.name, speed.tokensPerMs(), speed.own.answers + speed.others.answers})
--- a/internal/selector/tier.go
+++ b/internal/selector/tier.go
@@ -6,22 +6,23 @@
 	"wallflow/internal/config"
 )
 
-// service is what is known of one service.
+// service is what this relay knows about one service.
 type service struct {
-	name    string
-	backend *config.Backend // nil: not in the configuration
-	tiers   map[string]*tier
-	waiting waitingList
-	usual   usual
-	speed   speed // of its engines, if it has any
-	urgent  int   // priority of the most urgent kind of request
-	served  servedCounts
+	name               string
+	backend            *config.Backend // nil: not in the configuration
+	tiers              map[string]*tier
+	waiting            waitingList
+	typicalDuration    averageDuration // of its answers
+	speed              prefillSpeed    // of its engines, if it has any
+	mostUrgentPriority int             // lowest priority value among its routes
+	recentCounts       priorityCounts  // requests that arrived and were served
 }
 
-func newService(name string, speed speed) *service {
+func newService(name string, speed prefillSpeed) *service {
 	return &service{name: name, tiers: map[string]*tier{}, speed: speed}
 }
 
+// tier returns the tier of the service in a region, and creates it if there is none.
 func (s *service) tier(region string) *tier {
 	known := s.tiers[region]
 	if known == nil {
@@ -31,6 +32,7 @@
 	return known
 }
 
+// empty reports whether the service has no endpoints and no waiting requests.
 func (s *service) empty() bool {
 	for _, tier := range s.tiers {
 		for _, list := range tier.lists {
@@ -39,10 +41,10 @@
 			}
 		}
 	}
-	return s.waiting.live == 0
+	return s.waiting.count == 0
 }
 
-// engine describes the service's engines; nil if it is a plain one.
+// engine describes the service's engines; nil if the service has none.
 func (s *service) engine() *config.Engine {
 	if s.backend == nil {
 		return nil
@@ -50,83 +52,83 @@
 	return s.backend.Engine
 }
 
-// placeOf says in which list of its tier an endpoint is.
-type placeOf uint8
+// listKind identifies the list of its tier that an endpoint is in.
+type listKind uint8
 
 const (
-	placeNowhere placeOf = iota // draining, leaving or evacuated: never chosen
-	placeWarm                   // may be chosen
-	placeOwned                  // cold, and this relay is the one that may send to it
-	placeForeign                // cold, and another relay's
-	placeSkipped                // in the skip table
-	placeSilent                 // no heartbeats: a last resort
-	places
+	listNone        listKind = iota // in no list: draining, leaving or evacuated, never chosen
+	listWarm                        // may be chosen
+	listColdOwned                   // cold, and owned by this relay, the only one that may send to it
+	listColdForeign                 // cold, and owned by another relay
+	listSkipped                     // skipped after failures
+	listSilent                      // heartbeats have stopped: a last resort
+	listKinds                       // number of lists
 )
 
-// tier is the endpoints of one service in one region: what a request tries before it moves on.
+// tier holds the endpoints of one service in one region. A request tries one tier after the other.
 type tier struct {
-	service *service
-	region  string
-	lists   [places][]*endpoint
-	groups  [][]*endpoint // of the warm ones, by hash; nil while they are few
-	recent  []*endpoint   // that answered this relay last, the newest last
+	service      *service
+	region       string
+	lists        [listKinds][]*endpoint
+	groups       [][]*endpoint // warm endpoints by hash; nil while there are few
+	recentlyUsed []*endpoint   // endpoints that answered this relay last, the newest at the end
 }
 
 const (
-	// scanAll is the number of endpoints up to which all are looked at.
-	scanAll = 32
-	// groupSize is about how many endpoints a group of a large tier has.
-	groupSize = 64
+	// maxScannedEndpoints is the size of a tier up to which all its endpoints are considered for a request.
+	maxScannedEndpoints = 32
+	// targetGroupSize is the approximate number of endpoints in a group of a large tier.
+	targetGroupSize = 64
 )
 
-func (t *tier) warm() []*endpoint { return t.lists[placeWarm] }
+func (t *tier) warm() []*endpoint { return t.lists[listWarm] }
 
-// usable tells whether the tier has endpoints that may take a request, now or when their limits allow.
-func (t *tier) usable() bool { return len(t.lists[placeWarm])+len(t.lists[placeOwned]) > 0 }
+// usable reports whether the tier has endpoints that may be sent a request, now or when their limits allow.
+func (t *tier) usable() bool { return len(t.lists[listWarm])+len(t.lists[listColdOwned]) > 0 }
 
-// place moves an endpoint from one list of the tier to another.
-func (t *tier) place(endpoint *endpoint, to placeOf) {
-	from := endpoint.place
+// moveTo moves an endpoint from one list of the tier to another.
+func (t *tier) moveTo(endpoint *endpoint, to listKind) {
+	from := endpoint.list
 	if from == to {
 		return
 	}
-	if from != placeNowhere {
-		t.take(endpoint, from)
+	if from != listNone {
+		t.removeFrom(endpoint, from)
 	}
-	endpoint.place = to
-	if to == placeNowhere {
+	endpoint.list = to
+	if to == listNone {
 		return
 	}
-	endpoint.index = len(t.lists[to])
+	endpoint.listIndex = len(t.lists[to])
 	t.lists[to] = append(t.lists[to], endpoint)
-	if to == placeWarm {
-		t.regroup(endpoint, true)
+	if to == listWarm {
+		t.updateGroups(endpoint, true)
 	}
 }
 
-func (t *tier) take(endpoint *endpoint, from placeOf) {
+func (t *tier) removeFrom(endpoint *endpoint, from listKind) {
 	list := t.lists[from]
 	last := len(list) - 1
-	list[endpoint.index] = list[last]
-	list[endpoint.index].index = endpoint.index
+	list[endpoint.listIndex] = list[last]
+	list[endpoint.listIndex].listIndex = endpoint.listIndex
 	list[last] = nil
 	t.lists[from] = list[:last]
-	if from == placeWarm {
-		t.regroup(endpoint, false)
+	if from == listWarm {
+		t.updateGroups(endpoint, false)
 	}
 }
 
-// regroup keeps the groups of a large tier in step with its warm endpoints.
-func (t *tier) regroup(endpoint *endpoint, added bool) {
-	wanted := groupCount(len(t.warm()))
-	if wanted != len(t.groups) {
-		t.split(wanted)
+// updateGroups keeps the groups of a large tier up to date after a warm endpoint was added or removed.
+func (t *tier) updateGroups(endpoint *endpoint, added bool) {
+	count := groupCount(len(t.warm()))
+	if count != len(t.groups) {
+		t.rebuildGroups(count)
 		return
 	}
-	if wanted == 0 {
+	if count == 0 {
 		return
 	}
-	at := endpoint.hash % uint64(wanted)
+	at := endpoint.hash % uint64(count)
 	if added {
 		t.groups[at] = append(t.groups[at], endpoint)
 		return
@@ -141,7 +143,8 @@
 	}
 }
 
-func (t *tier) split(count int) {
+// rebuildGroups divides the warm endpoints into a new number of groups.
+func (t *tier) rebuildGroups(count int) {
 	t.groups = make([][]*endpoint, count)
 	if count == 0 {
 		t.groups = nil
@@ -153,10 +156,11 @@
 	}
 }
 
-// groupCount is a power of two, so that it changes seldom; relays with nearly the same list have the same number.
+// groupCount returns a power of two, so that the number of groups seldom changes, and relays whose instance lists
+// differ slightly have the same number.
 func groupCount(endpoints int) int {
-	if endpoints <= scanAll {
+	if endpoints <= maxScannedEndpoints {
 		return 0
 	}
-	return 1 << bits.Len(uint(endpoints/groupSize))
+	return 1 << bits.Len(uint(endpoints/targetGroupSize))
 }
--- a/internal/selector/walk_test.go
+++ b/internal/selector/tiers_test.go
@@ -16,18 +16,18 @@
 	f.plain(homeZone, 1)
 	f.plain(lastZone, 1)
 	f.plain(nextZone, 1)
-	// The own region first, then the others by name, beginning after the own: takoradi comes after tema round the end.
+	// This relay's region first, then the others by name, beginning after the own one and wrapping around.
 	wanted := []string{home, next, last}
 	assert.DeepEqual(t, f.s.regions, wanted)
 	var tried []string
 	for range wanted {
-		d := f.sent(f.request("gate"))
+		d := f.mustSend(f.request("gate"))
 		tried = append(tried, zones[d.Instance.Zone])
-		f.done(d, ConnectFailed)
+		f.finish(d, ConnectFailed)
 		for range 2 {
-			d := f.sent(f.request("gate"))
+			d := f.mustSend(f.request("gate"))
 			assert.Equal(t, zones[d.Instance.Zone], tried[len(tried)-1])
-			f.done(d, ConnectFailed)
+			f.finish(d, ConnectFailed)
 		}
 	}
 	assert.DeepEqual(t, tried, wanted)
@@ -41,22 +41,22 @@
 	r := f.request("gate")
 	var tried []string
 	for _, kind := range []OutcomeKind{Full, ConnectFailed, NotExecuted} {
-		d := f.sent(r)
+		d := f.mustSend(r)
 		tried = append(tried, d.Instance.Zone)
-		f.done(d, kind)
+		f.finish(d, kind)
 	}
 	assert.DeepEqual(t, tried, []string{homeZone, nextZone, lastZone})
 }
 
-func TestHomesAlwaysBind(t *testing.T) {
+func TestHomeRegionsAlwaysBind(t *testing.T) {
 	f := newFleet(t)
-	f.engines(nextZone, 2) // no home of the route
+	f.engines(nextZone, 2) // not a home region of the route
 	d := f.choose(f.request("query"))
 	assert.Equal(t, d.Kind, Refuse)
 	f.engines(lastZone, 1)
-	assert.Equal(t, f.sent(f.request("query")).Instance.Zone, lastZone)
+	assert.Equal(t, f.mustSend(f.request("query")).Instance.Zone, lastZone)
 	f.change(lastZone, func(i *registry.Instance) { i.State = registry.StateSilent })
-	assert.Equal(t, f.sent(f.request("query")).Instance.Zone, lastZone, "a last resort comes before no home")
+	assert.Equal(t, f.mustSend(f.request("query")).Instance.Zone, lastZone, "the home regions apply to a last resort too")
 }
 
 func TestSplitIsDrawnByWeight(t *testing.T) {
@@ -68,9 +68,9 @@
 	f.configure()
 	drawn := map[string]int{}
 	for range 2000 {
-		d := f.sent(f.request("safe"))
+		d := f.mustSend(f.request("safe"))
 		drawn[d.Instance.Backend]++
-		f.served(d, 20*time.Millisecond)
+		f.serve(d, 20*time.Millisecond)
 	}
 	assert.Assert(t, drawn[plain] > 1400 && drawn[plain] < 1600, "%v", drawn)
 	assert.Equal(t, drawn[plain]+drawn[engines], 2000)
@@ -79,17 +79,17 @@
 			i.State = registry.StateDraining
 		}
 	})
-	assert.Equal(t, f.sent(f.request("safe")).Instance.Backend, engines, "the other service of the split is a later tier")
+	assert.Equal(t, f.mustSend(f.request("safe")).Instance.Backend, engines, "the other service of the split is a later tier")
 }
 
-func TestNothingIsSentToWhatLeaves(t *testing.T) {
+func TestNothingIsSentToLeavingEndpoints(t *testing.T) {
 	cases := []struct {
 		name string
 		edit func(*registry.Instance)
 	}{
 		{"draining", func(i *registry.Instance) { i.State = registry.StateDraining }},
 		{"gone", func(i *registry.Instance) { i.State = registry.StateGone }},
-		{"a notice", func(i *registry.Instance) { i.GoneAt = start.Add(time.Minute) }},
+		{"a termination notice", func(i *registry.Instance) { i.GoneAt = start.Add(time.Minute) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -98,7 +98,7 @@
 			f.change(homeZone, c.edit)
 			assert.Equal(t, f.choose(f.request("gate")).Kind, Refuse)
 			f.plain(nextZone, 1)
-			assert.Equal(t, f.sent(f.request("gate")).Instance.Zone, nextZone)
+			assert.Equal(t, f.mustSend(f.request("gate")).Instance.Zone, nextZone)
 		})
 	}
 }
@@ -108,9 +108,9 @@
 	f.plain(homeZone, 1)
 	f.plain(lastZone, 1)
 	f.change(homeZone, func(i *registry.Instance) { i.State = registry.StateSilent })
-	assert.Equal(t, f.sent(f.request("gate")).Instance.Zone, lastZone)
+	assert.Equal(t, f.mustSend(f.request("gate")).Instance.Zone, lastZone)
 	f.change(lastZone, func(i *registry.Instance) { i.State = registry.StateSilent })
-	d := f.sent(f.request("gate"))
+	d := f.mustSend(f.request("gate"))
 	assert.Assert(t, d.Forced)
 	assert.Equal(t, d.Instance.Zone, homeZone)
 }
@@ -120,15 +120,15 @@
 	f.engines(homeZone, 2)
 	f.engines(lastZone, 2)
 	f.s.SetEvacuated(f.now, []string{homeZone})
-	assert.Equal(t, f.sent(f.request("query")).Instance.Zone, lastZone)
+	assert.Equal(t, f.mustSend(f.request("query")).Instance.Zone, lastZone)
 	f.s.SetEvacuated(f.now, nil)
-	assert.Equal(t, f.sent(f.request("query")).Instance.Zone, lastZone, "cold, and not owned")
+	assert.Equal(t, f.mustSend(f.request("query")).Instance.Zone, lastZone, "cold, and not owned")
 	f.s.SetPeers(f.now, 1, func(id string) bool { return id == f.list[0].ID })
-	assert.Equal(t, f.sent(f.request("query")).Instance.ID, f.list[0].ID, "cold, and owned")
-	f.after(3001 * time.Millisecond)
+	assert.Equal(t, f.mustSend(f.request("query")).Instance.ID, f.list[0].ID, "cold, and owned")
+	f.advance(3001 * time.Millisecond)
 	warm := map[string]bool{}
 	for range 40 {
-		d := f.sent(f.request("query"))
+		d := f.mustSend(f.request("query"))
 		warm[d.Instance.ID] = true
 	}
 	assert.Assert(t, warm[f.list[1].ID], "warm again")
@@ -139,7 +139,7 @@
 	f.plain(homeZone, 1)
 	f.s.SetEvacuated(f.now, []string{homeZone})
 	f.s.SetEvacuated(f.now, nil)
-	assert.Equal(t, f.sent(f.request("gate")).Instance.Zone, homeZone)
+	assert.Equal(t, f.mustSend(f.request("gate")).Instance.Zone, homeZone)
 }
 
 func TestOnlyTheOwnerSendsToColdEndpoints(t *testing.T) {
@@ -159,12 +159,12 @@
 	assert.Equal(t, sent, 17)
 }
 
-func TestWhatWasSentWarmCountsWhenItTurnsCold(t *testing.T) {
+func TestRequestsSentWhileWarmCountAgainstColdBound(t *testing.T) {
 	f := newFleet(t)
 	f.engines(homeZone, 1)
 	f.s.SetPeers(f.now, 1, func(string) bool { return true })
 	for range 30 {
-		f.sent(f.request("query"))
+		f.mustSend(f.request("query"))
 	}
 	f.change(homeZone, func(i *registry.Instance) { i.ColdUntil = start.Add(2 * time.Second) })
 	assert.Equal(t, f.choose(f.request("query")).Kind, Wait)
@@ -182,7 +182,7 @@
 		f := newFleet(t)
 		f.plain(homeZone, 3)
 		r := f.request("gate")
-		f.done(f.sent(r), c.outcome)
+		f.finish(f.mustSend(r), c.outcome)
 		assert.Equal(t, f.choose(r).Kind, c.wanted, "outcome %d", c.outcome)
 	}
 }
@@ -193,10 +193,10 @@
 	r := f.request("safe") // retries: 3
 	var tried []string
 	for range 3 {
-		d := f.sent(r)
+		d := f.mustSend(r)
 		assert.Assert(t, !slices.Contains(tried, d.Instance.ID))
 		tried = append(tried, d.Instance.ID)
-		f.done(d, Reset)
+		f.finish(d, Reset)
 	}
 	d := f.choose(r)
 	assert.Equal(t, d.Kind, Fail)
@@ -207,19 +207,19 @@
 	f := newFleet(t)
 	f.engines(homeZone, 1)
 	f.plain(homeZone, 3)
-	end := func(r *Request) time.Time { return r.Deadline.Add(-endMargin) }
+	end := func(r *Request) time.Time { return r.Deadline.Add(-deadlineMargin) }
 
 	unsafe := f.request("gate")
-	assert.Equal(t, f.sent(unsafe).GiveUpAt, end(unsafe))
+	assert.Equal(t, f.mustSend(unsafe).GiveUpAt, end(unsafe))
 	query := f.request("query") // a stream without resume is unsafe
-	assert.Equal(t, f.sent(query).GiveUpAt, end(query))
+	assert.Equal(t, f.mustSend(query).GiveUpAt, end(query))
 	safe := f.request("safe")
 	half := end(safe).Sub(f.now) / 2
-	assert.Equal(t, f.sent(safe).GiveUpAt, f.now.Add(half))
+	assert.Equal(t, f.mustSend(safe).GiveUpAt, f.now.Add(half))
 	again := f.request("safe")
-	f.done(f.sent(again), Reset)
-	f.done(f.sent(again), Reset)
-	assert.Equal(t, f.sent(again).GiveUpAt, end(again), "no further run is allowed: it has all of the time")
+	f.finish(f.mustSend(again), Reset)
+	f.finish(f.mustSend(again), Reset)
+	assert.Equal(t, f.mustSend(again).GiveUpAt, end(again), "no further run is allowed, so the attempt gets all of the time")
 }
 
 func TestBudgetPaysForFurtherArrivals(t *testing.T) {
@@ -227,18 +227,18 @@
 	f.s.options.Budget.SetSlack(plain, 0)
 	f.plain(homeZone, 3)
 	r := f.request("safe")
-	f.done(f.sent(r), ConnectFailed)
-	d := f.sent(r) // a failed connection is no arrival
-	f.done(d, Full)
+	f.finish(f.mustSend(r), ConnectFailed)
+	d := f.mustSend(r) // a failed connection is not an arrival and costs no budget
+	f.finish(d, Full)
 	d = f.choose(r)
 	assert.Equal(t, d.Kind, Refuse)
 	assert.Equal(t, d.Reason, ReasonBudget)
 	for range 10 {
-		f.served(f.sent(f.request("safe")), 10*time.Millisecond)
+		f.serve(f.mustSend(f.request("safe")), 10*time.Millisecond)
 	}
 	r = f.request("safe")
-	f.done(f.sent(r), Reset)
-	f.sent(r)
+	f.finish(f.mustSend(r), Reset)
+	f.mustSend(r)
 }
 
 func TestAllSkippedWaitsOrRefuses(t *testing.T) {
@@ -252,7 +252,7 @@
 	long.Deadline = f.now.Add(10 * time.Second)
 	d := f.choose(long)
 	assert.Equal(t, d.Kind, Wait)
-	assert.Equal(t, d.Until, until, "it waits for the earliest end")
+	assert.Equal(t, d.Until, until, "it waits for the earliest end of a skip")
 	short := f.request("gate")
 	short.Deadline = f.now.Add(time.Second)
 	d = f.choose(short)
@@ -284,8 +284,9 @@
 	assert.Equal(t, d.Reason, ReasonNoService)
 }
 
-// TestWarmForAMomentDoesNotFreeAColdEndpoint has an endpoint told to be warm, or to be gone, and cold again within a second.
-func TestWarmForAMomentDoesNotFreeAColdEndpoint(t *testing.T) {
+// TestBriefWarmStateDoesNotResetColdBound reports an endpoint as warm, or as gone, and as cold again within a second.
+// The requests sent before still count against the limit for cold endpoints.
+func TestBriefWarmStateDoesNotResetColdBound(t *testing.T) {
 	cases := []struct {
 		name string
 		edit func(*registry.Instance)
@@ -300,16 +301,16 @@
 			f.s.SetPeers(f.now, 1, func(string) bool { return true })
 			cold := func(i *registry.Instance) { i.State, i.ColdUntil = registry.StateReady, start.Add(5*time.Second) }
 			f.change(homeZone, cold)
-			f.after(90 * time.Millisecond)
+			f.advance(90 * time.Millisecond)
 			for range 17 {
-				f.served(f.sent(f.request("query")), 0)
+				f.serve(f.mustSend(f.request("query")), 0)
 			}
 			f.change(homeZone, c.edit)
-			f.after(940 * time.Millisecond)
+			f.advance(940 * time.Millisecond)
 			f.change(homeZone, cold)
-			assert.Equal(t, f.choose(f.request("query")).Kind, Wait, "the 17 lie less than a second back")
-			f.after(100 * time.Millisecond)
-			f.sent(f.request("query"))
+			assert.Equal(t, f.choose(f.request("query")).Kind, Wait, "the 17 requests were sent less than a second ago")
+			f.advance(100 * time.Millisecond)
+			f.mustSend(f.request("query"))
 		})
 	}
 }
--- a/internal/selector/waiting.go
+++ b/internal/selector/waiting.go
@@ -1,59 +1,61 @@
 package selector
 
-// waitingList is the requests of a service that wait, the first to wait first. Those that wait no more are left out lazily.
+// waitingList holds the requests of a service that wait, in the order in which they began to wait. Requests that no
+// longer wait are removed lazily.
 type waitingList struct {
 	requests []*Request
-	live     int
+	count    int // requests that still wait
 }
 
-// compactAt is the length from which a list with few live requests is packed.
-const compactAt = 64
+// minCompactLength is the minimum length at which a list is compacted, if most of its requests no longer wait.
+const minCompactLength = 64
 
-// startWaiting enters a request in the list of its service.
+// startWaiting adds a request to the waiting list of its service.
 func (s *Selector) startWaiting(request *Request) {
 	if request.Waiter == nil {
 		return
 	}
 	list := &request.service().waiting
 	request.waiting = true
-	list.live++
+	list.count++
 	if request.listed {
 		return
 	}
 	request.listed = true
 	list.requests = append(list.requests, request)
-	if len(list.requests) >= compactAt && len(list.requests) > 2*list.live {
+	if len(list.requests) >= minCompactLength && len(list.requests) > 2*list.count {
 		list.compact()
 	}
 }
 
-// stopWaiting takes a request off the list.
+// stopWaiting marks a request as no longer waiting.
 func (s *Selector) stopWaiting(request *Request) {
 	if !request.waiting {
 		return
 	}
 	request.waiting = false
-	request.service().waiting.live--
+	request.service().waiting.count--
 }
 
-// Abandon takes a request off that its caller will not ask for again.
+// Abandon ends the wait of a request for which the caller will not call Choose again.
 func (s *Selector) Abandon(request *Request) { s.stopWaiting(request) }
 
+// compact removes the requests that no longer wait.
 func (l *waitingList) compact() {
-	kept := l.requests[:0]
+	remaining := l.requests[:0]
 	for _, request := range l.requests {
 		if request.waiting {
-			kept = append(kept, request)
+			remaining = append(remaining, request)
 			continue
 		}
 		request.listed = false
 	}
-	clear(l.requests[len(kept):])
-	l.requests = kept
+	clear(l.requests[len(remaining):])
+	l.requests = remaining
 }
 
-// wakeFor has the first request that waits for a service ask again.
-func (s *Selector) wakeFor(service *service) {
+// wakeFirst wakes the request that has waited longest for a service: it is added to the list that Woken returns.
+func (s *Selector) wakeFirst(service *service) {
 	list := &service.waiting
 	for len(list.requests) > 0 {
 		first := list.requests[0]
@@ -62,7 +64,7 @@
 		first.listed = false
 		if first.waiting {
 			first.waiting = false
-			list.live--
+			list.count--
 			s.woken = append(s.woken, first)
 			return
 		}
@@ -70,22 +72,23 @@
 	list.requests = nil
 }
 
-// wakeTier has all requests that wait for a service ask again.
-func (s *Selector) wakeTier(service *service) {
-	for service.waiting.live > 0 {
-		s.wakeFor(service)
+// wakeService wakes all requests that wait for a service.
+func (s *Selector) wakeService(service *service) {
+	for service.waiting.count > 0 {
+		s.wakeFirst(service)
 	}
 }
 
-// wakeAll has all requests that wait ask again.
+// wakeAll wakes all waiting requests.
 func (s *Selector) wakeAll() {
-	for _, service := range s.sorted() {
-		s.wakeTier(service)
+	for _, service := range s.sortedServices() {
+		s.wakeService(service)
 	}
 }
 
-// Woken returns the requests that should ask again since something has changed, and forgets them. The caller wakes them once it
-// has released its lock. It is asked for after Done, SetConfig, SetInstances, SetEvacuated and SetPeers.
+// Woken returns the requests that should call Choose again since something has changed, and clears the list. The
+// caller wakes them after it has released its lock. It calls Woken after Done, SetConfig, SetInstances, SetEvacuated
+// and SetPeers.
 func (s *Selector) Woken() []*Request {
 	woken := s.woken
 	s.woken = nil
--- a/internal/selector/waiting_test.go
+++ b/internal/selector/waiting_test.go
@@ -7,14 +7,16 @@
 	"gotest.tools/v3/assert"
 )
 
-type nobody struct{}
+// noopWaiter is a Waiter that does nothing when it is woken.
+type noopWaiter struct{}
 
-func (nobody) Wake() {}
+func (noopWaiter) Wake() {}
 
-func waitingRequest(f *fleet) *Request {
+// requestWithWaiter returns a request that may wait, with a deadline long after the end of any skip.
+func requestWithWaiter(f *fleet) *Request {
 	r := f.request("gate")
 	r.Deadline = f.now.Add(10 * time.Second)
-	r.Waiter = nobody{}
+	r.Waiter = noopWaiter{}
 	return r
 }
 
@@ -24,16 +26,16 @@
 	for range 3 {
 		f.fail("gate", ConnectFailed)
 	}
-	f.after(3 * time.Second)
-	trial := f.sent(f.request("gate"))
+	f.advance(3 * time.Second)
+	trial := f.mustSend(f.request("gate"))
 	var waiting []*Request
 	for range 3 {
-		r := waitingRequest(f)
+		r := requestWithWaiter(f)
 		assert.Equal(t, f.choose(r).Kind, Wait)
 		waiting = append(waiting, r)
 	}
 	f.s.Abandon(waiting[1])
-	f.served(trial, 10*time.Millisecond)
+	f.serve(trial, 10*time.Millisecond)
 	assert.DeepEqual(t, ids(f.s.Woken()), ids([]*Request{waiting[0], waiting[2]}))
 	assert.Equal(t, len(f.s.Woken()), 0)
 	assert.Equal(t, f.s.Counts(f.now).Waiting, 0)
@@ -45,52 +47,52 @@
 	for range 3 {
 		f.fail("gate", ConnectFailed)
 	}
-	r := waitingRequest(f)
+	r := requestWithWaiter(f)
 	assert.Equal(t, f.choose(r).Kind, Wait)
 	f.plain(homeZone, 1)
 	assert.DeepEqual(t, ids(f.s.Woken()), []string{r.ID})
-	f.sent(r)
+	f.mustSend(r)
 }
 
-func TestARequestThatAsksAgainIsListedOnce(t *testing.T) {
+func TestRepeatedlyWaitingRequestIsListedOnce(t *testing.T) {
 	f := newFleet(t)
 	f.plain(homeZone, 1)
 	for range 3 {
 		f.fail("gate", ConnectFailed)
 	}
-	r := waitingRequest(f)
+	r := requestWithWaiter(f)
 	for range 200 {
 		assert.Equal(t, f.choose(r).Kind, Wait)
 	}
 	list := &f.s.services[plain].waiting
-	assert.Equal(t, list.live, 1)
+	assert.Equal(t, list.count, 1)
 	assert.Equal(t, len(list.requests), 1)
 	for range 200 {
-		f.s.Abandon(waited(f))
+		f.s.Abandon(newWaitingRequest(f))
 	}
-	assert.Assert(t, len(list.requests) <= compactAt, "%d", len(list.requests))
-	assert.Equal(t, list.live, 1)
+	assert.Assert(t, len(list.requests) <= minCompactLength, "%d", len(list.requests))
+	assert.Equal(t, list.count, 1)
 }
 
-// waited is a request that has been told to wait.
-func waited(f *fleet) *Request {
-	r := waitingRequest(f)
+// newWaitingRequest returns a request for which Choose has decided Wait.
+func newWaitingRequest(f *fleet) *Request {
+	r := requestWithWaiter(f)
 	f.choose(r)
 	return r
 }
 
-func TestBeyondThePaceIsOfferedWithinAQuarterOfTheAim(t *testing.T) {
+func TestPacedRequestIsForcedAtOfferDeadline(t *testing.T) {
 	f := newFleet(t)
 	f.plain(homeZone, 1)
-	d := f.sent(f.request("gate"))
-	f.after(10 * time.Millisecond)
-	f.done(d, Full)
+	d := f.mustSend(f.request("gate"))
+	f.advance(10 * time.Millisecond)
+	f.finish(d, Full)
 	r := f.request("gate")
 	d = f.choose(r)
 	assert.Equal(t, d.Kind, Wait)
-	assert.Equal(t, d.Until, r.offerBy())
+	assert.Equal(t, d.Until, r.offerDeadline())
 	f.now = d.Until
-	d = f.sent(r)
+	d = f.mustSend(r)
 	assert.Assert(t, d.Forced)
 }
 
--- a/internal/selector/zonewatch.go
+++ b/internal/selector/zonewatch.go
@@ -6,167 +6,175 @@
 	"time"
 )
 
-// A lost zone takes all of its endpoints at once. Each by itself is found out by a few requests that hang there, and with many endpoints
-// that is a few requests of every relay for each of them. So the zone as a whole is judged too: it counts as dark when several requests
-// to it are overdue while nothing at all has come from it since they were sent, and something has from elsewhere.
+// When a zone fails, all its endpoints become unreachable at once. To detect each of them separately takes a few
+// hanging requests per endpoint from every relay. So the zone is also observed as a whole: it counts as unreachable
+// when several requests to it are overdue, nothing at all was received from it since they were sent, and something
+// was received from another zone.
 
 const (
-	// darkAfter and darkAfterDoubt are the overdue requests after which a zone counts as dark; fewer where membership hears nobody there.
-	darkAfter      = 4
-	darkAfterDoubt = 2
-	// darkLook bounds the unanswered requests that are looked through.
-	darkLook = 24
-	// elsewhereWithin is how lately something must have come from another zone: else the trouble may be this relay's own.
-	elsewhereWithin = time.Second
-	// awayAfter is the time without a decision after which this process may have stood still, with answers that wait to be read.
-	awayAfter = 400 * time.Millisecond
-	// settleAfter is how long after that nothing is held against a zone.
-	settleAfter = 400 * time.Millisecond
-	// darkFirst, darkMost and darkGrowth say how long a dark zone is left alone before the next trial.
-	darkFirst  = time.Second
-	darkMost   = 5 * time.Second
-	darkGrowth = 1.5
+	// minOverdue is the number of overdue requests from which a zone counts as unreachable, and minOverdueSuspected
+	// the same where the relays' membership protocol has no contact with any process of the zone.
+	minOverdue          = 4
+	minOverdueSuspected = 2
+	// maxUnansweredChecked bounds the unanswered requests that are examined.
+	maxUnansweredChecked = 24
+	// otherZoneWindow is how recently something must have been received from another zone: otherwise the fault may be
+	// at this relay.
+	otherZoneWindow = time.Second
+	// stallThreshold is the time without a decision after which this process may have been stalled, with received
+	// answers still unread.
+	stallThreshold = 400 * time.Millisecond
+	// stallRecovery is how long after a stall overdue requests are not held against a zone or reported.
+	stallRecovery = 400 * time.Millisecond
+	// firstTrialDelay, maxTrialDelay and trialDelayGrowth determine how long nothing is sent to an unreachable zone
+	// before the next trial.
+	firstTrialDelay  = time.Second
+	maxTrialDelay    = 5 * time.Second
+	trialDelayGrowth = 1.5
 )
 
-// zoneWatch is what is known of a zone as a whole.
+// zoneWatch is what this relay knows about a zone as a whole.
 type zoneWatch struct {
-	heardAt       time.Time  // something came from one of its endpoints
-	unanswered    []*Attempt // in the order of sending; those that were answered are left out lazily
-	doubted       bool       // membership hears none of its processes
-	dark          bool
-	until         time.Time // no trial before, while it is dark
-	length        time.Duration
-	trial         *Attempt
-	judgedAt      time.Time
-	othersOverdue int           // requests of other relays that are overdue at its endpoints
-	roundTrip     time.Duration // to its endpoints and back; 0: not known
+	lastReceivedAt time.Time  // when something was last received from one of its endpoints
+	unanswered     []*Attempt // in the order of sending; answered ones are removed lazily
+	suspected      bool       // the membership protocol has no contact with any of its processes
+	unreachable    bool
+	trialAfter     time.Time     // while it is unreachable: no trial before
+	trialDelay     time.Duration // last delay before a trial, without jitter
+	trialAttempt   *Attempt      // the one attempt in flight while the zone is unreachable
+	checkedAt      time.Time     // when it was last checked for silence
+	othersOverdue  int           // overdue requests of other relays at its endpoints
+	roundTrip      time.Duration // network round trip to its endpoints; 0: not known
 }
 
-// waits tells whether nothing has come of an attempt yet.
-func (a *Attempt) waits() bool { return !a.done && a.firstAt.IsZero() }
+// isUnanswered reports whether nothing was received for an attempt so far.
+func (a *Attempt) isUnanswered() bool { return !a.done && a.firstByteAt.IsZero() }
 
-// heard takes that something came from the zone.
-func (z *zoneWatch) heard(now time.Time) {
-	z.heardAt = now
-	z.dark, z.trial, z.length = false, nil, 0
+// recordReceived records that something was received from the zone.
+func (z *zoneWatch) recordReceived(now time.Time) {
+	z.lastReceivedAt = now
+	z.unreachable, z.trialAttempt, z.trialDelay = false, nil, 0
 }
 
-// sent notes a request to the zone.
-func (z *zoneWatch) sent(attempt *Attempt) {
-	if z.dark {
-		z.trial = attempt
+// addUnanswered adds an attempt sent to the zone.
+func (z *zoneWatch) addUnanswered(attempt *Attempt) {
+	if z.unreachable {
+		z.trialAttempt = attempt
 	}
 	z.prune()
 	z.unanswered = append(z.unanswered, attempt)
 }
 
-// prune leaves out the oldest requests that were answered or have ended, and all such where many stand behind one that waits.
+// prune removes the oldest attempts if they were answered or have ended, and all such attempts once the list is long
+// because the oldest one is still unanswered.
 func (z *zoneWatch) prune() {
-	kept := 0
-	for kept < len(z.unanswered) && !z.unanswered[kept].waits() {
-		kept++
+	answered := 0
+	for answered < len(z.unanswered) && !z.unanswered[answered].isUnanswered() {
+		answered++
 	}
-	z.unanswered = z.unanswered[kept:]
-	if len(z.unanswered) > darkLook {
-		z.unanswered = slices.DeleteFunc(z.unanswered, func(attempt *Attempt) bool { return !attempt.waits() })
+	z.unanswered = z.unanswered[answered:]
+	if len(z.unanswered) > maxUnansweredChecked {
+		z.unanswered = slices.DeleteFunc(z.unanswered, func(attempt *Attempt) bool { return !attempt.isUnanswered() })
 	}
 }
 
-// silent tells whether enough requests are overdue with nothing heard since they were sent: one of this relay's, and what others say.
-func (z *zoneWatch) silent(now time.Time) bool {
-	wanted := darkAfter
-	if z.doubted {
-		wanted = darkAfterDoubt
+// isSilent reports whether enough requests are overdue and nothing was received since they were sent. Those that
+// other relays report count too, but at least one must be this relay's own.
+func (z *zoneWatch) isSilent(now time.Time) bool {
+	required := minOverdue
+	if z.suspected {
+		required = minOverdueSuspected
 	}
 	z.prune()
-	found := 0
-	for _, attempt := range z.unanswered[:min(len(z.unanswered), darkLook)] {
-		if attempt.waits() && attempt.sentAt.After(z.heardAt) && now.After(attempt.overdueAt()) {
-			found++
+	overdue := 0
+	for _, attempt := range z.unanswered[:min(len(z.unanswered), maxUnansweredChecked)] {
+		if attempt.isUnanswered() && attempt.sentAt.After(z.lastReceivedAt) && now.After(attempt.overdueAt()) {
+			overdue++
 		}
 	}
-	return found > 0 && found+min(z.othersOverdue, wanted-1) >= wanted
+	return overdue > 0 && overdue+min(z.othersOverdue, required-1) >= required
 }
 
-// darken leaves the zone alone for a while, longer each time.
-func (z *zoneWatch) darken(now time.Time, random *rand.Rand) {
-	z.length = min(darkMost, max(darkFirst, time.Duration(float64(z.length)*darkGrowth)))
-	varied := time.Duration(float64(z.length) * (1 + skipJitter*(2*random.Float64()-1)))
-	z.dark, z.until, z.trial = true, now.Add(varied), nil
+// markUnreachable marks the zone as unreachable until the next trial, with a longer delay each time.
+func (z *zoneWatch) markUnreachable(now time.Time, random *rand.Rand) {
+	z.trialDelay = min(maxTrialDelay, max(firstTrialDelay, time.Duration(float64(z.trialDelay)*trialDelayGrowth)))
+	jittered := time.Duration(float64(z.trialDelay) * (1 + skipJitter*(2*random.Float64()-1)))
+	z.unreachable, z.trialAfter, z.trialAttempt = true, now.Add(jittered), nil
 }
 
-// watchOf finds or makes the record of a zone.
-func (s *Selector) watchOf(zone string) *zoneWatch {
-	watch := s.watches[zone]
+// zoneWatchFor returns the record of a zone, and creates it if there is none.
+func (s *Selector) zoneWatchFor(zone string) *zoneWatch {
+	watch := s.zoneWatches[zone]
 	if watch == nil {
 		watch = &zoneWatch{}
-		s.watches[zone] = watch
+		s.zoneWatches[zone] = watch
 	}
 	return watch
 }
 
-// SetDoubtedZones tells in which zones membership hears no process any more.
-func (s *Selector) SetDoubtedZones(doubted map[string]bool) {
-	for zone, watch := range s.watches {
-		watch.doubted = doubted[zone]
+// SetDoubtedZones sets the zones in which the membership protocol has no contact with any process.
+func (s *Selector) SetDoubtedZones(suspected map[string]bool) {
+	for zone, watch := range s.zoneWatches {
+		watch.suspected = suspected[zone]
 	}
 }
 
-// DarkZones lists the zones that are left alone since nothing comes from them, in order of the name.
+// DarkZones lists the unreachable zones, in order of their names.
 func (s *Selector) DarkZones() []string {
-	var dark []string
-	for zone, watch := range s.watches {
-		if watch.dark {
-			dark = append(dark, zone)
+	var unreachable []string
+	for zone, watch := range s.zoneWatches {
+		if watch.unreachable {
+			unreachable = append(unreachable, zone)
 		}
 	}
-	slices.Sort(dark)
-	return dark
+	slices.Sort(unreachable)
+	return unreachable
 }
 
-// zoneFree is when an endpoint may be sent something as far as its zone goes.
-func (s *Selector) zoneFree(now time.Time, endpoint *endpoint) time.Time {
+// zoneAdmitAt returns when an endpoint may be sent a request as far as its zone is concerned.
+func (s *Selector) zoneAdmitAt(now time.Time, endpoint *endpoint) time.Time {
 	watch := endpoint.watch
 	switch {
-	case !s.on(ZoneWatch):
+	case !s.enabled(ZoneWatch):
 		return now
-	case !watch.dark:
-		if watch.judgedAt.Equal(now) {
-			return now // looked at for another endpoint just now
+	case !watch.unreachable:
+		if watch.checkedAt.Equal(now) {
+			return now // already checked for another endpoint of the zone in this decision
 		}
-		watch.judgedAt = now
-		if !watch.silent(now) || !s.mayJudge(now, watch) {
+		watch.checkedAt = now
+		if !watch.isSilent(now) || !s.canBlameZone(now, watch) {
 			return now
 		}
-		watch.darken(now, s.random)
-	case now.Before(watch.until):
-	case watch.trial == nil:
+		watch.markUnreachable(now, s.random)
+	case now.Before(watch.trialAfter):
+	case watch.trialAttempt == nil:
 		return now
-	case !watch.trial.waits() || now.After(watch.trial.overdueAt()):
-		watch.darken(now, s.random) // the trial has failed, or is as good as failed
+	case !watch.trialAttempt.isUnanswered() || now.After(watch.trialAttempt.overdueAt()):
+		watch.markUnreachable(now, s.random) // the trial has ended without an answer, or is overdue
 	default:
-		return now.Add(retryLook)
+		return now.Add(recheckInterval)
 	}
-	return watch.until
+	return watch.trialAfter
 }
 
-// mayJudge tells whether silence is the zone's own: this process has not stood still, and hears others.
-func (s *Selector) mayJudge(now time.Time, judged *zoneWatch) bool {
-	if now.Sub(s.awakeSince) < settleAfter {
+// canBlameZone reports whether silence is due to the zone itself: this process was not stalled, and it receives
+// answers from other zones.
+func (s *Selector) canBlameZone(now time.Time, suspect *zoneWatch) bool {
+	if now.Sub(s.activeSince) < stallRecovery {
 		return false
 	}
-	for _, watch := range s.watches {
-		if watch != judged && now.Sub(watch.heardAt) < elsewhereWithin {
+	for _, watch := range s.zoneWatches {
+		if watch != suspect && now.Sub(watch.lastReceivedAt) < otherZoneWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// noteAwake notices that no decision was asked for in a while.
-func (s *Selector) noteAwake(now time.Time) {
-	if now.Sub(s.decidedAt) >= awayAfter {
-		s.awakeSince = now
+// detectStall records whether there was a long pause since the last decision.
+func (s *Selector) detectStall(now time.Time) {
+	if now.Sub(s.lastDecisionAt) >= stallThreshold {
+		s.activeSince = now
 	}
-	s.decidedAt = now
+	s.lastDecisionAt = now
 }
