--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,83 +1,85 @@
-// Package budget bounds what relays do on their own account: how often they send a request a second time, and how many requests
-// a cold endpoint gets. It is a pure state machine: the time is an argument, and the caller holds the lock.
+// Package budget limits retries, by a ratio of the requests of a service, and the rate of requests to cold endpoints. It is a pure
+// state machine: it takes the time as an argument, and the caller must hold a lock.
 package budget
 
 import "time"
 
-// buckets is how many parts a window is counted in. A part that lies half inside the window counts against the caller.
-const buckets = 50
+// windowBuckets is the number of buckets of a sliding window. A bucket that is only partly inside the window is counted to the
+// disadvantage of the caller: its retries count, its requests do not.
+const windowBuckets = 50
 
-// Options say what a RetryBudget allows.
+// Options are the settings of a RetryBudget.
 type Options struct {
-	Ratio  float64       // repeats for each request that the relay measured itself
-	Window time.Duration // the sliding window that the ratio holds for
+	Ratio  float64       // allowed retries for each request that this relay received
+	Window time.Duration // length of the sliding window for which the ratio holds
 }
 
-// RetryBudget bounds the arrivals at a service beyond the first of each request. In every window that ends with a repeat, the
-// repeats are at most the ratio times this relay's own requests, plus a slack that is leased to it. Since every relay keeps to its
-// own requests, the sum over all relays keeps the bound with no shared state.
+// RetryBudget limits the retries of the requests of each service. In every window that ends with a retry, the number of retries is at
+// most the ratio times the number of requests that this relay received, plus a slack leased to this relay. Since each relay counts only
+// its own requests, the limit holds for the sum over all relays without shared state.
 type RetryBudget struct {
-	options  Options
-	since    time.Time // of the first call
-	services map[string]*account
+	options   Options
+	startedAt time.Time // time of the first call; buckets are numbered from here
+	services  map[string]*serviceCounters
 }
 
-// account is what is counted for one service.
-type account struct {
+// serviceCounters holds the counts and the slack of one service.
+type serviceCounters struct {
 	requests counter
-	repeats  counter
+	retries  counter
 	slack    int
 }
 
-// NewRetryBudget returns a budget with nothing counted and no slack.
+// NewRetryBudget returns a budget without counted requests and without slack.
 func NewRetryBudget(options Options) *RetryBudget {
-	return &RetryBudget{options: options, services: map[string]*account{}}
+	return &RetryBudget{options: options, services: map[string]*serviceCounters{}}
 }
 
-// Request counts a client's request for a service.
+// Request counts a client request for a service.
 func (b *RetryBudget) Request(now time.Time, service string) {
-	b.account(service).requests.add(b.slot(now))
+	b.countersOf(service).requests.add(b.bucketAt(now))
 }
 
-// Take asks for one more arrival beyond the first, and counts it if the budget has room for it.
+// Take reports whether the budget of a service allows one more retry, and counts the retry if it does.
 func (b *RetryBudget) Take(now time.Time, service string) bool {
-	account, slot := b.account(service), b.slot(now)
-	room := int(b.options.Ratio*float64(account.requests.whole(slot))) + account.slack
-	if account.repeats.touched(slot) >= room {
+	counters, bucket := b.countersOf(service), b.bucketAt(now)
+	allowed := int(b.options.Ratio*float64(counters.requests.lowerBound(bucket))) + counters.slack
+	if counters.retries.upperBound(bucket) >= allowed {
 		return false
 	}
-	account.repeats.add(slot)
+	counters.retries.add(bucket)
 	return true
 }
 
-// SetSlack sets how many arrivals a service's owner has leased to this relay on top of the ratio, for any one window.
+// SetSlack sets the number of retries per window that the owner of a service has leased to this relay in addition to the ratio.
 func (b *RetryBudget) SetSlack(service string, slack int) {
-	b.account(service).slack = max(0, slack)
+	b.countersOf(service).slack = max(0, slack)
 }
 
-// Keep forgets the services that are not wanted any more.
-func (b *RetryBudget) Keep(wanted func(service string) bool) {
+// Keep drops the counts of all services for which isWanted returns false.
+func (b *RetryBudget) Keep(isWanted func(service string) bool) {
 	for service := range b.services {
-		if !wanted(service) {
+		if !isWanted(service) {
 			delete(b.services, service)
 		}
 	}
 }
 
-func (b *RetryBudget) account(service string) *account {
-	known := b.services[service]
-	if known == nil {
-		known = &account{}
-		b.services[service] = known
+// countersOf returns the counters of a service, and adds them if there are none yet.
+func (b *RetryBudget) countersOf(service string) *serviceCounters {
+	counters := b.services[service]
+	if counters == nil {
+		counters = &serviceCounters{}
+		b.services[service] = counters
 	}
-	return known
+	return counters
 }
 
-// slot is the number of the part of a window that a time lies in, counted from the first call: the time of day may be stepped, the
-// time between two calls is not.
-func (b *RetryBudget) slot(now time.Time) int64 {
-	if b.since.IsZero() {
-		b.since = now
+// bucketAt returns the number of the bucket that a time falls into. Buckets are numbered from the first call, by monotonic time, so that
+// a step of the wall clock does not matter.
+func (b *RetryBudget) bucketAt(now time.Time) int64 {
+	if b.startedAt.IsZero() {
+		b.startedAt = now
 	}
-	return int64(now.Sub(b.since)) / max(1, int64(b.options.Window)/buckets)
+	return int64(now.Sub(b.startedAt)) / max(1, int64(b.options.Window)/windowBuckets)
 }
--- a/internal/budget/counter.go
+++ b/internal/budget/counter.go
@@ -1,44 +1,46 @@
 package budget
 
-// counter counts events in the parts of a sliding window, in a ring with one part more than the window has.
+// counter counts events in the buckets of a sliding window, in a ring that has one bucket more than the window.
 type counter struct {
-	parts  [buckets + 1]uint32
-	newest int64 // slot of the newest part
+	buckets      [windowBuckets + 1]uint32
+	newestBucket int64 // number of the newest bucket
 }
 
-// advance empties the parts that have left the ring. A slot that lies before the newest counts as the newest.
-func (c *counter) advance(slot int64) {
-	if slot <= c.newest {
+// advance clears the buckets that have left the ring. A bucket before the newest one is treated as the newest.
+func (c *counter) advance(bucket int64) {
+	if bucket <= c.newestBucket {
 		return
 	}
-	if slot-c.newest > buckets {
-		c.parts = [buckets + 1]uint32{}
+	if bucket-c.newestBucket > windowBuckets {
+		c.buckets = [windowBuckets + 1]uint32{}
 	} else {
-		for passed := c.newest + 1; passed <= slot; passed++ {
-			c.parts[passed%(buckets+1)] = 0
+		for passed := c.newestBucket + 1; passed <= bucket; passed++ {
+			c.buckets[passed%(windowBuckets+1)] = 0
 		}
 	}
-	c.newest = slot
+	c.newestBucket = bucket
 }
 
-// add counts one event.
-func (c *counter) add(slot int64) {
-	c.advance(slot)
-	c.parts[c.newest%(buckets+1)]++
+// add counts an event in a bucket.
+func (c *counter) add(bucket int64) {
+	c.advance(bucket)
+	c.buckets[c.newestBucket%(windowBuckets+1)]++
 }
 
-// touched is the number of events in all parts that the window touches: never less than the window holds.
-func (c *counter) touched(slot int64) int {
-	c.advance(slot)
+// upperBound returns the number of events in all buckets that overlap the window that ends in a given bucket. It is never less than the
+// number of events in the window.
+func (c *counter) upperBound(bucket int64) int {
+	c.advance(bucket)
 	sum := 0
-	for _, part := range c.parts {
-		sum += int(part)
+	for _, count := range c.buckets {
+		sum += int(count)
 	}
 	return sum
 }
 
-// whole is the number of events in the parts that lie in the window as a whole: never more than the window holds.
-func (c *counter) whole(slot int64) int {
-	sum := c.touched(slot)
-	return sum - int(c.parts[(c.newest+1)%(buckets+1)])
+// lowerBound returns the number of events in the buckets that lie entirely inside the window that ends in a given bucket. It is never
+// more than the number of events in the window.
+func (c *counter) lowerBound(bucket int64) int {
+	sum := c.upperBound(bucket)
+	return sum - int(c.buckets[(c.newestBucket+1)%(windowBuckets+1)])
 }
--- a/internal/distribution/answer.go
+++ b/internal/distribution/answer.go
@@ -6,10 +6,11 @@
 	"wallflow/internal/distribution/feedpb"
 )
 
-// mostPerPart bounds the instances in one message: about 100 KB.
-const mostPerPart = 1000
+// maxInstancesPerPart is the maximum number of instances in one message, which then has about 100 KB.
+const maxInstancesPerPart = 1000
 
-// Receive takes in a message of the process whose internal address is from.
+// Receive processes a message from the process whose internal address is from. It ignores everything but subscriptions and
+// unsubscriptions.
 func (p *Publisher) Receive(now time.Time, from string, message *feedpb.FeedMessage) Output {
 	if message.GetUnsubscribe() != nil {
 		delete(p.subscribers, from)
@@ -20,14 +21,14 @@
 		return Output{}
 	}
 	p.raiseToken(request)
-	_, renewed := p.subscribers[from]
+	_, isRenewal := p.subscribers[from]
 	p.subscribers[from] = now
-	return p.answer(now, from, request, renewed)
+	return p.answer(now, from, request, isRenewal)
 }
 
-// raiseToken puts a home's token above one that the subscriber saw from another home.
+// raiseToken raises the fencing token of a home above a token that the subscriber has seen from another home.
 func (p *Publisher) raiseToken(request *feedpb.Subscribe) {
-	if p.token == 0 || request.GetTokenSource() == p.source {
+	if p.token == 0 || request.GetTokenSource() == p.life {
 		return
 	}
 	if request.GetTokenSeen() >= p.token {
@@ -35,23 +36,24 @@
 	}
 }
 
-// answer sends a subscriber what it lacks, with what is gathered for the next push, which then changes nothing there. One that renews and is where the publisher stands gets no answer. One that lags and lacks
-// nothing does: it has to learn that it lags no more.
-func (p *Publisher) answer(now time.Time, from string, request *feedpb.Subscribe, renewed bool) Output {
-	config := p.config.since(now, request.GetRevision())
+// answer sends a subscriber what it lacks, including changes that are still batched for the next push; that push then changes nothing at
+// the subscriber. A renewal by a subscriber that is up to date gets no answer. A subscriber whose position is old gets one even if there
+// are no changes for it, since it has to learn the current position.
+func (p *Publisher) answer(now time.Time, from string, request *feedpb.Subscribe, isRenewal bool) Output {
+	configUpdate := p.config.updateSince(now, request.GetRevision())
 	var updates []*feedpb.Update
 	if p.canResume(request) {
-		if renewed && request.GetSequence() == p.sequence && config == nil {
+		if isRenewal && request.GetSequence() == p.sequence && configUpdate == nil {
 			return Output{}
 		}
-		updates = p.split(now, p.order.since(request.GetSequence()))
+		updates = p.splitUpdate(now, p.changeOrder.changedSince(request.GetSequence()))
 		for _, update := range updates {
 			update.Base = request.GetSequence()
 		}
 	} else {
-		updates = p.listing(now, request.GetBuckets())
+		updates = p.listingUpdates(now, request.GetBuckets())
 	}
-	updates[0].Config = config
+	updates[0].Config = configUpdate
 	var output Output
 	for _, update := range updates {
 		answer := p.newMessage()
@@ -61,27 +63,27 @@
 	return output
 }
 
-// canResume says whether the changes after the subscriber's position are known.
+// canResume reports whether all changes after the position of the subscriber are still known.
 func (p *Publisher) canResume(request *feedpb.Subscribe) bool {
-	return request.GetSource() == p.source && len(request.GetBuckets()) == 0 &&
+	return request.GetSource() == p.life && len(request.GetBuckets()) == 0 &&
 		request.GetSequence() <= p.sequence && request.GetSequence() >= p.forgottenUpTo
 }
 
-// listing lists the instances of the buckets in which the subscriber holds something else.
-func (p *Publisher) listing(now time.Time, theirs []uint64) []*feedpb.Update {
+// listingUpdates returns updates that list all instances of the buckets in which the subscriber differs from the publisher.
+func (p *Publisher) listingUpdates(now time.Time, subscriberBuckets []uint64) []*feedpb.Update {
 	var same [bucketCount]bool
-	if len(theirs) == bucketCount {
+	if len(subscriberBuckets) == bucketCount {
 		for bucket := range bucketCount {
-			same[bucket] = theirs[bucket] == p.buckets[bucket]
+			same[bucket] = subscriberBuckets[bucket] == p.buckets[bucket]
 		}
 	}
-	var listed []*published
-	for known := p.order.first; known != nil; known = known.next {
+	var differing []*publishedInstance
+	for known := p.changeOrder.first; known != nil; known = known.next {
 		if !same[bucketOf(known.ID)] {
-			listed = append(listed, known)
+			differing = append(differing, known)
 		}
 	}
-	updates := p.split(now, listed)
+	updates := p.splitUpdate(now, differing)
 	for _, update := range updates {
 		update.Listing = true
 	}
--- a/internal/distribution/apply.go
+++ b/internal/distribution/apply.go
@@ -7,17 +7,17 @@
 	"wallflow/internal/registry"
 )
 
-// applyConfig takes in a newer state. It returns false where the steps don't follow on the revision held.
+// applyConfig applies a configuration update if it is newer. It returns false if the update can't be applied to the current document.
 func (s *Subscriber) applyConfig(now time.Time, update *feedpb.ConfigUpdate, output *Output) bool {
 	if update == nil || update.GetRevision() <= s.config.Revision {
 		return true
 	}
 	document, steps, err := s.newDocument(update)
 	if err != nil {
-		s.wantWhole = s.wantWhole || err.needsWhole
+		s.wantsFullDocument = s.wantsFullDocument || err.needsFullDocument
 		return false
 	}
-	s.wantWhole = false
+	s.wantsFullDocument = false
 	s.config = ConfigState{
 		Revision:   update.GetRevision(),
 		Generation: update.GetGeneration(),
@@ -37,32 +37,32 @@
 	return true
 }
 
-// stepError says why an update could not be applied to the document held.
+// stepError reports that an update could not be applied to the current document.
 type stepError struct {
-	needsWhole bool // asking for the steps again is no use
+	needsFullDocument bool // the full document must be requested, since the same steps would fail again
 }
 
-// newDocument returns the document after an update, and the steps that led to it.
+// newDocument returns the document after an update, and the steps that were applied. Steps up to the current revision are skipped.
 func (s *Subscriber) newDocument(update *feedpb.ConfigUpdate) ([]byte, []Step, *stepError) {
 	if update.GetWhole() {
 		return update.GetDocument(), nil, nil
 	}
 	document := s.config.Document
-	at := s.config.Revision
+	revision := s.config.Revision
 	var steps []Step
 	for _, step := range update.GetSteps() {
-		if step.GetRevision() <= at {
+		if step.GetRevision() <= revision {
 			continue
 		}
-		if step.GetBase() != at {
+		if step.GetBase() != revision {
 			return nil, nil, &stepError{}
 		}
-		patched, ok := s.patched(document, step.GetPatch())
+		patched, ok := s.applyPatch(document, step.GetPatch())
 		if !ok {
-			return nil, nil, s.needWhole()
+			return nil, nil, s.requireFullDocument()
 		}
 		document = patched
-		at = step.GetRevision()
+		revision = step.GetRevision()
 		steps = append(steps, Step{
 			Base:       step.GetBase(),
 			Revision:   step.GetRevision(),
@@ -70,52 +70,54 @@
 			Patch:      step.GetPatch(),
 		})
 	}
-	if at != update.GetRevision() {
+	if revision != update.GetRevision() {
 		return nil, nil, &stepError{}
 	}
 	if DocumentHash(document) != update.GetDocumentHash() {
-		return nil, nil, s.needWhole()
+		return nil, nil, s.requireFullDocument()
 	}
 	return document, steps, nil
 }
 
-func (s *Subscriber) needWhole() *stepError {
-	s.wholeUpdates++
-	return &stepError{needsWhole: true}
+// requireFullDocument returns the error for steps that failed, and counts it.
+func (s *Subscriber) requireFullDocument() *stepError {
+	s.fullDocumentRequests++
+	return &stepError{needsFullDocument: true}
 }
 
-// patched applies one patch.
-func (s *Subscriber) patched(document, patch []byte) (after []byte, ok bool) {
+// applyPatch applies the patch of one step. It returns false if the patch fails.
+func (s *Subscriber) applyPatch(document, patch []byte) (patched []byte, ok bool) {
 	if len(patch) == 0 {
 		return document, true
 	}
 	if s.options.ApplyPatch == nil {
 		return nil, false
 	}
-	after, err := s.options.ApplyPatch(document, patch)
-	return after, err == nil
+	patched, err := s.options.ApplyPatch(document, patch)
+	return patched, err == nil
 }
 
-// held is an instance at a subscriber.
-type held struct {
+// heldInstance is an instance as known to a subscriber.
+type heldInstance struct {
 	registry.Instance
-	listing   uint32 // number of the listing that it was last in
-	hash      uint64 // its part of the bucket
-	goneSince time.Time
+	listingNumber uint32 // number of the last listing that contained it
+	contentHash   uint64 // contribution to the digest of its bucket
+	goneSince     time.Time
 }
 
-// applyInstances takes in the instances of an update. With opinion, what the sender thinks of their silence counts too.
-func (s *Subscriber) applyInstances(now time.Time, update *feedpb.Update, opinion bool, output *Output) {
-	if opinion && update.GetListing() && update.GetPart() == 0 {
-		s.markListed(update.GetSameBuckets())
+// applyInstances applies the instances of an update. If the update is authoritative, that is, from the current source and not outdated, the
+// sender also decides which instances are silent or expired and which are listed.
+func (s *Subscriber) applyInstances(now time.Time, update *feedpb.Update, authoritative bool, output *Output) {
+	if authoritative && update.GetListing() && update.GetPart() == 0 {
+		s.markSameBuckets(update.GetSameBuckets())
 	}
-	for _, told := range update.GetInstances() {
-		s.applyInstance(now, registry.FromWire(now, told), opinion, output)
+	for _, received := range update.GetInstances() {
+		s.applyInstance(now, registry.FromWire(now, received), authoritative, output)
 	}
 }
 
-// markListed notes that the source holds the instances of these buckets as this process does.
-func (s *Subscriber) markListed(sameBuckets []uint32) {
+// markSameBuckets marks the instances of these buckets as listed, since the source holds the same.
+func (s *Subscriber) markSameBuckets(sameBuckets []uint32) {
 	if len(sameBuckets) == 0 {
 		return
 	}
@@ -127,113 +129,116 @@
 	}
 	for id, known := range s.instances {
 		if same[bucketOf(id)] {
-			known.listing = s.listing
+			known.listingNumber = s.listingNumber
 		}
 	}
 }
 
-// applyInstance takes in what is said of one instance. What the instance said itself never goes back: neither to an older
-// heartbeat, nor from draining to ready, nor from gone to anything. Silence is an opinion that goes with the source.
-func (s *Subscriber) applyInstance(now time.Time, told registry.Instance, opinion bool, output *Output) {
-	known := s.instances[told.ID]
+// applyInstance applies a received instance. The state that the instance reported itself never goes back: neither to an older heartbeat,
+// nor from draining to ready, nor from gone to anything else. Whether it is silent is a judgement of the source, and changes with it.
+func (s *Subscriber) applyInstance(now time.Time, received registry.Instance, authoritative bool, output *Output) {
+	known := s.instances[received.ID]
 	if known == nil {
-		s.addInstance(now, told, opinion, output)
+		s.addInstance(now, received, authoritative, output)
 		return
 	}
-	if opinion {
-		known.listing = s.listing
+	if authoritative {
+		known.listingNumber = s.listingNumber
 	}
 	if known.Final() {
 		return
 	}
-	before := known.Instance
-	known.takeDescription(told)
-	known.takeState(told, opinion)
-	s.settleInstance(now, known, before, output)
+	previous := known.Instance
+	known.mergeDescription(received)
+	known.mergeState(received, authoritative)
+	s.recordChange(now, known, previous, output)
 }
 
-// addInstance takes in an instance that wasn't known. One that is gone is remembered, so that a late message can't bring it
-// back; others are taken from the source alone.
-func (s *Subscriber) addInstance(now time.Time, told registry.Instance, opinion bool, output *Output) {
-	if told.ID == "" || !opinion && !told.Final() {
+// addInstance adds an instance that was not known. An instance that is gone is remembered, so that a late message can't bring it back;
+// any other is added only if the update is authoritative.
+func (s *Subscriber) addInstance(now time.Time, received registry.Instance, authoritative bool, output *Output) {
+	if received.ID == "" || !authoritative && !received.Final() {
 		return
 	}
-	added := &held{Instance: told}
-	if opinion {
-		added.listing = s.listing
+	added := &heldInstance{Instance: received}
+	if authoritative {
+		added.listingNumber = s.listingNumber
 	}
-	s.instances[told.ID] = added
-	s.settleInstance(now, added, registry.Instance{ID: told.ID, State: registry.StateGone}, output)
+	s.instances[received.ID] = added
+	s.recordChange(now, added, registry.Instance{ID: received.ID, State: registry.StateGone}, output)
 }
 
-// takeDescription takes over a newer description.
-func (h *held) takeDescription(told registry.Instance) {
+// mergeDescription merges a received instance, without its state: the newest description and heartbeat and the furthest reported state.
+func (h *heldInstance) mergeDescription(received registry.Instance) {
 	state, reported, seq := h.State, h.Reported, h.Seq
-	if told.ChangedSeq > h.ChangedSeq {
-		h.Instance = told
+	if received.ChangedSeq > h.ChangedSeq {
+		h.Instance = received
 	}
 	h.State = state
-	h.Reported = registry.Furthest(reported, told.Reported)
-	h.Seq = max(seq, told.Seq)
+	h.Reported = registry.Furthest(reported, received.Reported)
+	h.Seq = max(seq, received.Seq)
 }
 
-// takeState sets the state by what the instance said itself and, with opinion, by what the source thinks of its silence.
-func (h *held) takeState(told registry.Instance, opinion bool) {
+// mergeState sets the state from what the instance reported itself and, if the update is authoritative, from whether the source considers
+// it silent or gone.
+func (h *heldInstance) mergeState(received registry.Instance, authoritative bool) {
 	switch {
 	case h.Reported == registry.StateGone:
 		h.State = registry.StateGone
-	case opinion && (told.State == registry.StateSilent || told.State == registry.StateGone):
-		h.State = told.State
-	case opinion || h.State == registry.StateReady:
+	case authoritative && (received.State == registry.StateSilent || received.State == registry.StateGone):
+		h.State = received.State
+	case authoritative || h.State == registry.StateReady:
 		h.State = h.Reported
 	}
 }
 
-// settleInstance brings the bucket up to date and tells of a change.
-func (s *Subscriber) settleInstance(now time.Time, known *held, before registry.Instance, output *Output) {
-	hash := registry.ContentHash(known.Instance, known.State)
-	s.buckets.replace(known.ID, known.hash, hash)
-	known.hash = hash
-	wasGone, isGone := before.State == registry.StateGone, known.State == registry.StateGone
+// recordChange updates the digest of the bucket and, if the instance has changed, adds it to the output.
+func (s *Subscriber) recordChange(now time.Time, known *heldInstance, previous registry.Instance, output *Output) {
+	contentHash := registry.ContentHash(known.Instance, known.State)
+	s.buckets.replace(known.ID, known.contentHash, contentHash)
+	known.contentHash = contentHash
+	wasGone, isGone := previous.State == registry.StateGone, known.State == registry.StateGone
 	if isGone && (!wasGone || known.goneSince.IsZero()) {
 		known.goneSince = now
 	}
-	if wasGone && isGone || known.SameAs(before) {
+	if wasGone && isGone || known.SameAs(previous) {
 		return
 	}
 	output.InstancesChanged = append(output.InstancesChanged, known.Instance)
 }
 
-// dropUnlisted drops the instances that the source doesn't list, once it had time to learn of all and some more.
+// dropUnlisted marks the instances that the source does not list as gone. It does so once per listing, when the source has been current and
+// complete for UnlistedRetention.
 func (s *Subscriber) dropUnlisted(now time.Time, output *Output) {
 	source := s.current
-	if source == nil || s.dropped == s.listing || !s.Fresh(now) || !source.complete || source.gap {
+	if source == nil || s.droppedListing == s.listingNumber || !s.Fresh(now) || !source.complete || source.hasGap {
 		return
 	}
-	if now.Sub(later(source.since, source.completeSince)) < s.options.KeepUnlisted {
+	if now.Sub(later(source.startedAt, source.completeSince)) < s.options.UnlistedRetention {
 		return
 	}
-	s.dropped = s.listing
+	s.droppedListing = s.listingNumber
 	for _, known := range s.instances {
-		if known.listing == s.listing || known.State == registry.StateGone {
+		if known.listingNumber == s.listingNumber || known.State == registry.StateGone {
 			continue
 		}
-		before := known.Instance
+		previous := known.Instance
 		known.State = registry.StateGone
-		s.settleInstance(now, known, before, output)
+		s.recordChange(now, known, previous, output)
 	}
 }
 
+// forgetGoneInterval is the time between two runs of forgetGone.
 const forgetGoneInterval = 5 * time.Second
 
-// forget forgets instances that are long gone.
-func (s *Subscriber) forget(now time.Time) {
-	if now.Sub(s.lastForget) < forgetGoneInterval {
+// forgetGone removes instances that have been gone for TombstoneRetention.
+func (s *Subscriber) forgetGone(now time.Time) {
+	if now.Sub(s.lastForgetAt) < forgetGoneInterval {
 		return
 	}
-	s.lastForget = now
+	s.lastForgetAt = now
 	for id, known := range s.instances {
-		if known.State == registry.StateGone && now.Sub(known.goneSince) >= s.options.Tombstone {
+		if known.State == registry.StateGone && now.Sub(known.goneSince) >= s.options.TombstoneRetention {
 			delete(s.instances, id)
 		}
 	}
--- a/internal/distribution/capacity_test.go
+++ b/internal/distribution/capacity_test.go
@@ -13,13 +13,13 @@
 	"wallflow/internal/registry"
 )
 
-// targetInstances and targetRelays are the size that the system is to grow to.
+// targetInstances and targetRelays are the size for which the system is designed.
 const (
 	targetInstances = 12000
 	targetRelays    = 860
 )
 
-// fleetInstances lists as many endpoints as the target has, in 118 zones.
+// fleetInstances returns targetInstances instances, in 118 zones.
 func fleetInstances() []registry.Instance {
 	instances := make([]registry.Instance, 0, targetInstances)
 	for index := range targetInstances {
@@ -40,21 +40,21 @@
 	return instances
 }
 
-// listingSizes returns the bytes of messages, plain and compressed.
-func listingSizes(sends []Send) (plain, small int) {
+// listingSizes returns the total size of messages in bytes, plain and compressed.
+func listingSizes(sends []Send) (plain, compressed int) {
 	for _, send := range sends {
 		encoded, _ := proto.Marshal(send.Message)
-		var out bytes.Buffer
-		writer, _ := flate.NewWriter(&out, flate.BestSpeed)
+		var buffer bytes.Buffer
+		writer, _ := flate.NewWriter(&buffer, flate.BestSpeed)
 		_, _ = writer.Write(encoded)
 		_ = writer.Close()
 		plain += len(encoded)
-		small += out.Len()
+		compressed += buffer.Len()
 	}
-	return plain, small
+	return plain, compressed
 }
 
-// BenchmarkListingAtTargetSize is what a relay that starts takes in: time, bytes and memory for all instances.
+// BenchmarkListingAtTargetSize measures the time, the bytes and the memory by which a starting relay learns of all instances.
 func BenchmarkListingAtTargetSize(b *testing.B) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	publisher := NewPublisher("life", now)
@@ -67,11 +67,11 @@
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		subscriber = NewSubscriber(SubscriberOptions{Self: "relay"}, now)
-		asked := subscriber.SetSources(now, []string{"control"})
-		answer := publisher.Receive(now, "relay", asked.Sends[0].Message)
-		plain, small := listingSizes(answer.Sends)
+		subscription := subscriber.SetSources(now, []string{"control"})
+		answer := publisher.Receive(now, "relay", subscription.Sends[0].Message)
+		plain, compressed := listingSizes(answer.Sends)
 		b.ReportMetric(float64(plain), "bytes")
-		b.ReportMetric(float64(small), "bytes-compressed")
+		b.ReportMetric(float64(compressed), "bytes-compressed")
 		for _, send := range answer.Sends {
 			subscriber.Receive(now, "control", send.Message)
 		}
@@ -83,13 +83,13 @@
 	runtime.KeepAlive(subscriber)
 }
 
-// BenchmarkOneChangeToAllRelays is what one change of an endpoint costs a publisher that feeds every relay itself.
+// BenchmarkOneChangeToAllRelays measures the cost of one change of an endpoint for a publisher that has all relays as subscribers.
 func BenchmarkOneChangeToAllRelays(b *testing.B) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	publisher := NewPublisher("life", now)
 	instances := fleetInstances()
 	publisher.SetInstances(now, instances)
-	publisher.Tick(now.Add(time.Second)) // sends what was gathered, to nobody yet
+	publisher.Tick(now.Add(time.Second)) // flushes the batch while there are no subscribers
 	for relay := range targetRelays {
 		publisher.subscribers[fmt.Sprint("relay-", relay)] = now
 	}
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -20,333 +20,333 @@
 	gone     = registry.StateGone
 )
 
-func list(instances ...registry.Instance) []registry.Instance { return instances }
+func instanceList(instances ...registry.Instance) []registry.Instance { return instances }
 
-// calmWorld has two control processes and a relay that prefers the first.
-func calmWorld() (*world, *Subscriber) {
-	w := newWorld()
-	w.addControl("c1")
-	w.addControl("c2")
-	w.setConfig(wholeUpdate(1, "one"), "c1", "c2")
-	w.setInstances(list(instanceOf("1", ready, 1), instanceOf("2", ready, 1)), "c1", "c2")
-	relay := w.addRelay("r1", "c1", "c2")
-	w.run(time.Second)
-	return w, relay
+// newTwoControlSimulation returns a simulation with two control processes and a relay that prefers the first.
+func newTwoControlSimulation() (*simulation, *Subscriber) {
+	sim := newSimulation()
+	sim.addControl("c1")
+	sim.addControl("c2")
+	sim.setConfig(fullUpdate(1, "one"), "c1", "c2")
+	sim.setInstances(instanceList(instanceOf("1", ready, 1), instanceOf("2", ready, 1)), "c1", "c2")
+	relay := sim.addRelay("r1", "c1", "c2")
+	sim.run(time.Second)
+	return sim, relay
 }
 
 func TestNewSubscriberLearnsAll(t *testing.T) {
-	w, relay := calmWorld()
+	sim, relay := newTwoControlSimulation()
 	assert.Equal(t, relay.Source(), "c1")
-	assert.Assert(t, relay.Fresh(w.now))
+	assert.Assert(t, relay.Fresh(sim.now))
 	assert.Assert(t, relay.Complete())
 	assert.Equal(t, string(relay.Config().Document), "one")
 	assert.Equal(t, relay.Config().Generation, uint64(10))
 	assert.Equal(t, len(relay.Instances()), 2)
-	assert.Assert(t, w.outputs["r1"].ConfigChanged)
-	assert.Equal(t, len(w.outputs["r1"].InstancesChanged), 2)
+	assert.Assert(t, sim.outputs["r1"].ConfigChanged)
+	assert.Equal(t, len(sim.outputs["r1"].InstancesChanged), 2)
 }
 
-func TestDrainArrivesAtOnce(t *testing.T) {
-	w, relay := calmWorld()
-	w.setInstances(list(instanceOf("1", draining, 2)), "c1")
-	w.run(testLatency)
+func TestDrainIsPushedImmediately(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	sim.setInstances(instanceList(instanceOf("1", draining, 2)), "c1")
+	sim.run(testLatency)
 	assert.Equal(t, stateAt(relay, "1"), draining)
 }
 
-func TestChangesThatAreNotUrgentAreGathered(t *testing.T) {
-	w, relay := calmWorld()
-	publisher := w.publishers["c1"]
-	w.setInstances(list(instanceOf("3", ready, 1)), "c1")
+func TestNonUrgentChangesAreBatched(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	publisher := sim.publishers["c1"]
+	sim.setInstances(instanceList(instanceOf("3", ready, 1)), "c1")
 	sequence := publisher.sequence
 	for index := range 10 {
-		w.setInstances(list(instanceOf(fmt.Sprint(10+index), ready, 1)), "c1")
+		sim.setInstances(instanceList(instanceOf(fmt.Sprint(10+index), ready, 1)), "c1")
 	}
 	assert.Equal(t, publisher.sequence, sequence)
-	w.run(150 * time.Millisecond)
+	sim.run(150 * time.Millisecond)
 	assert.Equal(t, publisher.sequence, sequence+1)
 	assert.Equal(t, len(relay.Instances()), 13)
 }
 
 func TestPatchIsSentAsAPatch(t *testing.T) {
-	w, relay := calmWorld()
-	update := w.publishers["c1"].SetConfig(w.now, patchUpdate(1, 2, "one", "+two")).Sends[0].Message.GetUpdate()
+	sim, relay := newTwoControlSimulation()
+	update := sim.publishers["c1"].SetConfig(sim.now, patchUpdate(1, 2, "one", "+two")).Sends[0].Message.GetUpdate()
 	assert.Assert(t, !update.GetConfig().GetWhole())
-	w.take("", relay.Receive(w.now, "c1", &feedpb.FeedMessage{Source: w.publishers["c1"].source, Update: update}))
+	sim.handleOutput("", relay.Receive(sim.now, "c1", &feedpb.FeedMessage{Source: sim.publishers["c1"].life, Update: update}))
 	assert.Equal(t, string(relay.Config().Document), "one+two")
-	assert.Equal(t, relay.WholeUpdates(), 0)
+	assert.Equal(t, relay.FullDocumentRequests(), 0)
 }
 
 func TestSubscriberThatMissedPatchesGetsThem(t *testing.T) {
-	w, relay := calmWorld()
-	w.down["r1"] = true
-	w.setConfig(patchUpdate(1, 2, "one", "+two"), "c1", "c2")
-	w.setConfig(patchUpdate(2, 5, "one+two", "+five"), "c1", "c2")
-	w.down["r1"] = false
-	w.run(time.Second)
+	sim, relay := newTwoControlSimulation()
+	sim.down["r1"] = true
+	sim.setConfig(patchUpdate(1, 2, "one", "+two"), "c1", "c2")
+	sim.setConfig(patchUpdate(2, 5, "one+two", "+five"), "c1", "c2")
+	sim.down["r1"] = false
+	sim.run(time.Second)
 	assert.Equal(t, string(relay.Config().Document), "one+two+five")
 	assert.Equal(t, relay.Config().Revision, uint64(5))
-	assert.Equal(t, relay.WholeUpdates(), 0)
+	assert.Equal(t, relay.FullDocumentRequests(), 0)
 }
 
-func TestPatchThatFailsOrDiffersIsReplacedByTheWhole(t *testing.T) {
+func TestFailedPatchFallsBackToFullDocument(t *testing.T) {
 	for _, patch := range []string{"!", "+two"} {
-		w, relay := calmWorld()
+		sim, relay := newTwoControlSimulation()
 		update := patchUpdate(1, 2, "one", patch)
 		update.Document = []byte("something else that is longer than the patch")
-		w.setConfig(update, "c1", "c2")
-		w.run(500 * time.Millisecond)
+		sim.setConfig(update, "c1", "c2")
+		sim.run(500 * time.Millisecond)
 		assert.Equal(t, string(relay.Config().Document), "something else that is longer than the patch")
-		assert.Equal(t, relay.WholeUpdates(), 1)
+		assert.Equal(t, relay.FullDocumentRequests(), 1)
 	}
 }
 
 func TestEvacuationDoesNotSendTheDocumentAgain(t *testing.T) {
-	w, relay := calmWorld()
-	update := wholeUpdate(2, "one")
+	sim, relay := newTwoControlSimulation()
+	update := fullUpdate(2, "one")
 	update.Evacuated = []Evacuation{{Zone: "hall-a", Revision: 2}}
-	update.Restored = []Restoration{{Zone: "hall-b", Revision: 1, At: w.now.Add(-3 * time.Second)}}
-	sends := w.publishers["c1"].SetConfig(w.now, update).Sends
+	update.Restored = []Restoration{{Zone: "hall-b", Revision: 1, At: sim.now.Add(-3 * time.Second)}}
+	sends := sim.publishers["c1"].SetConfig(sim.now, update).Sends
 	assert.Assert(t, !sends[0].Message.GetUpdate().GetConfig().GetWhole())
-	w.takeFrom("c1", sends)
-	w.run(testLatency)
+	sim.sendAll("c1", sends)
+	sim.run(testLatency)
 	config := relay.Config()
 	assert.DeepEqual(t, config.Evacuated, update.Evacuated)
 	assert.Equal(t, config.Restored[0].Zone, "hall-b")
-	assert.Equal(t, config.Restored[0].At, w.now.Add(-3*time.Second))
+	assert.Equal(t, config.Restored[0].At, sim.now.Add(-3*time.Second))
 	assert.Equal(t, string(config.Document), "one")
 }
 
 func TestRevisionNeverGoesBack(t *testing.T) {
-	w, relay := calmWorld()
-	w.setConfig(wholeUpdate(7, "seven"), "c1")
-	w.run(100 * time.Millisecond)
-	w.down["c1"] = true
-	w.run(3 * time.Second)
+	sim, relay := newTwoControlSimulation()
+	sim.setConfig(fullUpdate(7, "seven"), "c1")
+	sim.run(100 * time.Millisecond)
+	sim.down["c1"] = true
+	sim.run(3 * time.Second)
 	assert.Equal(t, relay.Source(), "c2")
 	assert.Equal(t, relay.Config().Revision, uint64(7))
 	assert.Equal(t, string(relay.Config().Document), "seven")
-	assert.Assert(t, !w.publishers["c2"].SetConfig(w.now, wholeUpdate(1, "one")).ConfigChanged)
+	assert.Assert(t, !sim.publishers["c2"].SetConfig(sim.now, fullUpdate(1, "one")).ConfigChanged)
 }
 
 func TestSubscriberLeavesASilentSource(t *testing.T) {
-	w, relay := calmWorld()
-	w.down["c1"] = true
-	w.run(1900 * time.Millisecond)
+	sim, relay := newTwoControlSimulation()
+	sim.down["c1"] = true
+	sim.run(1900 * time.Millisecond)
 	assert.Equal(t, relay.Source(), "c2")
-	assert.Assert(t, relay.Fresh(w.now))
+	assert.Assert(t, relay.Fresh(sim.now))
 }
 
-func TestSubscriberLeavesASourceThatIsCutOff(t *testing.T) {
-	w, relay := calmWorld()
-	w.publishers["c1"].SetFresh(false)
-	w.run(800 * time.Millisecond)
+func TestSubscriberLeavesASourceWithoutMajority(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	sim.publishers["c1"].SetFresh(false)
+	sim.run(800 * time.Millisecond)
 	assert.Equal(t, relay.Source(), "c2")
-	assert.Assert(t, relay.Fresh(w.now))
+	assert.Assert(t, relay.Fresh(sim.now))
 }
 
-func TestSubscriberStaysWhereNoSourceIsBetter(t *testing.T) {
-	w, relay := calmWorld()
-	w.publishers["c1"].SetFresh(false)
-	w.publishers["c2"].SetFresh(false)
-	w.run(10 * time.Second)
+func TestSubscriberKeepsItsSourceIfNoneIsBetter(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	sim.publishers["c1"].SetFresh(false)
+	sim.publishers["c2"].SetFresh(false)
+	sim.run(10 * time.Second)
 	assert.Assert(t, relay.Source() != "")
-	assert.Assert(t, !relay.Fresh(w.now))
-	w.setInstances(list(instanceOf("1", draining, 2)), "c1", "c2")
-	w.run(100 * time.Millisecond)
-	assert.Equal(t, stateAt(relay, "1"), draining, "what a source that is cut off knows counts all the same")
-	w.publishers["c1"].SetFresh(true)
-	w.publishers["c2"].SetFresh(true)
-	w.run(time.Second)
-	assert.Assert(t, relay.Fresh(w.now))
+	assert.Assert(t, !relay.Fresh(sim.now))
+	sim.setInstances(instanceList(instanceOf("1", draining, 2)), "c1", "c2")
+	sim.run(100 * time.Millisecond)
+	assert.Equal(t, stateAt(relay, "1"), draining, "changes known to a source without contact to the majority are applied all the same")
+	sim.publishers["c1"].SetFresh(true)
+	sim.publishers["c2"].SetFresh(true)
+	sim.run(time.Second)
+	assert.Assert(t, relay.Fresh(sim.now))
 }
 
 func TestSubscriberReturnsToTheBestSource(t *testing.T) {
-	w, relay := calmWorld()
-	w.down["c1"] = true
-	w.run(3 * time.Second)
-	w.down["c1"] = false
-	w.run(5 * time.Second)
-	assert.Equal(t, relay.Source(), "c2", "not at once")
-	w.run(20 * time.Second)
+	sim, relay := newTwoControlSimulation()
+	sim.down["c1"] = true
+	sim.run(3 * time.Second)
+	sim.down["c1"] = false
+	sim.run(5 * time.Second)
+	assert.Equal(t, relay.Source(), "c2", "not immediately")
+	sim.run(20 * time.Second)
 	assert.Equal(t, relay.Source(), "c1")
-	assert.Equal(t, w.publishers["c2"].Subscribers(), 0)
+	assert.Equal(t, sim.publishers["c2"].Subscribers(), 0)
 }
 
-func TestSubscriberDoesNotReturnToASourceThatIsStillFilling(t *testing.T) {
-	w, relay := calmWorld()
-	w.down["c1"] = true
-	w.run(3 * time.Second)
-	w.down["c1"] = false
-	w.addControl("c1").SetComplete(false)
-	w.run(25 * time.Second)
+func TestSubscriberDoesNotReturnToAnIncompleteSource(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	sim.down["c1"] = true
+	sim.run(3 * time.Second)
+	sim.down["c1"] = false
+	sim.addControl("c1").SetComplete(false)
+	sim.run(25 * time.Second)
 	assert.Equal(t, relay.Source(), "c2")
 }
 
-func TestRestartedControlThatKnowsNothingTakesNothingAway(t *testing.T) {
-	w, relay := calmWorld()
-	w.down["c2"] = true
-	restarted := w.addControl("c1")
+func TestRestartedControlRemovesNothingUntilComplete(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	sim.down["c2"] = true
+	restarted := sim.addControl("c1")
 	restarted.SetComplete(false)
-	w.run(20 * time.Second)
+	sim.run(20 * time.Second)
 	assert.Equal(t, relay.Source(), "c1")
 	assert.Equal(t, len(relay.Instances()), 2)
 	assert.Equal(t, string(relay.Config().Document), "one")
-	w.setInstances(list(instanceOf("1", ready, 9)), "c1")
+	sim.setInstances(instanceList(instanceOf("1", ready, 9)), "c1")
 	restarted.SetComplete(true)
-	w.run(4 * time.Second)
+	sim.run(4 * time.Second)
 	assert.Equal(t, len(relay.Instances()), 2, "kept for a while")
-	w.run(3 * time.Second)
+	sim.run(3 * time.Second)
 	assert.Equal(t, len(relay.Instances()), 1)
 	assert.Equal(t, stateAt(relay, "1"), ready)
-	w.setInstances(list(instanceOf("2", ready, 9)), "c1")
-	w.run(time.Second)
-	assert.Equal(t, stateAt(relay, "2"), ready, "what was dropped may be listed later")
+	sim.setInstances(instanceList(instanceOf("2", ready, 9)), "c1")
+	sim.run(time.Second)
+	assert.Equal(t, stateAt(relay, "2"), ready, "a dropped instance may be listed later")
 }
 
-func TestInstancesThatAreTheSameAreNotSentAgain(t *testing.T) {
-	w, relay := calmWorld()
+func TestIdenticalInstancesAreNotSentAgain(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
 	request := Output{}
-	relay.ask(w.now, &source{address: "c2"}, &request)
-	answer := w.publishers["c2"].Receive(w.now, "r1", request.Sends[0].Message).Sends[0].Message.GetUpdate()
+	relay.subscribe(sim.now, &source{address: "c2"}, &request)
+	answer := sim.publishers["c2"].Receive(sim.now, "r1", request.Sends[0].Message).Sends[0].Message.GetUpdate()
 	assert.Equal(t, len(answer.GetInstances()), 0)
 	assert.Equal(t, len(answer.GetSameBuckets()), bucketCount)
 	assert.Assert(t, answer.GetConfig() == nil)
-	w.down["c1"] = true
-	w.run(20 * time.Second)
+	sim.down["c1"] = true
+	sim.run(20 * time.Second)
 	assert.Equal(t, len(relay.Instances()), 2, "they count as listed")
 }
 
-func TestLostPushIsNoticedAndAskedFor(t *testing.T) {
-	w, relay := calmWorld()
-	w.down["r1"] = true
-	w.setInstances(list(instanceOf("1", draining, 2)), "c1")
-	w.setConfig(wholeUpdate(2, "two"), "c1")
-	w.down["r1"] = false
-	w.run(600 * time.Millisecond)
+func TestLostPushIsDetectedAndRequested(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	sim.down["r1"] = true
+	sim.setInstances(instanceList(instanceOf("1", draining, 2)), "c1")
+	sim.setConfig(fullUpdate(2, "two"), "c1")
+	sim.down["r1"] = false
+	sim.run(600 * time.Millisecond)
 	assert.Equal(t, stateAt(relay, "1"), draining)
 	assert.Equal(t, relay.Config().Revision, uint64(2))
 }
 
-// TestLostPushOfInstancesIsNoticedByTheDigest loses the only message that tells of a drain.
-func TestLostPushOfInstancesIsNoticedByTheDigest(t *testing.T) {
-	w, relay := calmWorld()
-	w.publishers["c1"].SetInstances(w.now, list(instanceOf("1", draining, 2)))
-	w.run(600 * time.Millisecond)
+// The only message about a drain is lost. The next digest shows the gap.
+func TestLostPushOfInstancesIsDetectedByDigest(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	sim.publishers["c1"].SetInstances(sim.now, instanceList(instanceOf("1", draining, 2)))
+	sim.run(600 * time.Millisecond)
 	assert.Equal(t, stateAt(relay, "1"), draining)
 }
 
-// TestLostPushIsNoticedByTheNextPush loses a message and lets the next one come.
-func TestLostPushIsNoticedByTheNextPush(t *testing.T) {
-	w, relay := calmWorld()
-	w.run(450 * time.Millisecond) // so that the next question is due
-	w.publishers["c1"].SetInstances(w.now, list(instanceOf("1", draining, 2)))
-	w.setInstances(list(instanceOf("2", draining, 2)), "c1")
-	w.run(3 * testLatency)
+// A push is lost and the next one arrives, which shows the gap.
+func TestLostPushIsDetectedByNextPush(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	sim.run(450 * time.Millisecond) // so that a request for what is missing is due
+	sim.publishers["c1"].SetInstances(sim.now, instanceList(instanceOf("1", draining, 2)))
+	sim.setInstances(instanceList(instanceOf("2", draining, 2)), "c1")
+	sim.run(3 * testLatency)
 	assert.Equal(t, stateAt(relay, "1"), draining)
-	assert.Equal(t, relay.current.sequence, w.publishers["c1"].sequence)
+	assert.Equal(t, relay.current.sequence, sim.publishers["c1"].sequence)
 }
 
-func TestLostPatchIsAskedForAndNotReplacedByTheWhole(t *testing.T) {
-	w, relay := calmWorld()
-	w.publishers["c1"].SetConfig(w.now, patchUpdate(1, 2, "one", "+2"))
-	w.setConfig(patchUpdate(2, 3, "one+2", "+3"), "c1")
-	w.run(600 * time.Millisecond)
+func TestLostPatchIsRequestedWithoutFullDocument(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	sim.publishers["c1"].SetConfig(sim.now, patchUpdate(1, 2, "one", "+2"))
+	sim.setConfig(patchUpdate(2, 3, "one+2", "+3"), "c1")
+	sim.run(600 * time.Millisecond)
 	assert.Equal(t, string(relay.Config().Document), "one+2+3")
-	assert.Equal(t, relay.WholeUpdates(), 0)
+	assert.Equal(t, relay.FullDocumentRequests(), 0)
 }
 
-func TestRestartedPublisherDoesNotResumeTheLifeBefore(t *testing.T) {
-	w, relay := calmWorld()
-	w.setInstances(list(instanceOf("3", ready, 1)), "c1")
-	w.run(100 * time.Millisecond)
-	w.now = w.now.Add(time.Millisecond)
-	w.addControl("c1")
+func TestRestartedPublisherDoesNotResumeItsPreviousLife(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	sim.setInstances(instanceList(instanceOf("3", ready, 1)), "c1")
+	sim.run(100 * time.Millisecond)
+	sim.now = sim.now.Add(time.Millisecond)
+	sim.addControl("c1")
 	for index := range 5 {
-		w.setInstances(list(instanceOf(fmt.Sprint(20+index), draining, 1)), "c1")
+		sim.setInstances(instanceList(instanceOf(fmt.Sprint(20+index), draining, 1)), "c1")
 	}
-	var asked Output
-	relay.ask(w.now, relay.current, &asked)
-	w.take("r1", asked)
-	w.run(600 * time.Millisecond)
+	var request Output
+	relay.subscribe(sim.now, relay.current, &request)
+	sim.handleOutput("r1", request)
+	sim.run(600 * time.Millisecond)
 	for index := range 5 {
 		assert.Equal(t, stateAt(relay, fmt.Sprint(20+index)), draining)
 	}
 }
 
-func TestRepeatedPushBringsNoOldOpinionBack(t *testing.T) {
-	w, relay := calmWorld()
-	old := w.publishers["c1"].SetInstances(w.now, list(instanceOf("1", silent, 1))).Sends
-	w.takeFrom("c1", old)
-	w.run(testLatency)
+func TestRepeatedPushDoesNotRestoreOldSilence(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	old := sim.publishers["c1"].SetInstances(sim.now, instanceList(instanceOf("1", silent, 1))).Sends
+	sim.sendAll("c1", old)
+	sim.run(testLatency)
 	assert.Equal(t, stateAt(relay, "1"), silent)
-	w.setInstances(list(instanceOf("1", ready, 1)), "c1")
-	w.run(100 * time.Millisecond)
+	sim.setInstances(instanceList(instanceOf("1", ready, 1)), "c1")
+	sim.run(100 * time.Millisecond)
 	assert.Equal(t, stateAt(relay, "1"), ready)
-	w.takeFrom("c1", old)
-	w.run(testLatency)
+	sim.sendAll("c1", old)
+	sim.run(testLatency)
 	assert.Equal(t, stateAt(relay, "1"), ready)
 }
 
-func TestPushesInTheWrongOrderAreMended(t *testing.T) {
-	w, relay := calmWorld()
-	first := w.publishers["c1"].SetInstances(w.now, list(instanceOf("1", silent, 2))).Sends
-	second := w.publishers["c1"].SetInstances(w.now, list(instanceOf("1", draining, 3))).Sends
-	w.takeFrom("c1", second)
-	w.run(testLatency)
-	w.takeFrom("c1", first)
-	w.run(testLatency)
-	w.run(time.Second)
+func TestReorderedPushesAreRepaired(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	first := sim.publishers["c1"].SetInstances(sim.now, instanceList(instanceOf("1", silent, 2))).Sends
+	second := sim.publishers["c1"].SetInstances(sim.now, instanceList(instanceOf("1", draining, 3))).Sends
+	sim.sendAll("c1", second)
+	sim.run(testLatency)
+	sim.sendAll("c1", first)
+	sim.run(testLatency)
+	sim.run(time.Second)
 	assert.Equal(t, stateAt(relay, "1"), draining)
-	assert.Equal(t, relay.current.sequence, w.publishers["c1"].sequence)
+	assert.Equal(t, relay.current.sequence, sim.publishers["c1"].sequence)
 }
 
 func TestGoneStaysGone(t *testing.T) {
-	w, relay := calmWorld()
-	w.setInstances(list(instanceOf("1", gone, 3)), "c1")
-	w.run(100 * time.Millisecond)
-	w.setInstances(list(instanceOf("1", ready, 9)), "c1")
-	w.run(time.Second)
+	sim, relay := newTwoControlSimulation()
+	sim.setInstances(instanceList(instanceOf("1", gone, 3)), "c1")
+	sim.run(100 * time.Millisecond)
+	sim.setInstances(instanceList(instanceOf("1", ready, 9)), "c1")
+	sim.run(time.Second)
 	assert.Equal(t, stateAt(relay, "1"), gone)
-	w.down["c1"] = true
-	w.run(10 * time.Second)
+	sim.down["c1"] = true
+	sim.run(10 * time.Second)
 	assert.Equal(t, relay.Source(), "c2")
-	assert.Equal(t, stateAt(relay, "1"), gone, "though c2 still lists it")
+	assert.Equal(t, stateAt(relay, "1"), gone, "although c2 still lists it")
 }
 
 func TestExpiredInstanceComesBack(t *testing.T) {
-	w, relay := calmWorld()
+	sim, relay := newTwoControlSimulation()
 	expired := instanceOf("1", gone, 1)
 	expired.Reported = ready
-	w.setInstances(list(expired), "c1")
-	w.run(100 * time.Millisecond)
+	sim.setInstances(instanceList(expired), "c1")
+	sim.run(100 * time.Millisecond)
 	assert.Equal(t, stateAt(relay, "1"), gone)
-	w.setInstances(list(instanceOf("1", ready, 1)), "c1")
-	w.run(200 * time.Millisecond)
+	sim.setInstances(instanceList(instanceOf("1", ready, 1)), "c1")
+	sim.run(200 * time.Millisecond)
 	assert.Equal(t, stateAt(relay, "1"), ready)
 }
 
-func TestSilenceIsTheOpinionOfTheSource(t *testing.T) {
-	w, relay := calmWorld()
-	w.setInstances(list(instanceOf("1", silent, 50)), "c1")
-	w.run(100 * time.Millisecond)
+func TestSilentStateComesFromTheCurrentSource(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	sim.setInstances(instanceList(instanceOf("1", silent, 50)), "c1")
+	sim.run(100 * time.Millisecond)
 	assert.Equal(t, stateAt(relay, "1"), silent)
-	w.down["c1"] = true
-	w.run(2 * time.Second)
+	sim.down["c1"] = true
+	sim.run(2 * time.Second)
 	assert.Equal(t, relay.Source(), "c2")
 	assert.Equal(t, stateAt(relay, "1"), ready, "c2 never missed it")
 }
 
-func TestLongListingComesInPartsAndALostOneIsNoticed(t *testing.T) {
-	w := newWorld()
-	w.addControl("c1")
-	const count = 2*mostPerPart + 5
-	var many []registry.Instance
+func TestLostPartOfALongListingIsDetected(t *testing.T) {
+	sim := newSimulation()
+	sim.addControl("c1")
+	const count = 2*maxInstancesPerPart + 5
+	var instances []registry.Instance
 	for index := range count {
-		many = append(many, instanceOf(fmt.Sprint(index), ready, 1))
+		instances = append(instances, instanceOf(fmt.Sprint(index), ready, 1))
 	}
-	w.setInstances(many, "c1")
+	sim.setInstances(instances, "c1")
 	sent := 0
-	w.fate = func(from, _ string) []time.Duration {
+	sim.deliveryDelays = func(from, _ string) []time.Duration {
 		if from == "c1" {
 			sent++
 		}
@@ -355,65 +355,65 @@
 		}
 		return []time.Duration{testLatency}
 	}
-	relay := w.addRelay("r1", "c1")
-	w.run(50 * time.Millisecond)
-	assert.Assert(t, !relay.Fresh(w.now))
+	relay := sim.addRelay("r1", "c1")
+	sim.run(50 * time.Millisecond)
+	assert.Assert(t, !relay.Fresh(sim.now))
 	assert.Assert(t, len(relay.Instances()) < count)
-	w.run(time.Second)
+	sim.run(time.Second)
 	assert.Equal(t, len(relay.Instances()), count)
-	assert.Assert(t, relay.Fresh(w.now))
+	assert.Assert(t, relay.Fresh(sim.now))
 }
 
-func TestDifferenceThatLastsIsMended(t *testing.T) {
-	w, relay := calmWorld()
+func TestLastingDifferenceIsRepaired(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
 	known := relay.instances["1"]
-	known.State = silent // as though something had gone wrong
+	known.State = silent // simulates an inconsistency
 	var output Output
-	relay.settleInstance(w.now, known, instanceOf("1", ready, 1), &output)
-	w.run(4 * time.Second)
+	relay.recordChange(sim.now, known, instanceOf("1", ready, 1), &output)
+	sim.run(4 * time.Second)
 	assert.Equal(t, stateAt(relay, "1"), silent)
-	w.run(3 * time.Second)
+	sim.run(3 * time.Second)
 	assert.Equal(t, stateAt(relay, "1"), ready)
 }
 
-func TestOwnAbsenceIsNotTheSourcesSilence(t *testing.T) {
-	w, relay := calmWorld()
-	w.now = w.now.Add(10 * time.Second)
-	assert.Assert(t, !relay.Fresh(w.now))
-	w.take("r1", relay.Tick(w.now))
+func TestOwnPauseIsNotSilenceOfTheSource(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	sim.now = sim.now.Add(10 * time.Second)
+	assert.Assert(t, !relay.Fresh(sim.now))
+	sim.handleOutput("r1", relay.Tick(sim.now))
 	assert.Assert(t, relay.candidate == nil)
 	assert.Equal(t, relay.Source(), "c1")
 }
 
-func TestSubscriberThatVanishedIsForgotten(t *testing.T) {
-	w, _ := calmWorld()
-	w.down["r1"] = true
-	w.run(12 * time.Second)
-	assert.Equal(t, w.publishers["c1"].Subscribers(), 0)
+func TestVanishedSubscriberExpires(t *testing.T) {
+	sim, _ := newTwoControlSimulation()
+	sim.down["r1"] = true
+	sim.run(12 * time.Second)
+	assert.Equal(t, sim.publishers["c1"].Subscribers(), 0)
 }
 
 func TestForgottenInstancesForceAListing(t *testing.T) {
-	w, _ := calmWorld()
-	w.setInstances(list(instanceOf("1", gone, 2)), "c1")
-	w.run(time.Second)
-	old := &feedpb.Subscribe{Source: w.publishers["c1"].source, Sequence: 1, Revision: 1}
-	assert.Assert(t, w.publishers["c1"].canResume(old))
-	w.run(70 * time.Second)
-	assert.Equal(t, len(w.publishers["c1"].instances), 1)
-	assert.Assert(t, !w.publishers["c1"].canResume(old))
-}
-
-func TestSourcesThatChangeAreFollowed(t *testing.T) {
-	w, relay := calmWorld()
-	w.take("r1", relay.SetSources(w.now, []string{"c2"}))
-	w.run(300 * time.Millisecond)
+	sim, _ := newTwoControlSimulation()
+	sim.setInstances(instanceList(instanceOf("1", gone, 2)), "c1")
+	sim.run(time.Second)
+	old := &feedpb.Subscribe{Source: sim.publishers["c1"].life, Sequence: 1, Revision: 1}
+	assert.Assert(t, sim.publishers["c1"].canResume(old))
+	sim.run(70 * time.Second)
+	assert.Equal(t, len(sim.publishers["c1"].instances), 1)
+	assert.Assert(t, !sim.publishers["c1"].canResume(old))
+}
+
+func TestSubscriberFollowsChangedSources(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	sim.handleOutput("r1", relay.SetSources(sim.now, []string{"c2"}))
+	sim.run(300 * time.Millisecond)
 	assert.Equal(t, relay.Source(), "c2")
-	w.take("r1", relay.SetSources(w.now, nil))
-	w.run(300 * time.Millisecond)
-	assert.Equal(t, relay.Source(), "c2", "kept for want of another")
+	sim.handleOutput("r1", relay.SetSources(sim.now, nil))
+	sim.run(300 * time.Millisecond)
+	assert.Equal(t, relay.Source(), "c2", "kept since there is no other")
 }
 
-func TestCallsWithoutSourcesAskForNothing(t *testing.T) {
+func TestSubscriberWithoutSourcesSendsNothing(t *testing.T) {
 	relay := NewSubscriber(SubscriberOptions{Self: "r1"}, start)
 	assert.Equal(t, len(relay.Tick(start).Sends), 0)
 	assert.Equal(t, relay.Source(), "")
@@ -421,128 +421,129 @@
 	assert.Assert(t, !relay.Complete())
 }
 
-func TestQuietDigestIsSmall(t *testing.T) {
-	w, _ := calmWorld()
+func TestIdleDigestIsSmall(t *testing.T) {
+	sim, _ := newTwoControlSimulation()
 	var sends []Send
 	for len(sends) == 0 {
-		w.now = w.now.Add(100 * time.Millisecond)
-		sends = w.publishers["c1"].Tick(w.now).Sends
+		sim.now = sim.now.Add(100 * time.Millisecond)
+		sends = sim.publishers["c1"].Tick(sim.now).Sends
 	}
 	size := proto.Size(sends[0].Message)
 	assert.Assert(t, size < 64, "%d bytes", size)
 }
 
-func TestSettledSubscriberAsksForLittle(t *testing.T) {
-	w, relay := calmWorld()
-	asked := 0
+func TestIdleSubscriberSendsFewMessages(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	sent := 0
 	for range 100 {
-		w.now = w.now.Add(100 * time.Millisecond)
-		for _, send := range w.publishers["c1"].Tick(w.now).Sends {
-			relay.Receive(w.now, "c1", send.Message)
+		sim.now = sim.now.Add(100 * time.Millisecond)
+		for _, send := range sim.publishers["c1"].Tick(sim.now).Sends {
+			relay.Receive(sim.now, "c1", send.Message)
 		}
-		sends := relay.Tick(w.now).Sends
-		asked += len(sends)
+		sends := relay.Tick(sim.now).Sends
+		sent += len(sends)
 		for _, send := range sends {
-			w.publishers[send.To].Receive(w.now, "r1", send.Message)
+			sim.publishers[send.To].Receive(sim.now, "r1", send.Message)
 		}
 	}
-	assert.Assert(t, asked <= 6, "%d messages in 10 s", asked)
-	assert.Assert(t, slices.Equal(relay.ordered, []string{"c1", "c2"}))
+	assert.Assert(t, sent <= 6, "%d messages in 10 s", sent)
+	assert.Assert(t, slices.Equal(relay.sources, []string{"c1", "c2"}))
 }
 
-// A subscriber that missed a push and has what was in it from elsewhere asks where its source stands, and is told: else it would take
-// itself for behind for good, and drop nothing that the source doesn't list.
-func TestSubscriberThatLagsAndLacksNothingIsTold(t *testing.T) {
-	w, relay := calmWorld()
-	w.fate = func(_, _ string) []time.Duration { return nil }
-	w.setConfig(wholeUpdate(2, "two"), "c1")
-	w.fate = nil
+// A subscriber misses a push, but gets its content from another process. It must learn the current position of its source nevertheless:
+// otherwise it keeps its gap, and never drops what the source does not list.
+func TestLaggingSubscriberLearnsItsPosition(t *testing.T) {
+	sim, relay := newTwoControlSimulation()
+	sim.deliveryDelays = func(_, _ string) []time.Duration { return nil }
+	sim.setConfig(fullUpdate(2, "two"), "c1")
+	sim.deliveryDelays = nil
 	elsewhere := &feedpb.FeedMessage{Source: "c2", Update: &feedpb.Update{Config: &feedpb.ConfigUpdate{
 		Revision: 2, Generation: 20, Whole: true, Document: []byte("two"),
 	}}}
-	w.take("r1", relay.Receive(w.now, "c2", elsewhere))
-	w.run(2 * time.Second)
+	sim.handleOutput("r1", relay.Receive(sim.now, "c2", elsewhere))
+	sim.run(2 * time.Second)
 	assert.Equal(t, relay.Config().Revision, uint64(2))
-	assert.Equal(t, relay.current.sequence, w.publishers["c1"].sequence)
-	assert.Assert(t, !relay.current.gap)
+	assert.Equal(t, relay.current.sequence, sim.publishers["c1"].sequence)
+	assert.Assert(t, !relay.current.hasGap)
 }
 
-// What an endpoint said of itself does not go back, whoever tells of it later: neither to an older nor to a newer word of being ready.
-func TestDrainingIsNeverTakenBack(t *testing.T) {
+// An instance that has reported draining never becomes ready again, neither by an older nor by a newer heartbeat.
+func TestDrainingIsNeverReverted(t *testing.T) {
 	for _, seq := range []uint64{1, 2, 3} {
-		w, relay := calmWorld()
-		w.setInstances(list(instanceOf("1", draining, 2)), "c1", "c2")
-		w.run(testLatency)
+		sim, relay := newTwoControlSimulation()
+		sim.setInstances(instanceList(instanceOf("1", draining, 2)), "c1", "c2")
+		sim.run(testLatency)
 		assert.Equal(t, stateAt(relay, "1"), draining)
-		w.setInstances(list(instanceOf("1", ready, seq)), "c1", "c2")
-		w.run(time.Second)
+		sim.setInstances(instanceList(instanceOf("1", ready, seq)), "c1", "c2")
+		sim.run(time.Second)
 		assert.Equal(t, stateAt(relay, "1"), draining)
 	}
 }
 
-// Steps that overlap what is held already are applied from where they go on.
-func TestStepsThatOverlapWhatIsHeldAreApplied(t *testing.T) {
-	joined := func(document, patch []byte) ([]byte, error) {
+// Steps up to the current revision are skipped, and the later ones are applied.
+func TestOverlappingStepsAreApplied(t *testing.T) {
+	appendText := func(document, patch []byte) ([]byte, error) {
 		return append(document[:len(document):len(document)], patch...), nil
 	}
-	s := NewSubscriber(SubscriberOptions{Self: "r", ApplyPatch: joined}, time.Unix(1000, 0))
-	s.config = ConfigState{Revision: 2, Document: []byte("two")}
+	subscriber := NewSubscriber(SubscriberOptions{Self: "r", ApplyPatch: appendText}, time.Unix(1000, 0))
+	subscriber.config = ConfigState{Revision: 2, Document: []byte("two")}
 	step := func(base uint64, patch string) *feedpb.ConfigStep {
 		return &feedpb.ConfigStep{Base: base, Revision: base + 1, Generation: base + 1, Patch: []byte(patch)}
 	}
-	document, steps, problem := s.newDocument(&feedpb.ConfigUpdate{Revision: 4, DocumentHash: DocumentHash([]byte("two three four")), Steps: []*feedpb.ConfigStep{
-		step(1, " never"), step(2, " three"), step(3, " four"),
-	}})
-	assert.Assert(t, problem == nil)
+	document, steps, stepErr := subscriber.newDocument(&feedpb.ConfigUpdate{Revision: 4,
+		DocumentHash: DocumentHash([]byte("two three four")), Steps: []*feedpb.ConfigStep{
+			step(1, " never"), step(2, " three"), step(3, " four"),
+		}})
+	assert.Assert(t, stepErr == nil)
 	assert.Equal(t, string(document), "two three four")
 	assert.Equal(t, len(steps), 2)
 }
 
-// Steps lead from one revision to another only if each goes on where the one before ends, and forward.
-func TestStepsFrom(t *testing.T) {
+// Steps lead from one revision to another only if each starts where the previous one ends, and moves forward.
+func TestStepsBetween(t *testing.T) {
 	chain := []Step{{Base: 1, Revision: 2}, {Base: 2, Revision: 4}}
-	assert.Equal(t, len(stepsFrom(chain, 1, 4)), 2)
-	assert.Equal(t, len(stepsFrom(chain, 2, 4)), 1)
-	assert.Assert(t, stepsFrom(chain, 1, 2) == nil)
-	assert.Assert(t, stepsFrom(chain, 3, 4) == nil)
-	assert.Assert(t, stepsFrom([]Step{{Base: 1, Revision: 1}, {Base: 1, Revision: 2}}, 1, 2) == nil)
-	assert.Assert(t, stepsFrom([]Step{{Base: 1, Revision: 2}, {Base: 3, Revision: 4}}, 1, 4) == nil)
+	assert.Equal(t, len(stepsBetween(chain, 1, 4)), 2)
+	assert.Equal(t, len(stepsBetween(chain, 2, 4)), 1)
+	assert.Assert(t, stepsBetween(chain, 1, 2) == nil)
+	assert.Assert(t, stepsBetween(chain, 3, 4) == nil)
+	assert.Assert(t, stepsBetween([]Step{{Base: 1, Revision: 1}, {Base: 1, Revision: 2}}, 1, 2) == nil)
+	assert.Assert(t, stepsBetween([]Step{{Base: 1, Revision: 2}, {Base: 3, Revision: 4}}, 1, 4) == nil)
 }
 
-// A publisher that is handed a state it has, or an older one, tells nobody anything.
+// A publisher sends nothing when it is given its current state or an older one.
 func TestStateThatIsNotNewerIsNotPublished(t *testing.T) {
-	w, _ := calmWorld()
-	publisher := w.publishers["c1"]
+	sim, _ := newTwoControlSimulation()
+	publisher := sim.publishers["c1"]
 	held := publisher.config.state.Revision
 	assert.Assert(t, held > 0)
 	for _, revision := range []uint64{held, held - 1} {
-		output := publisher.SetConfig(w.now, wholeUpdate(revision, "other"))
+		output := publisher.SetConfig(sim.now, fullUpdate(revision, "other"))
 		assert.Equal(t, len(output.Sends), 0)
 		assert.Equal(t, publisher.config.state.Revision, held)
 	}
 }
 
-// Changes that are not urgent are gathered also while many subscribers ask for something: each question is answered, and no question has the
-// changes sent to all.
-func TestQuestionsDoNotSendWhatIsGathered(t *testing.T) {
+// Changes that are not urgent stay batched while many subscribers send requests: each request is answered, and none causes a push to all.
+func TestSubscriptionsDoNotFlushTheBatch(t *testing.T) {
 	const subscribers, rounds = 50, 20
 	now := time.Unix(1000, 0)
-	p := NewPublisher("life", now)
-	ask := func(subscriber int) Output {
-		holdsNothing := &feedpb.Subscribe{Buckets: make([]uint64, bucketCount)}
-		return p.Receive(now, fmt.Sprint("r", subscriber), &feedpb.FeedMessage{Subscribe: holdsNothing})
+	publisher := NewPublisher("life", now)
+	subscribe := func(subscriber int) Output {
+		emptySubscription := &feedpb.Subscribe{Buckets: make([]uint64, bucketCount)}
+		return publisher.Receive(now, fmt.Sprint("r", subscriber), &feedpb.FeedMessage{Subscribe: emptySubscription})
 	}
 	for subscriber := range subscribers {
-		ask(subscriber)
+		subscribe(subscriber)
 	}
 	pushed := 0
 	for round := range rounds {
-		now = now.Add(gatherFor / 10)
-		pushed += len(p.SetInstances(now, list(instanceOf(fmt.Sprint(round), ready, 1))).Sends)
-		sends := ask(round % subscribers).Sends
+		now = now.Add(batchDelay / 10)
+		pushed += len(publisher.SetInstances(now, instanceList(instanceOf(fmt.Sprint(round), ready, 1))).Sends)
+		sends := subscribe(round % subscribers).Sends
 		pushed += len(sends) - 1
-		told := sends[len(sends)-1].Message.GetUpdate().GetInstances()
-		assert.Equal(t, len(told), round+1, "the answer holds what is gathered as well")
+		answered := sends[len(sends)-1].Message.GetUpdate().GetInstances()
+		assert.Equal(t, len(answered), round+1, "the answer includes the batched changes")
 	}
-	assert.Assert(t, pushed <= subscribers*(rounds/10+1), "%d messages to %d subscribers in %d tenths of the time of gathering", pushed, subscribers, rounds)
+	assert.Assert(t, pushed <= subscribers*(rounds/10+1), "%d messages to %d subscribers in %d tenths of batchDelay",
+		pushed, subscribers, rounds)
 }
--- a/internal/distribution/example_test.go
+++ b/internal/distribution/example_test.go
@@ -8,7 +8,7 @@
 	"wallflow/internal/registry"
 )
 
-// A relay subscribes to a control process, and is told of a departure at once.
+// A relay subscribes to a control process and learns immediately that an instance is draining.
 func Example() {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	control := distribution.NewPublisher("life-1", now)
--- a/internal/distribution/hints.go
+++ b/internal/distribution/hints.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	hintKey            = "hints"
-	defaultHintsOfPeer = 512
-	defaultHintPeers   = 64
-	defaultHintAge     = 2 * time.Minute
+	// hintKey is the rendezvous hashing key by which the holder of hints is chosen.
+	hintKey             = "hints"
+	defaultHintsPerPeer = 512
+	defaultHintPeers    = 64
+	defaultHintAge      = 2 * time.Minute
 )
 
-// HintKeeper returns the member that keeps the hints for a peer that is away: its named neighbour, the same one at every
-// process that knows the same members. It returns "" where there is no other member.
-func HintKeeper(peer string, members []string) string {
+// HintHolder returns the member that stores the hints for an unreachable peer. It is the same at every process that knows the same members.
+// It returns "" if there is no other member.
+func HintHolder(peer string, members []string) string {
 	others := make([]string, 0, len(members))
 	for _, member := range members {
 		if member != peer {
@@ -27,98 +28,98 @@
 	return Home(peer, others, hintKey)
 }
 
-// HintOptions bound a store of hints. Fields left at zero get their defaults.
+// HintOptions limit a store of hints. Zero fields get their defaults.
 type HintOptions struct {
-	PerPeer int           // instances kept for one peer
-	Peers   int           // peers that something is kept for
-	Age     time.Duration // hints older than that are of no use: the peer compares everything instead
+	MaxPerPeer int           // instances stored for one peer
+	MaxPeers   int           // peers with stored hints
+	MaxAge     time.Duration // hints older than this are dropped: a peer that returns later compares all instances anyway
 }
 
 func (o HintOptions) withDefaults() HintOptions {
-	if o.PerPeer == 0 {
-		o.PerPeer = defaultHintsOfPeer
+	if o.MaxPerPeer == 0 {
+		o.MaxPerPeer = defaultHintsPerPeer
 	}
-	if o.Peers == 0 {
-		o.Peers = defaultHintPeers
+	if o.MaxPeers == 0 {
+		o.MaxPeers = defaultHintPeers
 	}
-	o.Age = cmp.Or(o.Age, defaultHintAge)
+	o.MaxAge = cmp.Or(o.MaxAge, defaultHintAge)
 	return o
 }
 
-// Hints keeps, for peers that are away, the departures of instances and the newest revision that they must get (hinted
-// handoff). It isn't safe for use by several goroutines at once.
+// Hints stores, for peers that are unreachable, which instances are leaving and the newest configuration revision, to be delivered when the
+// peers return (hinted handoff). It is not safe for concurrent use.
 type Hints struct {
 	options HintOptions
-	peers   map[string]*hints
+	peers   map[string]*peerHints
 }
 
-// hints is what is kept for one peer.
-type hints struct {
+// peerHints holds the hints stored for one peer.
+type peerHints struct {
 	instances  map[string]registry.Instance
 	revision   uint64
-	overflowed bool // not all could be kept
-	since      time.Time
+	overflowed bool      // some instances were not stored, for want of capacity
+	since      time.Time // time of the first hint
 }
 
 // NewHints returns an empty store.
 func NewHints(options HintOptions) *Hints {
-	return &Hints{options: options.withDefaults(), peers: make(map[string]*hints)}
+	return &Hints{options: options.withDefaults(), peers: make(map[string]*peerHints)}
 }
 
-// Keep keeps what a peer that is away misses: the instances that leave, of those that changed, and the newest revision. It
-// returns false where the store has no room for another peer.
-func (h *Hints) Keep(now time.Time, peer string, changed []registry.Instance, revision uint64) bool {
-	kept := h.peers[peer]
-	if kept == nil {
-		if len(h.peers) >= h.options.Peers {
+// Store stores what an unreachable peer misses: those changed instances that are draining or gone, and the newest revision. It returns
+// false if the limit of peers is reached.
+func (h *Hints) Store(now time.Time, peer string, changed []registry.Instance, revision uint64) bool {
+	hints := h.peers[peer]
+	if hints == nil {
+		if len(h.peers) >= h.options.MaxPeers {
 			return false
 		}
-		kept = &hints{instances: make(map[string]registry.Instance), since: now}
-		h.peers[peer] = kept
+		hints = &peerHints{instances: make(map[string]registry.Instance), since: now}
+		h.peers[peer] = hints
 	}
-	kept.revision = max(kept.revision, revision)
+	hints.revision = max(hints.revision, revision)
 	for _, instance := range changed {
 		if instance.Reported != registry.StateReady {
-			kept.keep(instance, h.options.PerPeer)
+			hints.store(instance, h.options.MaxPerPeer)
 		}
 	}
 	return true
 }
 
-// keep keeps one departure, unless a later one of the instance is kept already.
-func (h *hints) keep(instance registry.Instance, most int) {
-	before, known := h.instances[instance.ID]
-	if !known && len(h.instances) >= most {
+// store stores an instance that is leaving, unless a later state of it is stored already.
+func (h *peerHints) store(instance registry.Instance, limit int) {
+	existing, known := h.instances[instance.ID]
+	if !known && len(h.instances) >= limit {
 		h.overflowed = true
 		return
 	}
-	if known && registry.Furthest(before.Reported, instance.Reported) != instance.Reported {
+	if known && registry.Furthest(existing.Reported, instance.Reported) != instance.Reported {
 		return
 	}
 	h.instances[instance.ID] = instance
 }
 
-// HandOver takes out what was kept for a peer that has returned, as a message to it; nil: nothing was kept.
-func (h *Hints) HandOver(now time.Time, peer string) *feedpb.FeedMessage {
-	kept := h.peers[peer]
-	if kept == nil {
+// TakeHandoff removes the hints for a peer that has returned and gives them as a message to it, or nil if there are none.
+func (h *Hints) TakeHandoff(now time.Time, peer string) *feedpb.FeedMessage {
+	hints := h.peers[peer]
+	if hints == nil {
 		return nil
 	}
 	delete(h.peers, peer)
-	handoff := &feedpb.Handoff{Revision: kept.revision, Overflowed: kept.overflowed}
-	for _, instance := range kept.instances {
+	handoff := &feedpb.Handoff{Revision: hints.revision, Overflowed: hints.overflowed}
+	for _, instance := range hints.instances {
 		handoff.Instances = append(handoff.Instances, registry.ToWire(now, instance))
 	}
 	return &feedpb.FeedMessage{Handoff: handoff}
 }
 
-// Waiting returns the number of peers that something is kept for.
-func (h *Hints) Waiting() int { return len(h.peers) }
+// PeerCount returns the number of peers with stored hints.
+func (h *Hints) PeerCount() int { return len(h.peers) }
 
-// Tick drops what is too old.
+// Tick drops hints that are older than MaxAge.
 func (h *Hints) Tick(now time.Time) {
-	for peer, kept := range h.peers {
-		if now.Sub(kept.since) >= h.options.Age {
+	for peer, hints := range h.peers {
+		if now.Sub(hints.since) >= h.options.MaxAge {
 			delete(h.peers, peer)
 		}
 	}
--- a/internal/distribution/history.go
+++ b/internal/distribution/history.go
@@ -7,25 +7,27 @@
 	"wallflow/internal/distribution/feedpb"
 )
 
+// maxSteps and maxStepBytes bound the steps that a history keeps, and the total size of their patches.
 const (
-	mostSteps     = 64
-	mostStepBytes = 256 << 10
+	maxSteps     = 64
+	maxStepBytes = 256 << 10
 )
 
-// configHistory is the newest state at a publisher, with the steps that led to it as far as they are kept.
+// configHistory is the newest configuration state at a publisher, with the latest steps that led to it.
 type configHistory struct {
 	state     ConfigState
 	hash      uint64 // of the document
-	steps     []Step // each follows on the one before; the last one leads to state
-	stepBytes int
+	steps     []Step // contiguous; the last one leads to state
+	stepBytes int    // total size of the patches
 }
 
-// take takes in a newer state. It returns false for one that isn't newer.
-func (h *configHistory) take(update Update) bool {
+// add sets a newer state. It returns false, and changes nothing, if the state isn't newer. Steps that do not lead from the current state to
+// the new one are dropped with those before them, unless the document is unchanged.
+func (h *configHistory) add(update Update) bool {
 	if update.Revision <= h.state.Revision {
 		return false
 	}
-	steps := stepsFrom(update.Steps, h.state.Revision, update.Revision)
+	steps := stepsBetween(update.Steps, h.state.Revision, update.Revision)
 	if steps == nil && h.state.Revision != 0 && bytes.Equal(h.state.Document, update.Document) {
 		unchanged := Step{Base: h.state.Revision, Revision: update.Revision, Generation: update.Generation}
 		steps = []Step{unchanged}
@@ -37,7 +39,7 @@
 		h.steps = append(h.steps, step)
 		h.stepBytes += len(step.Patch)
 	}
-	for len(h.steps) > mostSteps || h.stepBytes > mostStepBytes {
+	for len(h.steps) > maxSteps || h.stepBytes > maxStepBytes {
 		h.stepBytes -= len(h.steps[0].Patch)
 		h.steps = h.steps[1:]
 	}
@@ -46,20 +48,20 @@
 	return true
 }
 
-// stepsFrom returns the steps that lead from one revision to another without a gap; nil: they don't.
-func stepsFrom(steps []Step, from, to uint64) []Step {
+// stepsBetween returns the steps that lead from one revision to another without a gap, or nil if the steps do not.
+func stepsBetween(steps []Step, from, to uint64) []Step {
 	for first := range steps {
 		if steps[first].Base != from {
 			continue
 		}
-		at := from
+		revision := from
 		for _, step := range steps[first:] {
-			if step.Base != at || step.Revision <= step.Base {
+			if step.Base != revision || step.Revision <= step.Base {
 				return nil
 			}
-			at = step.Revision
+			revision = step.Revision
 		}
-		if at != to {
+		if revision != to {
 			return nil
 		}
 		return steps[first:]
@@ -67,9 +69,10 @@
 	return nil
 }
 
-// since returns what a process that holds a revision lacks; nil: nothing.
-func (h *configHistory) since(now time.Time, held uint64) *feedpb.ConfigUpdate {
-	if held >= h.state.Revision {
+// updateSince returns the update for a process that holds a revision, or nil if it lacks nothing. The update contains the full document if
+// the steps from that revision are not known, or are larger.
+func (h *configHistory) updateSince(now time.Time, heldRevision uint64) *feedpb.ConfigUpdate {
+	if heldRevision >= h.state.Revision {
 		return nil
 	}
 	message := &feedpb.ConfigUpdate{
@@ -78,8 +81,8 @@
 		DocumentHash: h.hash,
 	}
 	h.addZones(now, message)
-	steps := stepsFrom(h.steps, held, h.state.Revision)
-	if held == 0 || steps == nil || patchBytes(steps) > len(h.state.Document) {
+	steps := stepsBetween(h.steps, heldRevision, h.state.Revision)
+	if heldRevision == 0 || steps == nil || patchBytes(steps) > len(h.state.Document) {
 		message.Whole = true
 		message.Document = h.state.Document
 		return message
@@ -95,6 +98,7 @@
 	return message
 }
 
+// patchBytes returns the total size of the patches of steps.
 func patchBytes(steps []Step) int {
 	total := 0
 	for _, step := range steps {
@@ -103,7 +107,7 @@
 	return total
 }
 
-// addZones adds the evacuations, and those taken back lately.
+// addZones adds the evacuated zones, and those restored recently, to a message.
 func (h *configHistory) addZones(now time.Time, message *feedpb.ConfigUpdate) {
 	for _, zone := range h.state.Evacuated {
 		message.Evacuated = append(message.Evacuated, &feedpb.Evacuation{Zone: zone.Zone, Revision: zone.Revision})
--- a/internal/distribution/home.go
+++ b/internal/distribution/home.go
@@ -2,8 +2,8 @@
 
 import "wallflow/internal/registry"
 
-// Home returns the member that is the home of a key in a zone: the one with the highest random weight (rendezvous hashing),
-// so that a member's coming or going moves only the keys that it gets or had. It returns "" where there are no members.
+// Home returns the member that is the home of a key in a zone: the one with the highest hash weight (rendezvous hashing),
+// so that a member that joins or leaves moves only the keys that it gets or had. It returns "" if there are no members.
 func Home(zone string, members []string, key string) string {
 	prefix := registry.NewHash64().Text(zone).Text(key)
 	home, highest := "", uint64(0)
--- a/internal/distribution/home_test.go
+++ b/internal/distribution/home_test.go
@@ -29,7 +29,7 @@
 		}
 		assert.Equal(t, before, after)
 	}
-	assert.Assert(t, moved > 20 && moved < 100, "%d of 500 keys were at one of 10 members", moved)
+	assert.Assert(t, moved > 20 && moved < 100, "%d of 500 keys had one of 10 members as their home", moved)
 }
 
 func TestHomeDoesNotDependOnTheOrder(t *testing.T) {
@@ -50,81 +50,82 @@
 	// Output: true 2 true
 }
 
-// homeWorld has two control processes, a home and a relay that is fed by it.
-func homeWorld() (*world, relayHome, *Subscriber) {
-	w := newWorld()
-	w.addControl("c1")
-	w.addControl("c2")
-	w.setConfig(wholeUpdate(1, "one"), "c1", "c2")
-	w.setInstances(list(instanceOf("1", ready, 1)), "c1", "c2")
-	home := w.addHome("h1", "c1", "c2")
-	w.run(time.Second)
-	relay := w.addRelay("r1", "h1", "c1", "c2")
-	w.run(time.Second)
-	return w, home, relay
+// newHomeSimulation returns a simulation with two control processes, a home and a relay that subscribes to the home.
+func newHomeSimulation() (*simulation, relayHome, *Subscriber) {
+	sim := newSimulation()
+	sim.addControl("c1")
+	sim.addControl("c2")
+	sim.setConfig(fullUpdate(1, "one"), "c1", "c2")
+	sim.setInstances(instanceList(instanceOf("1", ready, 1)), "c1", "c2")
+	home := sim.addHome("h1", "c1", "c2")
+	sim.run(time.Second)
+	relay := sim.addRelay("r1", "h1", "c1", "c2")
+	sim.run(time.Second)
+	return sim, home, relay
 }
 
-func TestHomePassesOn(t *testing.T) {
-	w, _, relay := homeWorld()
+func TestHomeForwardsUpdates(t *testing.T) {
+	sim, _, relay := newHomeSimulation()
 	assert.Equal(t, relay.Source(), "h1")
-	assert.Assert(t, relay.Fresh(w.now))
+	assert.Assert(t, relay.Fresh(sim.now))
 	assert.Equal(t, string(relay.Config().Document), "one")
-	w.setInstances(list(instanceOf("1", draining, 2)), "c1")
-	w.setConfig(patchUpdate(1, 2, "one", "+two"), "c1", "c2")
-	w.run(2 * testLatency)
+	sim.setInstances(instanceList(instanceOf("1", draining, 2)), "c1")
+	sim.setConfig(patchUpdate(1, 2, "one", "+two"), "c1", "c2")
+	sim.run(2 * testLatency)
 	assert.Equal(t, stateAt(relay, "1"), draining)
 	assert.Equal(t, string(relay.Config().Document), "one+two")
 }
 
 func TestRelayFallsBackToControlWhenItsHomeIsLost(t *testing.T) {
-	w, _, relay := homeWorld()
-	w.down["h1"] = true
-	w.run(2 * time.Second)
+	sim, _, relay := newHomeSimulation()
+	sim.down["h1"] = true
+	sim.run(2 * time.Second)
 	assert.Equal(t, relay.Source(), "c1")
-	assert.Assert(t, relay.Fresh(w.now))
+	assert.Assert(t, relay.Fresh(sim.now))
 }
 
 func TestHomeWithoutAFreshSourceIsNotFresh(t *testing.T) {
-	w, home, relay := homeWorld()
-	w.fate = func(from, to string) []time.Duration {
+	sim, home, relay := newHomeSimulation()
+	sim.deliveryDelays = func(from, to string) []time.Duration {
 		if from == "h1" && to[0] == 'c' || to == "h1" && from[0] == 'c' {
-			return nil // the home is cut off from control
+			return nil // the home has no contact with the control processes
 		}
 		return []time.Duration{testLatency}
 	}
-	w.run(4 * time.Second)
-	assert.Assert(t, !home.subscriber.Fresh(w.now))
+	sim.run(4 * time.Second)
+	assert.Assert(t, !home.subscriber.Fresh(sim.now))
 	assert.Equal(t, relay.Source(), "c1")
-	assert.Assert(t, relay.Fresh(w.now))
+	assert.Assert(t, relay.Fresh(sim.now))
 }
 
 func TestOlderTokenIsIgnoredAfterANewerOne(t *testing.T) {
-	w, home, relay := homeWorld()
-	w.addHome("h2", "c1", "c2")
-	w.run(time.Second)
-	w.take("r1", relay.SetSources(w.now, []string{"h2", "c1", "c2"})) // the home moved
-	w.run(time.Second)
+	sim, home, relay := newHomeSimulation()
+	sim.addHome("h2", "c1", "c2")
+	sim.run(time.Second)
+	sim.handleOutput("r1", relay.SetSources(sim.now, []string{"h2", "c1", "c2"})) // the home moves from h1 to h2
+	sim.run(time.Second)
 	assert.Equal(t, relay.Source(), "h2")
-	newer := w.publishers["h2"].Token()
+	newer := sim.publishers["h2"].Token()
 	assert.Assert(t, newer > home.publisher.Token(), "%d after %d", newer, home.publisher.Token())
 	stale := home.publisher.newMessage()
-	stale.Update = home.publisher.split(w.now, nil)[0]
-	stale.Update.Config = wholeHistory(wholeUpdate(9, "of the old home")).since(w.now, 0)
-	relay.Receive(w.now, "h1", stale)
+	stale.Update = home.publisher.splitUpdate(sim.now, nil)[0]
+	stale.Update.Config = historyOf(fullUpdate(9, "from the old home")).updateSince(sim.now, 0)
+	relay.Receive(sim.now, "h1", stale)
 	assert.Equal(t, relay.Config().Revision, uint64(1))
 }
 
 func TestHomeThatKeepsItsSubscriberKeepsItsToken(t *testing.T) {
-	w, home, _ := homeWorld()
+	sim, home, _ := newHomeSimulation()
 	token := home.publisher.Token()
-	w.run(10 * time.Second)
+	sim.run(10 * time.Second)
 	assert.Equal(t, home.publisher.Token(), token)
-	home.publisher.TakeOver()
+	home.publisher.BecomeHome()
 	assert.Equal(t, home.publisher.Token(), token+1)
 }
 
-func wholeHistory(update Update) *configHistory {
+// historyOf returns a history with one state.
+func historyOf(update Update) *configHistory {
 	history := &configHistory{}
-	history.take(update)
+	history.add(update)
 	return history
 }
--- a/internal/distribution/published.go
+++ b/internal/distribution/published.go
@@ -6,24 +6,24 @@
 	"wallflow/internal/registry"
 )
 
-// published is an instance at a publisher.
-type published struct {
+// publishedInstance is an instance as known to a publisher.
+type publishedInstance struct {
 	registry.Instance
-	version   uint64 // position of the feed at which it last changed
-	hash      uint64 // its part of the bucket
-	goneSince time.Time
+	changedAt   uint64 // sequence of the feed at which it last changed
+	contentHash uint64 // contribution to the digest of its bucket
+	goneSince   time.Time
 
-	previous, next *published
+	previous, next *publishedInstance // in publishedList
 }
 
-// publishedList keeps the instances in the order of their last changes, so that those after a position are found without
-// looking at the others.
+// publishedList is a linked list of the instances in the order of their last changes, so that those changed after a sequence are found
+// without visiting the others.
 type publishedList struct {
-	first, last *published
+	first, last *publishedInstance
 }
 
-// moveToEnd puts an instance at the end, also when it isn't in the list yet.
-func (l *publishedList) moveToEnd(moved *published) {
+// moveToEnd moves an instance to the end, or appends it if it isn't in the list yet.
+func (l *publishedList) moveToEnd(moved *publishedInstance) {
 	if l.last == moved {
 		return
 	}
@@ -37,8 +37,8 @@
 	l.last = moved
 }
 
-// remove takes an instance out, if it is in the list.
-func (l *publishedList) remove(removed *published) {
+// remove removes an instance, if it is in the list.
+func (l *publishedList) remove(removed *publishedInstance) {
 	if removed.previous != nil {
 		removed.previous.next = removed.next
 	} else if l.first == removed {
@@ -52,10 +52,10 @@
 	removed.previous, removed.next = nil, nil
 }
 
-// since returns the instances that changed after a position.
-func (l *publishedList) since(sequence uint64) []*published {
-	var changed []*published
-	for known := l.last; known != nil && known.version > sequence; known = known.previous {
+// changedSince returns the instances that changed after a sequence, the latest change first.
+func (l *publishedList) changedSince(sequence uint64) []*publishedInstance {
+	var changed []*publishedInstance
+	for known := l.last; known != nil && known.changedAt > sequence; known = known.previous {
 		changed = append(changed, known)
 	}
 	return changed
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -8,75 +8,79 @@
 )
 
 const (
+	// publishDigestInterval is the time between two digests to the subscribers.
 	publishDigestInterval = 500 * time.Millisecond
-	// gatherFor is how long changes that aren't urgent are gathered before they are sent together.
-	gatherFor          = 50 * time.Millisecond
-	subscriberExpiry   = 6 * time.Second
-	publisherTombstone = 60 * time.Second
-	forgetInterval     = 5 * time.Second
+	// batchDelay is how long changes that are not urgent are collected before they are sent together.
+	batchDelay = 50 * time.Millisecond
+	// subscriberExpiry is the time after which a subscriber that did not renew its subscription is dropped.
+	subscriberExpiry = 6 * time.Second
+	// publisherTombstoneRetention is how long a publisher keeps instances that are gone.
+	publisherTombstoneRetention = 60 * time.Second
+	// forgetInterval is the time between two runs of forgetExpired.
+	forgetInterval = 5 * time.Second
 )
 
-// Publisher feeds subscribers. Its changes are numbered, so that a subscriber notices a gap. It isn't safe for use by several
-// goroutines at once.
+// Publisher sends the configuration and the instances to subscribers. It numbers its changes, so that a subscriber can detect a gap. It is
+// not safe for concurrent use.
 type Publisher struct {
-	source   string
-	token    uint64
-	fresh    bool
-	complete bool
-
-	config        configHistory
-	sentRevision  uint64 // all subscribers have been sent this revision
-	instances     map[string]*published
-	order         publishedList // by version
-	buckets       buckets
-	sequence      uint64
-	forgottenUpTo uint64 // highest version of an instance that has been forgotten
-	pending       []*published
-
-	subscribers map[string]time.Time // by internal address: when it last subscribed
-	lastFlush   time.Time
-	lastDigest  time.Time
-	lastForget  time.Time
+	life     string // random name of this run of the process
+	token    uint64 // fencing token; 0 unless the publisher is a home
+	fresh    bool   // in contact with the majority of the control processes
+	complete bool   // had time to learn of every instance
+
+	config           configHistory
+	sentRevision     uint64 // newest revision that was pushed to the subscribers
+	instances        map[string]*publishedInstance
+	changeOrder      publishedList // by changedAt
+	buckets          buckets
+	sequence         uint64               // number of the last push of changes
+	forgottenUpTo    uint64               // highest changedAt of the instances that have been removed
+	pendingInstances []*publishedInstance // changed since the last push
+
+	subscribers  map[string]time.Time // time of the last subscription or renewal, by internal address
+	lastFlushAt  time.Time
+	lastDigestAt time.Time
+	lastForgetAt time.Time
 }
 
-// NewPublisher returns a publisher that knows nothing yet. Source is a random name of this life of the process.
-func NewPublisher(source string, now time.Time) *Publisher {
+// NewPublisher returns a publisher without configuration and instances. Life is a random name of this run of the process.
+func NewPublisher(life string, now time.Time) *Publisher {
 	return &Publisher{
-		source:      source,
-		instances:   make(map[string]*published),
-		subscribers: make(map[string]time.Time),
-		lastFlush:   now,
-		lastDigest:  now,
-		lastForget:  now,
+		life:         life,
+		instances:    make(map[string]*publishedInstance),
+		subscribers:  make(map[string]time.Time),
+		lastFlushAt:  now,
+		lastDigestAt: now,
+		lastForgetAt: now,
 	}
 }
 
-// SetFresh tells whether this process is in touch with the majority of the control processes, by itself or by its own source.
+// SetFresh sets whether this process is in contact with the majority of the control processes, directly or through its own source.
 func (p *Publisher) SetFresh(fresh bool) { p.fresh = fresh }
 
-// SetComplete tells whether this process had time to learn of every instance.
+// SetComplete sets whether this process had time to learn of every instance.
 func (p *Publisher) SetComplete(complete bool) { p.complete = complete }
 
-// TakeOver makes this publisher the home of its key, under a fencing token above those it has had or heard of. A token that a
-// subscriber saw from another home raises it further: see Receive.
-func (p *Publisher) TakeOver() { p.token++ }
+// BecomeHome makes this publisher the home of its key, with a fencing token above its previous ones. The token is raised further when a
+// subscriber has seen a higher one from another home; see Receive.
+func (p *Publisher) BecomeHome() { p.token++ }
 
-// Token returns the fencing token; 0: the publisher isn't a home.
+// Token returns the fencing token, or 0 if the publisher is not a home.
 func (p *Publisher) Token() uint64 { return p.token }
 
 // Subscribers returns the number of subscribers.
 func (p *Publisher) Subscribers() int { return len(p.subscribers) }
 
-// SetConfig takes in a newer state and sends it to the subscribers at once. An older one is ignored.
+// SetConfig sets a newer configuration state and sends it to the subscribers immediately. A state that is not newer is ignored.
 func (p *Publisher) SetConfig(now time.Time, update Update) Output {
-	if !p.config.take(update) {
+	if !p.config.add(update) {
 		return Output{}
 	}
 	return p.flush(now)
 }
 
-// SetInstances takes in changes of instances. One that says an instance is no longer to be used is sent at once, others are
-// gathered for a moment.
+// SetInstances applies changes of instances. If one of the instances must no longer be used, all pending changes are sent immediately;
+// otherwise they are batched for batchDelay.
 func (p *Publisher) SetInstances(now time.Time, changed []registry.Instance) Output {
 	urgent := false
 	for _, instance := range changed {
@@ -84,17 +88,17 @@
 			urgent = true
 		}
 	}
-	if !urgent && now.Sub(p.lastFlush) < gatherFor {
+	if !urgent && now.Sub(p.lastFlushAt) < batchDelay {
 		return Output{}
 	}
 	return p.flush(now)
 }
 
-// setInstance takes in one instance; it returns whether that changed anything.
+// setInstance sets one instance. It reports whether that changed anything.
 func (p *Publisher) setInstance(now time.Time, instance registry.Instance) bool {
 	known := p.instances[instance.ID]
 	if known == nil {
-		known = &published{}
+		known = &publishedInstance{}
 		p.instances[instance.ID] = known
 	} else if known.SameAs(instance) {
 		return false
@@ -103,65 +107,65 @@
 		known.goneSince = now
 	}
 	known.Instance = instance
-	hash := registry.ContentHash(instance, instance.State)
-	p.buckets.replace(instance.ID, known.hash, hash)
-	known.hash = hash
-	if known.version != p.sequence+1 {
-		known.version = p.sequence + 1
-		p.pending = append(p.pending, known)
-	}
-	p.order.moveToEnd(known)
+	contentHash := registry.ContentHash(instance, instance.State)
+	p.buckets.replace(instance.ID, known.contentHash, contentHash)
+	known.contentHash = contentHash
+	if known.changedAt != p.sequence+1 {
+		known.changedAt = p.sequence + 1
+		p.pendingInstances = append(p.pendingInstances, known)
+	}
+	p.changeOrder.moveToEnd(known)
 	return true
 }
 
-// flush sends the gathered changes to all subscribers.
+// flush sends the pending changes to all subscribers.
 func (p *Publisher) flush(now time.Time) Output {
-	change := p.config.since(now, p.sentRevision)
-	if len(p.pending) == 0 && change == nil {
+	configUpdate := p.config.updateSince(now, p.sentRevision)
+	if len(p.pendingInstances) == 0 && configUpdate == nil {
 		return Output{}
 	}
-	p.lastFlush = now
+	p.lastFlushAt = now
 	base := p.sequence
 	p.sequence++
 	p.sentRevision = p.config.state.Revision
-	changed := p.pending
-	p.pending = nil
+	changed := p.pendingInstances
+	p.pendingInstances = nil
 	if len(p.subscribers) == 0 {
 		return Output{}
 	}
-	updates := p.split(now, changed)
-	updates[0].Config = change
+	updates := p.splitUpdate(now, changed)
+	updates[0].Config = configUpdate
 	for _, update := range updates {
 		update.Base = base
 	}
-	return p.toAll(updates)
+	return p.sendToAll(updates)
 }
 
-// split makes an update of the instances, in several parts where there are many.
-func (p *Publisher) split(now time.Time, listed []*published) []*feedpb.Update {
+// splitUpdate returns an update with instances, in parts of at most maxInstancesPerPart. There is at least one part.
+func (p *Publisher) splitUpdate(now time.Time, instances []*publishedInstance) []*feedpb.Update {
 	var updates []*feedpb.Update
 	for {
-		count := min(len(listed), mostPerPart)
+		count := min(len(instances), maxInstancesPerPart)
 		update := &feedpb.Update{
 			Sequence: p.sequence,
 			Part:     uint32(len(updates)),
-			More:     count < len(listed),
+			More:     count < len(instances),
 			Fresh:    p.fresh,
 			Complete: p.complete,
 		}
-		for _, known := range listed[:count] {
+		for _, known := range instances[:count] {
 			update.Instances = append(update.Instances, registry.ToWire(now, known.Instance))
 		}
 		updates = append(updates, update)
-		listed = listed[count:]
-		if len(listed) == 0 {
+		instances = instances[count:]
+		if len(instances) == 0 {
 			return updates
 		}
 	}
 }
 
-// toAll sends updates to all subscribers.
-func (p *Publisher) toAll(updates []*feedpb.Update) Output {
+// sendToAll returns the messages that send updates to all subscribers.
+func (p *Publisher) sendToAll(updates []*feedpb.Update) Output {
 	var output Output
 	for _, update := range updates {
 		message := p.newMessage()
@@ -174,27 +178,27 @@
 }
 
 func (p *Publisher) newMessage() *feedpb.FeedMessage {
-	return &feedpb.FeedMessage{Source: p.source, Token: p.token}
+	return &feedpb.FeedMessage{Source: p.life, Token: p.token}
 }
 
-// Tick does what is due by time. It is to be called every 50 to 250 ms.
+// Tick does what is due by time. It must be called every 50 to 250 ms.
 func (p *Publisher) Tick(now time.Time) Output {
 	var output Output
-	if now.Sub(p.lastFlush) >= gatherFor {
-		output.join(p.flush(now))
+	if now.Sub(p.lastFlushAt) >= batchDelay {
+		output.merge(p.flush(now))
 	}
-	if now.Sub(p.lastForget) >= forgetInterval {
-		p.lastForget = now
-		p.forget(now)
+	if now.Sub(p.lastForgetAt) >= forgetInterval {
+		p.lastForgetAt = now
+		p.forgetExpired(now)
 	}
-	if now.Sub(p.lastDigest) >= publishDigestInterval {
-		p.lastDigest = now
+	if now.Sub(p.lastDigestAt) >= publishDigestInterval {
+		p.lastDigestAt = now
 		p.sendDigest(&output)
 	}
 	return output
 }
 
-// sendDigest tells all subscribers where the publisher stands.
+// sendDigest sends the current position and state of the publisher to all subscribers.
 func (p *Publisher) sendDigest(output *Output) {
 	message := p.newMessage()
 	message.Digest = &feedpb.Digest{
@@ -209,20 +213,20 @@
 	}
 }
 
-// forget drops subscribers that didn't renew and instances that are long gone.
-func (p *Publisher) forget(now time.Time) {
+// forgetExpired drops subscribers that did not renew, and instances that have been gone for publisherTombstoneRetention.
+func (p *Publisher) forgetExpired(now time.Time) {
 	for subscriber, renewedAt := range p.subscribers {
 		if now.Sub(renewedAt) >= subscriberExpiry {
 			delete(p.subscribers, subscriber)
 		}
 	}
 	for id, known := range p.instances {
-		gone := known.State == registry.StateGone && now.Sub(known.goneSince) >= publisherTombstone
-		if !gone || known.version > p.sequence {
+		gone := known.State == registry.StateGone && now.Sub(known.goneSince) >= publisherTombstoneRetention
+		if !gone || known.changedAt > p.sequence {
 			continue
 		}
-		p.forgottenUpTo = max(p.forgottenUpTo, known.version)
-		p.order.remove(known)
+		p.forgottenUpTo = max(p.forgottenUpTo, known.changedAt)
+		p.changeOrder.remove(known)
 		delete(p.instances, id)
 	}
 }
--- a/internal/distribution/source.go
+++ b/internal/distribution/source.go
@@ -6,35 +6,35 @@
 	"wallflow/internal/distribution/feedpb"
 )
 
-// source is a publisher that this subscriber is subscribed to, or tries to be.
+// source is a publisher that this subscriber is subscribed to, or is trying to subscribe to.
 type source struct {
-	address  string
-	life     string // of the publisher; empty until it answers
-	sequence uint64 // all its changes up to this one are held
-	placed   bool   // sequence is known
-	gap      bool   // something is missing and must be asked for
+	address       string
+	life          string // random name of the run of the publisher process; empty until it answers
+	sequence      uint64 // all changes of the source up to this one have been received
+	positionKnown bool   // sequence is valid
+	hasGap        bool   // something is missing and must be requested
 
-	part parts // of a long update that is under way
+	parts partTracker // of the update that is being received
 
-	fresh         bool
-	complete      bool
-	since         time.Time // it has been the current source since then, or has been tried since then
-	completeSince time.Time
-	heardAt       time.Time
-	askedAt       time.Time
-	differsSince  time.Time // its instances have differed from the own ones since then
+	fresh           bool      // the source is in contact with the majority of the control processes
+	complete        bool      // the source had time to learn of every instance
+	startedAt       time.Time // since when it has been the current source, or the candidate
+	completeSince   time.Time // since when complete is true
+	lastReceivedAt  time.Time
+	subscribeSentAt time.Time // when a subscription was last sent
+	differsSince    time.Time // since when its instances differ from the own ones; zero if they do not
 }
 
-// parts counts the parts of a long update.
-type parts struct {
-	sequence uint64
-	next     uint32
+// partTracker tracks the parts of an update.
+type partTracker struct {
+	sequence uint64 // of the update
+	next     uint32 // number of the expected part
 }
 
-// take counts a part. It returns whether the update is whole now, and whether the part came in its order.
-func (p *parts) take(update *feedpb.Update) (whole, inOrder bool) {
+// accept tracks a received part. It reports whether the update is now complete, and whether the part came in order.
+func (p *partTracker) accept(update *feedpb.Update) (complete, inOrder bool) {
 	if update.GetPart() == 0 {
-		*p = parts{sequence: update.GetSequence()}
+		*p = partTracker{sequence: update.GetSequence()}
 	}
 	if update.GetPart() != p.next || update.GetSequence() != p.sequence {
 		return false, false
@@ -43,40 +43,40 @@
 	return !update.GetMore(), true
 }
 
-// advance moves the position on by an update. It returns false where the update shows a gap.
+// advance advances the position by an update. It returns false if the update shows a gap.
 func (s *source) advance(update *feedpb.Update) bool {
-	whole, inOrder := s.part.take(update)
+	complete, inOrder := s.parts.accept(update)
 	if !inOrder {
-		return s.placed && update.GetSequence() <= s.sequence
+		return s.positionKnown && update.GetSequence() <= s.sequence
 	}
-	if !whole {
+	if !complete {
 		return true
 	}
 	if update.GetListing() {
-		if !s.placed || update.GetSequence() > s.sequence {
+		if !s.positionKnown || update.GetSequence() > s.sequence {
 			s.sequence = update.GetSequence()
 		}
-		s.placed = true
-		s.gap = false
+		s.positionKnown = true
+		s.hasGap = false
 		return true
 	}
-	if !s.placed || update.GetBase() > s.sequence {
+	if !s.positionKnown || update.GetBase() > s.sequence {
 		return false
 	}
 	s.sequence = max(s.sequence, update.GetSequence())
-	s.gap = false
+	s.hasGap = false
 	return true
 }
 
-// mayJudge says whether the update is no older than what the source said before, so that its opinion on silence counts.
-func (s *source) mayJudge(update *feedpb.Update) bool {
-	if !s.placed {
+// isAuthoritative reports whether an update is no older than what the source sent before, so that it decides which instances are silent.
+func (s *source) isAuthoritative(update *feedpb.Update) bool {
+	if !s.positionKnown {
 		return update.GetListing()
 	}
 	return update.GetSequence() >= s.sequence
 }
 
-// sourceAt returns the source at an address; nil: the address is none.
+// sourceAt returns the current source or the candidate if it has the address, or nil.
 func (s *Subscriber) sourceAt(address string) *source {
 	if s.current != nil && s.current.address == address {
 		return s.current
@@ -87,15 +87,15 @@
 	return nil
 }
 
-// hear notes that a source spoke, and notices when its process has been started again.
-func (s *Subscriber) hear(now time.Time, sender *source, life string, fresh, complete bool) {
+// recordContact records that a message was received from a source, and detects a restart of its process.
+func (s *Subscriber) recordContact(now time.Time, sender *source, life string, fresh, complete bool) {
 	if sender.life != life {
 		if sender.life != "" {
-			sender.placed = false
-			sender.gap = true
+			sender.positionKnown = false
+			sender.hasGap = true
 			sender.complete = false
 			if sender == s.current {
-				s.listing++
+				s.listingNumber++
 			}
 		}
 		sender.life = life
@@ -106,52 +106,52 @@
 	if sender == s.current {
 		delete(s.failures, sender.address)
 	}
-	sender.heardAt = now
+	sender.lastReceivedAt = now
 	sender.fresh = fresh
 	sender.complete = complete
 }
 
-// mendGap asks the source for what is missing, not too often.
-func (s *Subscriber) mendGap(now time.Time, current *source, output *Output) {
-	if !current.gap && !s.wantWhole {
+// requestMissing requests from the source what is missing, at most once per ResubscribeInterval.
+func (s *Subscriber) requestMissing(now time.Time, current *source, output *Output) {
+	if !current.hasGap && !s.wantsFullDocument {
 		return
 	}
-	if now.Sub(current.askedAt) < s.options.AskInterval {
+	if now.Sub(current.subscribeSentAt) < s.options.ResubscribeInterval {
 		return
 	}
-	s.ask(now, current, output)
+	s.subscribe(now, current, output)
 }
 
-// renew keeps the subscription alive.
-func (s *Subscriber) renew(now time.Time, current *source, output *Output) {
-	if now.Sub(current.askedAt) >= s.options.RenewInterval {
-		s.ask(now, current, output)
+// renewSubscription renews the subscription when that is due.
+func (s *Subscriber) renewSubscription(now time.Time, current *source, output *Output) {
+	if now.Sub(current.subscribeSentAt) >= s.options.RenewInterval {
+		s.subscribe(now, current, output)
 	}
 }
 
-// ask sends a subscription that tells what is held.
-func (s *Subscriber) ask(now time.Time, asked *source, output *Output) {
-	asked.askedAt = now
+// subscribe sends a subscription, which contains what this process already has, to a source.
+func (s *Subscriber) subscribe(now time.Time, src *source, output *Output) {
+	src.subscribeSentAt = now
 	request := &feedpb.Subscribe{
 		Revision:    s.config.Revision,
 		TokenSeen:   s.tokenSeen,
 		TokenSource: s.tokenSource,
 	}
-	if s.wantWhole {
+	if s.wantsFullDocument {
 		request.Revision = 0
 	}
-	if asked.placed {
-		request.Source = asked.life
-		request.Sequence = asked.sequence
+	if src.positionKnown {
+		request.Source = src.life
+		request.Sequence = src.sequence
 	} else {
-		held := s.buckets
-		request.Buckets = held[:]
+		digests := s.buckets
+		request.Buckets = digests[:]
 	}
 	message := &feedpb.FeedMessage{Source: s.options.Self, Subscribe: request}
-	output.Sends = append(output.Sends, Send{To: asked.address, Message: message})
+	output.Sends = append(output.Sends, Send{To: src.address, Message: message})
 }
 
-// unsubscribe tells a publisher that this process is no longer its subscriber.
+// unsubscribe ends the subscription at a publisher.
 func (s *Subscriber) unsubscribe(address string, output *Output) {
 	message := &feedpb.FeedMessage{Source: s.options.Self, Unsubscribe: &feedpb.Unsubscribe{}}
 	output.Sends = append(output.Sends, Send{To: address, Message: message})
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -9,90 +9,91 @@
 	"wallflow/internal/registry"
 )
 
-// Defaults of SubscriberOptions.
+// Defaults of the SubscriberOptions.
 const (
-	defaultSilentAfter   = 1200 * time.Millisecond
-	defaultAskTimeout    = 400 * time.Millisecond
-	defaultAskInterval   = 300 * time.Millisecond
-	defaultRenewInterval = 2 * time.Second
-	defaultReturnAfter   = 10 * time.Second
-	defaultKeepUnlisted  = 5 * time.Second
-	defaultRelistAfter   = 5 * time.Second
-	defaultTombstone     = 2 * time.Minute
+	defaultSilenceTimeout      = 1200 * time.Millisecond
+	defaultSubscribeTimeout    = 400 * time.Millisecond
+	defaultResubscribeInterval = 300 * time.Millisecond
+	defaultRenewInterval       = 2 * time.Second
+	defaultFailbackDelay       = 10 * time.Second
+	defaultUnlistedRetention   = 5 * time.Second
+	defaultRelistDelay         = 5 * time.Second
+	defaultTombstoneRetention  = 2 * time.Minute
 )
 
-// awayAfter is the time between two ticks from which this process counts as having been away: its source wasn't silent then.
-const awayAfter = time.Second
+// minPause is the time between two ticks from which this process is taken to have been paused, so that the source is not to blame for the
+// silence.
+const minPause = time.Second
 
-// SubscriberOptions are the settings of a Subscriber. Spans left at zero get their defaults.
+// SubscriberOptions are the settings of a Subscriber. Durations of zero get their defaults.
 type SubscriberOptions struct {
 	Self string // internal address of this process
-	// ApplyPatch applies a patch to a configuration. Without it every change is taken as a whole configuration.
-	ApplyPatch    func(document, patch []byte) ([]byte, error)
-	SilentAfter   time.Duration // a source that says nothing for so long is left; about a quarter of the tightest bound
-	AskTimeout    time.Duration // a source that is tried must answer in that time
-	AskInterval   time.Duration // between two questions for what is missing
-	RenewInterval time.Duration // between renewals of the subscription
-	ReturnAfter   time.Duration // on a source that isn't the best one, before a better one is tried again
-	KeepUnlisted  time.Duration // instances that a new source doesn't list are kept for so long once it is complete
-	RelistAfter   time.Duration // the instances may differ from the source's for so long before all are compared
-	Tombstone     time.Duration // a gone instance is remembered for so long
+	// ApplyPatch applies a patch to a configuration document. Without it, the full document is requested for every change.
+	ApplyPatch          func(document, patch []byte) ([]byte, error)
+	SilenceTimeout      time.Duration // a source is left after this time without a message; a quarter of the tightest bound (5 s) on applying changes
+	SubscribeTimeout    time.Duration // a candidate must answer within this time
+	ResubscribeInterval time.Duration // minimum time between two requests for what is missing
+	RenewInterval       time.Duration // between two renewals of the subscription
+	FailbackDelay       time.Duration // a source that is not the best one is kept at least this long before a better one is tried
+	UnlistedRetention   time.Duration // instances that a new source does not list are kept this long once it is complete
+	RelistDelay         time.Duration // all instances are compared if the own ones have differed from those of the source for this long
+	TombstoneRetention  time.Duration // a gone instance is remembered this long
 }
 
 func (o SubscriberOptions) withDefaults() SubscriberOptions {
-	o.SilentAfter = cmp.Or(o.SilentAfter, defaultSilentAfter)
-	o.AskTimeout = cmp.Or(o.AskTimeout, defaultAskTimeout)
-	o.AskInterval = cmp.Or(o.AskInterval, defaultAskInterval)
+	o.SilenceTimeout = cmp.Or(o.SilenceTimeout, defaultSilenceTimeout)
+	o.SubscribeTimeout = cmp.Or(o.SubscribeTimeout, defaultSubscribeTimeout)
+	o.ResubscribeInterval = cmp.Or(o.ResubscribeInterval, defaultResubscribeInterval)
 	o.RenewInterval = cmp.Or(o.RenewInterval, defaultRenewInterval)
-	o.ReturnAfter = cmp.Or(o.ReturnAfter, defaultReturnAfter)
-	o.KeepUnlisted = cmp.Or(o.KeepUnlisted, defaultKeepUnlisted)
-	o.RelistAfter = cmp.Or(o.RelistAfter, defaultRelistAfter)
-	o.Tombstone = cmp.Or(o.Tombstone, defaultTombstone)
+	o.FailbackDelay = cmp.Or(o.FailbackDelay, defaultFailbackDelay)
+	o.UnlistedRetention = cmp.Or(o.UnlistedRetention, defaultUnlistedRetention)
+	o.RelistDelay = cmp.Or(o.RelistDelay, defaultRelistDelay)
+	o.TombstoneRetention = cmp.Or(o.TombstoneRetention, defaultTombstoneRetention)
 	return o
 }
 
-// Subscriber holds what a relay knows of the configuration and the instances, and keeps it up to date from one source at a
-// time. It isn't safe for use by several goroutines at once.
+// Subscriber holds the configuration and the instances that a relay knows, and keeps them up to date from one source at a time. It is
+// not safe for concurrent use.
 type Subscriber struct {
 	options   SubscriberOptions
-	ordered   []string // sources, best first
-	current   *source
-	candidate *source // being tried in the place of current
-	failures  map[string]failure
+	sources   []string           // addresses, in the order of preference
+	current   *source            // nil before the first one has answered
+	candidate *source            // being tried as a replacement of current; may be nil
+	failures  map[string]failure // by address
 
-	config       ConfigState
-	wantWhole    bool // the steps that came can't be applied
-	wholeUpdates int
+	config               ConfigState
+	wantsFullDocument    bool // steps could not be applied, so the full document is requested
+	fullDocumentRequests int  // how often that happened
 
-	instances map[string]*held
-	buckets   buckets
-	listing   uint32 // number of the listing that instances must be in; see held.listing
-	dropped   uint32 // the listing after which what it lacks has been dropped
+	instances      map[string]*heldInstance
+	buckets        buckets
+	listingNumber  uint32 // number of the current listing; instances that it lacks are dropped, see dropUnlisted
+	droppedListing uint32 // the last listing after which unlisted instances were dropped
 
-	tokenSeen   uint64
-	tokenSource string
+	tokenSeen   uint64 // highest fencing token seen
+	tokenSource string // life of the publisher that sent it
 
-	awakeSince time.Time
-	lastTick   time.Time
-	lastForget time.Time
+	resumedAt    time.Time // start of this process, or end of its last pause
+	lastTickAt   time.Time
+	lastForgetAt time.Time
 }
 
-// NewSubscriber returns a subscriber that knows nothing and has no sources.
+// NewSubscriber returns a subscriber without state and without sources.
 func NewSubscriber(options SubscriberOptions, now time.Time) *Subscriber {
 	return &Subscriber{
-		options:    options.withDefaults(),
-		failures:   make(map[string]failure),
-		instances:  make(map[string]*held),
-		awakeSince: now,
-		lastTick:   now,
-		lastForget: now,
+		options:      options.withDefaults(),
+		failures:     make(map[string]failure),
+		instances:    make(map[string]*heldInstance),
+		resumedAt:    now,
+		lastTickAt:   now,
+		lastForgetAt: now,
 	}
 }
 
-// Config returns the newest state known. Its revision never goes back.
+// Config returns the newest known configuration state. Its revision never decreases.
 func (s *Subscriber) Config() ConfigState { return s.config }
 
-// Instances returns all instances known, apart from those that are gone.
+// Instances returns all known instances that are not gone.
 func (s *Subscriber) Instances() []registry.Instance {
 	instances := make([]registry.Instance, 0, len(s.instances))
 	for _, known := range s.instances {
@@ -103,18 +104,19 @@
 	return instances
 }
 
-// Fresh says whether what is known is up to date: the source spoke lately, and is in touch with the majority itself.
+// Fresh reports whether the state is up to date: a message from the source was received recently, and the source is in contact with the
+// majority of the control processes.
 func (s *Subscriber) Fresh(now time.Time) bool {
 	source := s.current
-	return source != nil && source.fresh && source.placed && now.Sub(source.heardAt) < s.options.SilentAfter
+	return source != nil && source.fresh && source.positionKnown && now.Sub(source.lastReceivedAt) < s.options.SilenceTimeout
 }
 
-// Complete says whether the source had time to learn of every instance.
+// Complete reports whether the source had time to learn of every instance.
 func (s *Subscriber) Complete() bool {
-	return s.current != nil && s.current.placed && s.current.complete
+	return s.current != nil && s.current.positionKnown && s.current.complete
 }
 
-// Source returns the internal address of the source; "" while there is none.
+// Source returns the internal address of the current source, or "" if there is none.
 func (s *Subscriber) Source() string {
 	if s.current == nil {
 		return ""
@@ -122,23 +124,23 @@
 	return s.current.address
 }
 
-// WholeUpdates returns how often steps could not be applied, so that the whole configuration had to be asked for.
-func (s *Subscriber) WholeUpdates() int { return s.wholeUpdates }
+// FullDocumentRequests returns how often steps could not be applied, so that the full document had to be requested.
+func (s *Subscriber) FullDocumentRequests() int { return s.fullDocumentRequests }
 
-// SetSources names the processes that may be subscribed to, best first.
-func (s *Subscriber) SetSources(now time.Time, ordered []string) Output {
-	s.ordered = slices.Clone(ordered)
+// SetSources sets the internal addresses of the publishers to choose from, in the order of preference.
+func (s *Subscriber) SetSources(now time.Time, sources []string) Output {
+	s.sources = slices.Clone(sources)
 	for address := range s.failures {
-		if !slices.Contains(s.ordered, address) {
+		if !slices.Contains(s.sources, address) {
 			delete(s.failures, address)
 		}
 	}
 	var output Output
-	s.seek(now, &output)
+	s.selectSource(now, &output)
 	return output
 }
 
-// Receive takes in a message of the process whose internal address is from.
+// Receive processes a message from the process whose internal address is from.
 func (s *Subscriber) Receive(now time.Time, from string, message *feedpb.FeedMessage) Output {
 	var output Output
 	if s.isFenced(message) {
@@ -155,7 +157,7 @@
 	return output
 }
 
-// isFenced says whether a message comes from a home that has been followed by another one, and notes newer tokens.
+// isFenced reports whether a message comes from a home that has since been replaced by another one. It records newer fencing tokens.
 func (s *Subscriber) isFenced(message *feedpb.FeedMessage) bool {
 	token := message.GetToken()
 	if token == 0 {
@@ -168,31 +170,31 @@
 	return token < s.tokenSeen
 }
 
-// receiveUpdate takes in an update. From a process that isn't the source, only what can't be outdated is taken.
+// receiveUpdate processes an update. If it is not from the current source, only what can't be outdated is applied.
 func (s *Subscriber) receiveUpdate(now time.Time, from string, message *feedpb.FeedMessage, output *Output) {
 	update := message.GetUpdate()
 	sender := s.sourceAt(from)
 	if sender == nil {
 		s.unsubscribe(from, output)
 	} else {
-		s.hear(now, sender, message.GetSource(), update.GetFresh(), update.GetComplete())
+		s.recordContact(now, sender, message.GetSource(), update.GetFresh(), update.GetComplete())
 		if sender == s.candidate {
-			s.judgeCandidate(now, output)
+			s.evaluateCandidate(now, output)
 		}
 	}
-	inStep := s.applyConfig(now, update.GetConfig(), output)
-	opinion := sender != nil && sender == s.current && sender.mayJudge(update)
-	s.applyInstances(now, update, opinion, output)
+	configApplied := s.applyConfig(now, update.GetConfig(), output)
+	authoritative := sender != nil && sender == s.current && sender.isAuthoritative(update)
+	s.applyInstances(now, update, authoritative, output)
 	if sender == nil || sender != s.current {
 		return
 	}
-	if !sender.advance(update) || !inStep {
-		sender.gap = true
+	if !sender.advance(update) || !configApplied {
+		sender.hasGap = true
 	}
-	s.mendGap(now, sender, output)
+	s.requestMissing(now, sender, output)
 }
 
-// receiveDigest takes in where a publisher stands.
+// receiveDigest processes a digest. It detects gaps and differences from the source.
 func (s *Subscriber) receiveDigest(now time.Time, from string, message *feedpb.FeedMessage, output *Output) {
 	digest := message.GetDigest()
 	sender := s.sourceAt(from)
@@ -200,20 +202,20 @@
 		s.unsubscribe(from, output)
 		return
 	}
-	s.hear(now, sender, message.GetSource(), digest.GetFresh(), digest.GetComplete())
+	s.recordContact(now, sender, message.GetSource(), digest.GetFresh(), digest.GetComplete())
 	if sender != s.current {
 		return
 	}
-	if !sender.placed || digest.GetSequence() > sender.sequence || digest.GetRevision() > s.config.Revision {
-		sender.gap = true
+	if !sender.positionKnown || digest.GetSequence() > sender.sequence || digest.GetRevision() > s.config.Revision {
+		sender.hasGap = true
 	}
 	s.compareInstances(now, sender, digest)
-	s.mendGap(now, sender, output)
+	s.requestMissing(now, sender, output)
 }
 
-// compareInstances asks for a comparison of all instances where they have differed from the source's for a while.
+// compareInstances starts a comparison of all instances if the digest has differed from the own one for RelistDelay.
 func (s *Subscriber) compareInstances(now time.Time, sender *source, digest *feedpb.Digest) {
-	differs := sender.placed && digest.GetSequence() == sender.sequence && digest.GetInstancesHash() != s.buckets.sum()
+	differs := sender.positionKnown && digest.GetSequence() == sender.sequence && digest.GetInstancesHash() != s.buckets.sum()
 	if !differs {
 		sender.differsSince = time.Time{}
 		return
@@ -221,39 +223,39 @@
 	if sender.differsSince.IsZero() {
 		sender.differsSince = now
 	}
-	if now.Sub(sender.differsSince) >= s.options.RelistAfter {
+	if now.Sub(sender.differsSince) >= s.options.RelistDelay {
 		sender.differsSince = time.Time{}
-		sender.placed = false
-		sender.gap = true
-		s.listing++ // what the new listing lacks is dropped
+		sender.positionKnown = false
+		sender.hasGap = true
+		s.listingNumber++ // instances that the new listing lacks are dropped later
 	}
 }
 
-// receiveHandoff takes in what was kept for this process while it was away.
+// receiveHandoff processes the hints that were stored for this process while it was unreachable.
 func (s *Subscriber) receiveHandoff(now time.Time, handoff *feedpb.Handoff, output *Output) {
-	for _, told := range handoff.GetInstances() {
-		s.applyInstance(now, registry.FromWire(now, told), false, output)
+	for _, received := range handoff.GetInstances() {
+		s.applyInstance(now, registry.FromWire(now, received), false, output)
 	}
 	missed := handoff.GetRevision() > s.config.Revision || handoff.GetOverflowed()
 	if missed && s.current != nil {
-		s.current.gap = true
-		s.mendGap(now, s.current, output)
+		s.current.hasGap = true
+		s.requestMissing(now, s.current, output)
 	}
 }
 
-// Tick does what is due by time. It is to be called every 50 to 250 ms.
+// Tick does what is due by time. It must be called every 50 to 250 ms.
 func (s *Subscriber) Tick(now time.Time) Output {
-	if now.Sub(s.lastTick) >= awayAfter {
-		s.awakeSince = now
+	if now.Sub(s.lastTickAt) >= minPause {
+		s.resumedAt = now
 	}
-	s.lastTick = now
+	s.lastTickAt = now
 	var output Output
-	s.seek(now, &output)
+	s.selectSource(now, &output)
 	if s.current != nil {
-		s.mendGap(now, s.current, &output)
-		s.renew(now, s.current, &output)
+		s.requestMissing(now, s.current, &output)
+		s.renewSubscription(now, s.current, &output)
 	}
 	s.dropUnlisted(now, &output)
-	s.forget(now)
+	s.forgetGone(now)
 	return output
 }
--- a/internal/distribution/walk_test.go
+++ b/internal/distribution/walk_test.go
@@ -11,147 +11,148 @@
 	"wallflow/internal/registry"
 )
 
-// distributionWalk is a random walk through a world in which messages are lost, repeated and reordered.
-type distributionWalk struct {
-	*world
+// randomWalk is a random walk test in a simulation in which messages are lost, duplicated and reordered.
+type randomWalk struct {
+	*simulation
 	t         *rapid.T
 	revision  uint64
 	document  string
-	truth     map[string]registry.Instance
+	instances map[string]registry.Instance // actual state by ID
 	controls  []string
 	revisions map[string]uint64                    // newest revision seen at each relay
-	reported  map[string]map[string]registry.State // furthest state seen of each instance at each relay
+	reported  map[string]map[string]registry.State // furthest reported state seen of each instance at each relay
 }
 
-func newDistributionWalk(t *rapid.T) *distributionWalk {
-	w := &distributionWalk{
-		world:     newWorld(),
-		t:         t,
-		truth:     make(map[string]registry.Instance),
-		controls:  []string{"c1", "c2", "c3"},
-		revisions: make(map[string]uint64),
-		reported:  make(map[string]map[string]registry.State),
+func newRandomWalk(t *rapid.T) *randomWalk {
+	walk := &randomWalk{
+		simulation: newSimulation(),
+		t:          t,
+		instances:  make(map[string]registry.Instance),
+		controls:   []string{"c1", "c2", "c3"},
+		revisions:  make(map[string]uint64),
+		reported:   make(map[string]map[string]registry.State),
 	}
-	for _, name := range w.controls {
-		w.addControl(name)
+	for _, name := range walk.controls {
+		walk.addControl(name)
 	}
-	w.addHome("h1", "c1", "c2", "c3")
-	w.addHome("h2", "c2", "c3", "c1")
-	w.addRelay("r1", "h1", "c1", "c2")
-	w.addRelay("r2", "h2", "c3", "c1")
-	for name := range w.subscribers {
-		w.reported[name] = make(map[string]registry.State)
+	walk.addHome("h1", "c1", "c2", "c3")
+	walk.addHome("h2", "c2", "c3", "c1")
+	walk.addRelay("r1", "h1", "c1", "c2")
+	walk.addRelay("r2", "h2", "c3", "c1")
+	for name := range walk.subscribers {
+		walk.reported[name] = make(map[string]registry.State)
 	}
-	w.fate = w.lossy
-	return w
+	walk.deliveryDelays = walk.lossyDelays
+	return walk
 }
 
-// lossy loses one message in six, repeats one in ten, and delays all by up to 150 ms.
-func (w *distributionWalk) lossy(_, _ string) []time.Duration {
-	luck := rapid.IntRange(0, 29).Draw(w.t, "luck")
-	if luck < 5 {
+// lossyDelays loses one message in six and duplicates one in ten. The delays are up to 150 ms.
+func (walk *randomWalk) lossyDelays(_, _ string) []time.Duration {
+	draw := rapid.IntRange(0, 29).Draw(walk.t, "outcome")
+	if draw < 5 {
 		return nil
 	}
-	delay := time.Duration(5*(1+luck)) * time.Millisecond
-	if luck < 8 {
+	delay := time.Duration(5*(1+draw)) * time.Millisecond
+	if draw < 8 {
 		return []time.Duration{delay, 3 * delay}
 	}
 	return []time.Duration{delay}
 }
 
-func (w *distributionWalk) act() {
-	control := rapid.SampledFrom(w.controls).Draw(w.t, "control")
-	switch rapid.IntRange(0, 9).Draw(w.t, "action") {
+func (walk *randomWalk) step() {
+	control := rapid.SampledFrom(walk.controls).Draw(walk.t, "control")
+	switch rapid.IntRange(0, 9).Draw(walk.t, "action") {
 	case 0:
-		w.patch()
+		walk.patchDocument()
 	case 1:
-		w.replace()
+		walk.replaceDocument()
 	case 2:
-		w.publishers[control].SetFresh(rapid.Bool().Draw(w.t, "fresh"))
+		walk.publishers[control].SetFresh(rapid.Bool().Draw(walk.t, "fresh"))
 	case 3:
-		w.down[control] = !w.down[control]
+		walk.down[control] = !walk.down[control]
 	case 4:
-		w.restart(control)
+		walk.restart(control)
 	case 5:
-		w.moveHome()
+		walk.moveHome()
 	default:
-		w.changeInstance()
+		walk.changeInstance()
 	}
 }
 
-func (w *distributionWalk) patch() {
-	base := w.revision
+func (walk *randomWalk) patchDocument() {
+	base := walk.revision
 	if base == 0 {
-		w.replace()
+		walk.replaceDocument()
 		return
 	}
-	w.revision += uint64(rapid.IntRange(1, 3).Draw(w.t, "by"))
-	patch := fmt.Sprint("+", w.revision)
-	w.tellSome(patchUpdate(base, w.revision, w.document, patch))
-	w.document += patch
+	walk.revision += uint64(rapid.IntRange(1, 3).Draw(walk.t, "increment"))
+	patch := fmt.Sprint("+", walk.revision)
+	walk.setConfigAtSome(patchUpdate(base, walk.revision, walk.document, patch))
+	walk.document += patch
 }
 
-func (w *distributionWalk) replace() {
-	w.revision++
-	w.document = fmt.Sprint("document ", w.revision)
-	w.tellSome(wholeUpdate(w.revision, w.document))
+func (walk *randomWalk) replaceDocument() {
+	walk.revision++
+	walk.document = fmt.Sprint("document ", walk.revision)
+	walk.setConfigAtSome(fullUpdate(walk.revision, walk.document))
 }
 
-// tellSome gives a state to some of the control processes; the others get it when the walk ends.
-func (w *distributionWalk) tellSome(update Update) {
-	for _, name := range w.controls {
-		if rapid.IntRange(0, 3).Draw(w.t, "told") > 0 {
-			w.setConfig(update, name)
+// setConfigAtSome sets a configuration state at some of the control processes; the others get it from heal.
+func (walk *randomWalk) setConfigAtSome(update Update) {
+	for _, name := range walk.controls {
+		if rapid.IntRange(0, 3).Draw(walk.t, "receives") > 0 {
+			walk.setConfig(update, name)
 		}
 	}
 }
 
-func (w *distributionWalk) changeInstance() {
-	id := fmt.Sprint(rapid.IntRange(1, 5).Draw(w.t, "instance"))
-	known := w.truth[id]
+func (walk *randomWalk) changeInstance() {
+	id := fmt.Sprint(rapid.IntRange(1, 5).Draw(walk.t, "instance"))
+	known := walk.instances[id]
 	if known.ID == "" {
 		known = instanceOf(id, ready, 0)
 	}
 	known.ChangedSeq++
 	known.Seq = known.ChangedSeq
-	known.Reported = registry.Furthest(known.Reported, rapid.SampledFrom([]registry.State{ready, ready, draining, gone}).Draw(w.t, "state"))
+	known.Reported = registry.Furthest(known.Reported,
+		rapid.SampledFrom([]registry.State{ready, ready, draining, gone}).Draw(walk.t, "state"))
 	known.State = known.Reported
-	w.truth[id] = known
-	for _, name := range w.controls {
-		if rapid.IntRange(0, 3).Draw(w.t, "told") > 0 {
-			told := known
-			if told.Reported != gone && rapid.IntRange(0, 4).Draw(w.t, "silent") == 0 {
-				told.State = silent
+	walk.instances[id] = known
+	for _, name := range walk.controls {
+		if rapid.IntRange(0, 3).Draw(walk.t, "receives") > 0 {
+			update := known
+			if update.Reported != gone && rapid.IntRange(0, 4).Draw(walk.t, "silent") == 0 {
+				update.State = silent
 			}
-			w.setInstances(list(told), name)
+			walk.setInstances(instanceList(update), name)
 		}
 	}
 }
 
-// restart starts a control process that knows nothing yet.
-func (w *distributionWalk) restart(name string) {
-	w.addControl(name).SetComplete(false)
+// restart replaces a control process by a new one without state.
+func (walk *randomWalk) restart(name string) {
+	walk.addControl(name).SetComplete(false)
 }
 
-func (w *distributionWalk) moveHome() {
+func (walk *randomWalk) moveHome() {
 	orders := [][]string{{"h1", "c1", "c2"}, {"h2", "c2", "c1"}, {"c3", "h1", "c1"}}
-	sources := rapid.SampledFrom(orders).Draw(w.t, "sources")
-	w.take("r1", w.subscribers["r1"].SetSources(w.now, sources))
+	sources := rapid.SampledFrom(orders).Draw(walk.t, "sources")
+	walk.handleOutput("r1", walk.subscribers["r1"].SetSources(walk.now, sources))
 }
 
-// check holds that versions never go back.
-func (w *distributionWalk) check() {
-	for name, subscriber := range w.subscribers {
+// checkVersions checks that revisions and reported states never go back, and that the digests match the instances.
+func (walk *randomWalk) checkVersions() {
+	for name, subscriber := range walk.subscribers {
 		revision := subscriber.Config().Revision
-		assert.Assert(w.t, revision >= w.revisions[name], "%s went back from revision %d to %d", name, w.revisions[name], revision)
-		w.revisions[name] = revision
+		assert.Assert(walk.t, revision >= walk.revisions[name], "%s went back from revision %d to %d", name, walk.revisions[name], revision)
+		walk.revisions[name] = revision
 		for id, known := range subscriber.instances {
-			before := w.reported[name][id]
-			furthest := registry.Furthest(known.Reported, before)
-			assert.Equal(w.t, furthest, known.Reported, "instance %s at %s", id, name)
-			w.reported[name][id] = known.Reported
+			previous := walk.reported[name][id]
+			furthest := registry.Furthest(known.Reported, previous)
+			assert.Equal(walk.t, furthest, known.Reported, "instance %s at %s", id, name)
+			walk.reported[name][id] = known.Reported
 		}
-		checkSubscriberBuckets(w.t, subscriber)
+		checkSubscriberBuckets(walk.t, subscriber)
 	}
 }
 
@@ -163,41 +164,41 @@
 	assert.Equal(t, want, subscriber.buckets)
 }
 
-// settle makes all calm, and gives every control process what it missed.
-func (w *distributionWalk) settle() {
-	w.fate = nil
-	for _, name := range w.controls {
-		w.down[name] = false
-		publisher := w.publishers[name]
+// heal ends all faults, gives every control process the current state, and runs for 30 s.
+func (walk *randomWalk) heal() {
+	walk.deliveryDelays = nil
+	for _, name := range walk.controls {
+		walk.down[name] = false
+		publisher := walk.publishers[name]
 		publisher.SetFresh(true)
 		publisher.SetComplete(true)
-		w.setConfig(wholeUpdate(w.revision, w.document), name)
-		for _, id := range sortedNames(w.truth) {
-			w.setInstances(list(w.truth[id]), name)
+		walk.setConfig(fullUpdate(walk.revision, walk.document), name)
+		for _, id := range sortedNames(walk.instances) {
+			walk.setInstances(instanceList(walk.instances[id]), name)
 		}
 	}
 	for range 300 {
-		w.run(100 * time.Millisecond)
-		w.check()
+		walk.run(100 * time.Millisecond)
+		walk.checkVersions()
 	}
 }
 
-// TestWalkEveryRelayLearnsAll plays any order of changes, losses, restarts and moves, and then a calm time, after which every
-// relay is fresh and knows what control knows.
+// TestWalkEveryRelayLearnsAll runs random sequences of changes, losses, restarts and moves, and then a time without faults, after which
+// every relay is fresh and has the same state as the control processes.
 func TestWalkEveryRelayLearnsAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newDistributionWalk(t)
+		walk := newRandomWalk(t)
 		for range rapid.IntRange(5, 30).Draw(t, "steps") {
-			w.act()
-			w.run(100 * time.Millisecond)
-			w.check()
+			walk.step()
+			walk.run(100 * time.Millisecond)
+			walk.checkVersions()
 		}
-		w.settle()
-		for name, subscriber := range w.subscribers {
-			assert.Assert(t, subscriber.Fresh(w.now), "%s isn't fresh", name)
-			assert.Equal(t, subscriber.Config().Revision, w.revision, "at %s", name)
-			assert.Equal(t, string(subscriber.Config().Document), w.document, "at %s", name)
-			for id, known := range w.truth {
+		walk.heal()
+		for name, subscriber := range walk.subscribers {
+			assert.Assert(t, subscriber.Fresh(walk.now), "%s isn't fresh", name)
+			assert.Equal(t, subscriber.Config().Revision, walk.revision, "at %s", name)
+			assert.Equal(t, string(subscriber.Config().Document), walk.document, "at %s", name)
+			for id, known := range walk.instances {
 				assert.Equal(t, stateAt(subscriber, id), known.State, "instance %s at %s", id, name)
 			}
 		}
--- a/internal/workload/broadcast.go
+++ b/internal/workload/broadcast.go
@@ -7,96 +7,99 @@
 	"time"
 )
 
-// broadcast sends the same loads to a group of receivers: the relays of a hub's zone, or the hubs of the other zones. An update names the
-// endpoints whose load has changed since it was sent last, the largest changes first, and once in a while the others, so that nothing
-// depends on an update that was lost.
-type broadcast struct {
-	leastChange float64 // smaller changes wait for the repetition
-	matters     func(Load) bool
-	sent        map[Key]sentLoad
-	sentAt      time.Time
-	nextAt      time.Time // of the next update
+// deltaBroadcast tracks which loads were sent to a group of receivers: the relays of a hub's zone, or the hubs of the other zones. An
+// update contains the endpoints whose load has changed since it was last sent, the largest changes first. Unchanged loads are repeated
+// every entryRepeatInterval, so that a lost update is made good.
+type deltaBroadcast struct {
+	minChange    float64         // in requests; a smaller change is sent when the entry is due for repetition
+	isRelevant   func(Load) bool // other loads are sent as zero
+	lastSent     map[Key]timedLoad
+	lastUpdateAt time.Time
+	nextUpdateAt time.Time // earliest time of the next update
 }
 
-// sentLoad is an endpoint's load as it was sent, or received, last.
-type sentLoad struct {
+// timedLoad is the load of an endpoint as last sent or received, and when that was.
+type timedLoad struct {
 	Load
 	at time.Time
 }
 
-func newBroadcast(leastChange float64, matters func(Load) bool) broadcast {
-	return broadcast{leastChange: leastChange, matters: matters, sent: make(map[Key]sentLoad)}
+func newBroadcast(minChange float64, isRelevant func(Load) bool) deltaBroadcast {
+	return deltaBroadcast{minChange: minChange, isRelevant: isRelevant, lastSent: make(map[Key]timedLoad)}
 }
 
-// change is an endpoint that an update should name.
+// change is an endpoint that is due to be part of an update.
 type change struct {
 	key  Key
-	size float64 // in requests; 0: a repetition
+	size float64 // in requests; 0 for a repetition of an unchanged load
 }
 
-// changes lists the endpoints to be named, the largest changes first, room of them at the most.
-func (b *broadcast) changes(now time.Time, loads Loads, room int) []change {
-	var found []change
+// changes returns the endpoints that are due to be sent. If there are more than limit, it returns the limit largest changes;
+// among equal changes, those not sent for the longest time come first.
+func (b *deltaBroadcast) changes(now time.Time, loads Loads, limit int) []change {
+	var changed []change
 	compare := func(key Key, load Load) {
-		last, known := b.sent[key]
+		last, known := b.lastSent[key]
 		size := load.distance(last.Load)
 		switch {
-		case size >= b.leastChange:
-			found = append(found, change{key, size})
-		case known && now.Sub(last.at) >= entryRepeat:
-			found = append(found, change{key, 0})
+		case size >= b.minChange:
+			changed = append(changed, change{key, size})
+		case known && now.Sub(last.at) >= entryRepeatInterval:
+			changed = append(changed, change{key, 0})
 		}
 	}
 	for key, load := range loads {
-		if b.matters(load) {
+		if b.isRelevant(load) {
 			compare(key, load)
 		}
 	}
-	for key := range b.sent {
-		if !b.matters(loads[key]) {
+	for key := range b.lastSent {
+		if !b.isRelevant(loads[key]) {
 			compare(key, Load{})
 		}
 	}
-	if len(found) <= room {
-		return found
+	if len(changed) <= limit {
+		return changed
 	}
-	slices.SortFunc(found, func(left, right change) int {
-		return cmp.Or(cmp.Compare(right.size, left.size), b.sent[left.key].at.Compare(b.sent[right.key].at), cmp.Compare(left.key, right.key))
+	slices.SortFunc(changed, func(left, right change) int {
+		return cmp.Or(cmp.Compare(right.size, left.size), b.lastSent[left.key].at.Compare(b.lastSent[right.key].at),
+			cmp.Compare(left.key, right.key))
 	})
-	return found[:room]
+	return changed[:limit]
 }
 
-// update returns the loads of the changed endpoints, and notes that they are sent. An endpoint without load is named twice and then
-// forgotten.
-func (b *broadcast) update(now time.Time, loads Loads, changed []change) Loads {
+// markSent returns the loads of the changed endpoints and records them as sent. An endpoint whose load has dropped to zero is sent twice
+// and then removed.
+func (b *deltaBroadcast) markSent(now time.Time, loads Loads, changed []change) Loads {
 	update := make(Loads, len(changed))
-	for _, each := range changed {
-		load := loads[each.key]
-		if !b.matters(load) {
+	for _, entry := range changed {
+		load := loads[entry.key]
+		if !b.isRelevant(load) {
 			load = Load{}
 		}
-		update[each.key] = load
-		if load == (Load{}) && b.sent[each.key].Load == (Load{}) {
-			delete(b.sent, each.key)
+		update[entry.key] = load
+		if load == (Load{}) && b.lastSent[entry.key].Load == (Load{}) {
+			delete(b.lastSent, entry.key)
 			continue
 		}
-		b.sent[each.key] = sentLoad{Load: load, at: now}
+		b.lastSent[entry.key] = timedLoad{Load: load, at: now}
 	}
 	return update
 }
 
-// snapshot is all that was sent, for a receiver that has none of it; where that is too much, the largest loads.
-func (b *broadcast) snapshot(most int) Loads {
-	keys := slices.Collect(maps.Keys(b.sent))
-	if len(keys) > most {
+// snapshot returns all loads sent so far, for a receiver that has none of them. If there are more than limit, it returns the limit largest
+// loads.
+func (b *deltaBroadcast) snapshot(limit int) Loads {
+	keys := slices.Collect(maps.Keys(b.lastSent))
+	if len(keys) > limit {
 		slices.SortFunc(keys, func(left, right Key) int {
-			return cmp.Or(cmp.Compare(b.sent[right].distance(Load{}), b.sent[left].distance(Load{})), cmp.Compare(left, right))
+			return cmp.Or(cmp.Compare(b.lastSent[right].distance(Load{}), b.lastSent[left].distance(Load{})), cmp.Compare(left, right))
 		})
-		keys = keys[:most]
+		keys = keys[:limit]
 	}
 	snapshot := make(Loads, len(keys))
 	for _, key := range keys {
-		snapshot[key] = b.sent[key].Load
+		snapshot[key] = b.lastSent[key].Load
 	}
 	return snapshot
 }
--- a/internal/workload/clock_test.go
+++ b/internal/workload/clock_test.go
@@ -9,8 +9,8 @@
 	"wallflow/internal/testkit"
 )
 
-// A step of a machine's time of day changes nothing: what was received stays fresh, and updates go on at once.
-func TestLoadsSurviveStepsOfTheTimeOfDay(t *testing.T) {
+// A step of the wall clock has no effect: received loads stay current, and updates continue without delay.
+func TestLoadsSurviveWallClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{-10 * time.Second, 10 * time.Second} {
 		members := []Member{{Address: "a", Zone: "z"}, {Address: "b", Zone: "z"}}
 		nodes := map[string]*Node{}
@@ -22,8 +22,8 @@
 		if relay.isHub() {
 			relay, hub = hub, relay
 		}
-		began := time.Now()
-		at := func(after time.Duration) time.Time { return began.Add(after) }
+		start := time.Now()
+		at := func(after time.Duration) time.Time { return start.Add(after) }
 		exchange := func(now time.Time, requests int) {
 			for _, send := range hub.Tick(now, Report{Loads: Loads{7: {Requests: requests, Unread: 5000 * requests}}}) {
 				relay.Receive(now, hub.self.Address, send.Message)
@@ -38,7 +38,7 @@
 		loads, _, known = relay.Others(steppedAt(time.Second))
 		assert.Assert(t, known)
 		assert.Equal(t, loads[7].Requests, 3)
-		_, _, known = relay.Others(steppedAt(time.Second + forgetAfter))
+		_, _, known = relay.Others(steppedAt(time.Second + senderExpiry))
 		assert.Assert(t, !known)
 	}
 }
--- a/internal/workload/doc.go
+++ b/internal/workload/doc.go
@@ -1,14 +1,14 @@
-// Package workload tells relays what the others have sent to endpoints: requests, prompt tokens that wait to be read, and memory.
+// Package workload exchanges endpoint loads between relays: requests in flight, prompt tokens that wait for prefill, and cache memory.
 //
-// A relay sees its own requests alone, and in a large fleet that is next to nothing of what an endpoint has to do. So each relay tells
-// the hub of its zone its own load; the hubs tell each other the sums of their zones; and each hub tells the relays of its zone the sum
-// over all, from which they take their own part away. A hub's updates name what has changed and repeat the rest within a second; a
-// receiver that sees a gap asks for a snapshot. What was received is forgotten after a while, so that a relay that is gone or cut off
-// counts for nothing.
+// A relay sees only its own requests, which in a large fleet are a small part of the load of an endpoint. Each relay therefore reports its
+// own load to the hub of its zone, the hubs exchange the sums of their zones, and each hub sends the relays of its zone the sum over all
+// relays, from which each relay subtracts its own part. Updates of a hub contain the loads that have changed, and repeat each of the others
+// within a second or so; a receiver that detects a gap requests a snapshot. Received loads expire, so that a relay that is gone or
+// unreachable no longer counts.
 //
-// Bytes are bounded: updates take no more than a share of the sender's link, however many relays and endpoints there are, with the
-// largest changes first; between zones they go at most each ZoneEvery, less often where there are many zones, and name only endpoints
-// with a load that matters.
+// The bandwidth is bounded: updates use no more than a fixed fraction of the sender's link, however many relays and endpoints there are,
+// and send the largest changes first. Between zones there is at most one update per ZoneInterval, fewer if there are many zones, and it
+// contains only endpoints whose load is large enough to affect other zones.
 //
-// The package is a pure state machine: the time is an argument, nothing is sent or read.
+// The package is a pure state machine: it takes the time as an argument and does no input or output.
 package workload
--- a/internal/workload/load.go
+++ b/internal/workload/load.go
@@ -8,28 +8,29 @@
 	"wallflow/internal/workload/workloadpb"
 )
 
-// Key names an endpoint in few bytes. Two endpoints with the same key are taken for one, which does no harm but to the estimate.
+// Key is a short hash that identifies an endpoint, or a service. Endpoints with the same key are treated as one; such a collision only
+// makes the load estimate less accurate.
 type Key uint32
 
-// Load is what an endpoint has to do.
+// Load is the unfinished work of an endpoint.
 type Load struct {
-	Requests int // sent and not ended
-	Unread   int // prompt tokens to be read for those without a first event
-	Held     int // tokens of memory that the requests hold
-	Overdue  int // requests that should have an answer by now, at an endpoint that has said nothing since
+	Requests int // in flight
+	Unread   int // prompt tokens waiting for prefill, of the requests without a first response event
+	Held     int // cache memory used by the requests, in tokens
+	Overdue  int // requests whose answer is overdue, at an endpoint that has sent nothing since they were due
 }
 
-// Loads is the load by endpoint. Those without any are left out.
+// Loads is the load by endpoint. Endpoints without load are left out.
 type Loads map[Key]Load
 
-// Weights of a change of load, as parts of one request.
+// Weights by which the parts of a load are converted to requests, to compare the sizes of changes.
 const (
-	unreadWeight  = 1.0 / 1024  // a token to be read; a thousand take some 25 ms
-	heldWeight    = 1.0 / 16384 // a token of memory
-	overdueWeight = 4.0         // an answer that is overdue
+	prefillTokenWeight = 1.0 / 1024  // per token that waits for prefill; prefill of a thousand tokens takes about 25 ms
+	cacheTokenWeight   = 1.0 / 16384 // per token of cache memory
+	overdueWeight      = 4.0         // per overdue request
 )
 
-// add adds another load.
+// add adds another load to l.
 func (l *Load) add(other Load) {
 	l.Requests += other.Requests
 	l.Unread += other.Unread
@@ -37,7 +38,7 @@
 	l.Overdue += other.Overdue
 }
 
-// subtract takes a part of the load away. What was sent at another time may be less than the part: nothing is left then.
+// subtract subtracts a part of the load. The part may date from another time and so exceed the load; the result is never negative.
 func (l *Load) subtract(part Load) {
 	l.Requests = max(0, l.Requests-part.Requests)
 	l.Unread = max(0, l.Unread-part.Unread)
@@ -45,22 +46,22 @@
 	l.Overdue = max(0, l.Overdue-part.Overdue)
 }
 
-// distance is how much two loads differ, in requests.
+// distance returns the weighted difference of two loads, in requests.
 func (l Load) distance(other Load) float64 {
 	difference := func(a, b int) float64 { return math.Abs(float64(a - b)) }
-	return difference(l.Requests, other.Requests) + unreadWeight*difference(l.Unread, other.Unread) +
-		heldWeight*difference(l.Held, other.Held) + overdueWeight*difference(l.Overdue, other.Overdue)
+	return difference(l.Requests, other.Requests) + prefillTokenWeight*difference(l.Unread, other.Unread) +
+		cacheTokenWeight*difference(l.Held, other.Held) + overdueWeight*difference(l.Overdue, other.Overdue)
 }
 
-// isAny tells whether there is a load at all.
-func (l Load) isAny() bool { return l != Load{} }
+// isNonzero reports whether there is any load.
+func (l Load) isNonzero() bool { return l != Load{} }
 
-// matters reports whether other zones are sent a load.
-func (l Load) matters() bool {
-	return l.Requests >= zoneRequests || l.Unread >= zoneUnread || l.Overdue > 0
+// isRelevantToOtherZones reports whether a load is large enough to be sent to other zones.
+func (l Load) isRelevantToOtherZones() bool {
+	return l.Requests >= minZoneRequests || l.Unread >= minZonePrefillTokens || l.Overdue > 0
 }
 
-// add adds another sum.
+// add adds other loads to l, endpoint by endpoint.
 func (l Loads) add(other Loads) {
 	for key, load := range other {
 		sum := l[key]
@@ -74,32 +75,35 @@
 	for _, key := range slices.Sorted(maps.Keys(l)) {
 		load := l[key]
 		encoded.Endpoints = append(encoded.Endpoints, uint32(key))
-		encoded.Requests = append(encoded.Requests, unsigned(load.Requests))
-		encoded.Unread = append(encoded.Unread, unsigned(load.Unread))
-		encoded.Held = append(encoded.Held, unsigned(load.Held))
-		encoded.Overdue = append(encoded.Overdue, unsigned(load.Overdue))
+		encoded.Requests = append(encoded.Requests, toWire(load.Requests))
+		encoded.Unread = append(encoded.Unread, toWire(load.Unread))
+		encoded.Held = append(encoded.Held, toWire(load.Held))
+		encoded.Overdue = append(encoded.Overdue, toWire(load.Overdue))
 	}
 	return encoded
 }
 
-func unsigned(value int) uint32 { return uint32(min(max(value, 0), loadMost)) }
+// toWire converts a value for the wire, limited to between 0 and maxLoadValue.
+func toWire(value int) uint32 { return uint32(min(max(value, 0), maxLoadValue)) }
 
-// decode reads loads; false: the lists do not fit each other, or are too long.
-func decode(encoded *workloadpb.Loads) (Loads, bool) {
+// decodeLoads decodes loads. It returns false if the parallel lists differ in length or are too long.
+func decodeLoads(encoded *workloadpb.Loads) (Loads, bool) {
 	count := len(encoded.GetEndpoints())
-	if count > entriesMost || len(encoded.Requests) != count || len(encoded.Unread) != count || len(encoded.Held) != count || len(encoded.Overdue) != count {
+	if count > maxEntries || len(encoded.Requests) != count || len(encoded.Unread) != count ||
+		len(encoded.Held) != count || len(encoded.Overdue) != count {
 		return nil, false
 	}
 	loads := make(Loads, count)
 	for index, key := range encoded.Endpoints {
 		loads[Key(key)] = Load{
-			Requests: bounded(encoded.Requests[index]),
-			Unread:   bounded(encoded.Unread[index]),
-			Held:     bounded(encoded.Held[index]),
-			Overdue:  bounded(encoded.Overdue[index]),
+			Requests: fromWire(encoded.Requests[index]),
+			Unread:   fromWire(encoded.Unread[index]),
+			Held:     fromWire(encoded.Held[index]),
+			Overdue:  fromWire(encoded.Overdue[index]),
 		}
 	}
 	return loads, true
 }
 
-func bounded(value uint32) int { return int(min(value, loadMost)) }
+// fromWire converts a value from the wire, limited to maxLoadValue.
+func fromWire(value uint32) int { return int(min(value, maxLoadValue)) }
--- a/internal/workload/node.go
+++ b/internal/workload/node.go
@@ -10,117 +10,119 @@
 )
 
 const (
-	// LocalEvery is the least time between two messages to a process of the own zone, where bytes are cheap.
+	// LocalEvery is the minimum time between two messages to a relay of the own zone, where bandwidth is cheap.
 	LocalEvery = 40 * time.Millisecond
-	// ZoneEvery is the least time between two updates to another zone while there are no more than zonesUsual zones.
-	ZoneEvery  = 60 * time.Millisecond
-	zonesUsual = 8
-	// repeatEvery is after how long a message is sent though nothing has changed, and forgetAfter when a sender that is silent counts no
-	// more: after two messages that were lost.
-	repeatEvery = 500 * time.Millisecond
-	forgetAfter = 1600 * time.Millisecond
-	// entryRepeat is after how long an endpoint is named again though its load has not changed, and entryExpiry when a load that was not
-	// named again counts no more.
-	entryRepeat = time.Second
-	entryExpiry = 4 * time.Second
-	// updateSpan bounds the updates: one names no more than that time's share of the link carries.
-	updateSpan = 100 * time.Millisecond
-	// leastChange and leastZoneChange are the changes, in requests, from which an endpoint is named at once.
-	leastChange     = 1
-	leastZoneChange = 2
-
-	// sumsEvery is the least time between two messages with sums: they change slowly.
-	sumsEvery = 500 * time.Millisecond
-
-	// zoneRequests and zoneUnread are the loads of an endpoint from which other zones are sent them: a smaller one delays nobody there.
-	zoneRequests = 2
-	zoneUnread   = 1024
-	// zoneEntries bounds the endpoints that an update to another zone names.
-	zoneEntries = 512
-	// entriesMost and loadMost bound what a message may claim.
-	entriesMost = 1 << 15
-	loadMost    = 1 << 28
-
-	// linkShare is the share of a machine's link that its updates may take within the zone, and as much again between zones.
-	linkShare = 0.25
-	// messageOverhead is about what a message takes on the wire beside its loads, and entryBytes what an endpoint in it takes.
-	messageOverhead = 80
-	entryBytes      = 12
-	// entriesLeast is how many endpoints an update may name however slow the link is.
-	entriesLeast = 8
-
-	// hubKey is the key by which the hub of a zone is chosen among its relays.
+	// ZoneInterval is the minimum time between two updates to another zone. It is multiplied if there are more than zonesPerInterval other
+	// zones; see Node.zoneInterval.
+	ZoneInterval     = 60 * time.Millisecond
+	zonesPerInterval = 8
+	// repeatInterval is the time after which a message is sent although nothing has changed. senderExpiry is the time after which the loads
+	// of a silent relay no longer count; it allows for two lost messages in a row.
+	repeatInterval = 500 * time.Millisecond
+	senderExpiry   = 1600 * time.Millisecond
+	// entryRepeatInterval is the time after which an unchanged load is sent again. entryExpiry is the time after which a load that was not
+	// sent again no longer counts.
+	entryRepeatInterval = time.Second
+	entryExpiry         = 4 * time.Second
+	// updateWindow bounds the size of an update to what the link, at linkFraction of its bandwidth, carries in that time.
+	updateWindow = 100 * time.Millisecond
+	// minChange and minZoneChange are the smallest changes of a load, in requests, that are sent before the load is due for repetition,
+	// within the zone and to other zones.
+	minChange     = 1
+	minZoneChange = 2
+
+	// sumsInterval is the minimum time between two messages with sums to a receiver; sums change slowly.
+	sumsInterval = 500 * time.Millisecond
+
+	// minZoneRequests and minZonePrefillTokens are the smallest loads that are sent to other zones; smaller ones delay no request there.
+	minZoneRequests      = 2
+	minZonePrefillTokens = 1024
+	// maxZoneEntries is the maximum number of endpoints in an update to another zone.
+	maxZoneEntries = 512
+	// maxEntries and maxLoadValue bound the number of endpoints in a message and each part of a load.
+	maxEntries   = 1 << 15
+	maxLoadValue = 1 << 28
+
+	// linkFraction is the fraction of a machine's link that updates may use within the zone; those between zones may use as much again.
+	linkFraction = 0.25
+	// messageOverheadBytes is the approximate size of a message on the wire without its loads, and bytesPerEntry that of each endpoint.
+	messageOverheadBytes = 80
+	bytesPerEntry        = 12
+	// minEntries is the number of endpoints that an update may contain even if the link is slow.
+	minEntries = 8
+
+	// hubKey is the rendezvous hashing key by which the hub of a zone is chosen among its relays.
 	hubKey = "workload"
 )
 
-// Member is one relay.
+// Member is a relay of the fleet.
 type Member struct {
-	Address string // internal
+	Address string // internal address
 	Zone    string
 }
 
-// Send is a message to the relay at an internal address.
+// Send is a message to be sent to another relay.
 type Send struct {
-	To      string
+	To      string // internal address
 	Message *workloadpb.Message
 }
 
-// Report is what a relay has itself.
+// Report is a relay's own load and observations.
 type Report struct {
-	Loads    Loads     // what it has at endpoints now
-	Sums     Sums      // what the answers to it have shown
-	Readings []Reading // since the report before
+	Loads    Loads     // of its unfinished requests
+	Sums     Sums      // over the answers that it received
+	Readings []Reading // since the previous report
 }
 
 // Options are the settings of a Node.
 type Options struct {
 	Self Member
-	// Life differs between lives of the process.
+	// Life is a random number that identifies this run of the process; it differs after a restart.
 	Life uint64
-	// LinkBytes is how many bytes the machine's link carries in a second; 0: as many as wanted.
+	// LinkBytes is the bandwidth of the machine's link in bytes per second; 0 means unlimited.
 	LinkBytes float64
 }
 
-// Node is one relay's part. It is not safe for use by several goroutines.
+// Node is the state of one relay. It is not safe for concurrent use.
 type Node struct {
-	self     Member
-	link     float64 // bytes a second
-	life     uint64
-	sequence uint64
-
-	hub   string            // address of the own zone's hub
-	peers []string          // the other relays of the own zone, in order
-	hubs  map[string]string // zone by address of its hub, without the own
-
-	own      Report
-	queue    readingQueue
-	received []Reading        // of other relays, since TakeReadings
-	relays   map[string]*peer // hub: by relay of the zone
-	zones    map[string]*peer // hub: by address of the other hubs
-	others   *peer            // what the hub sent, less the own part; nil: nothing yet
-
-	receivers map[string]*receiver // by address
-	toPeers   broadcast            // hub: to the relays of the zone
-	toHubs    broadcast            // hub: to the other hubs
-
-	sentReports []sentReport // to the hub, the oldest first
-	lastReport  time.Time
-	nextReport  time.Time // nothing is reported before
+	self               Member
+	linkBytesPerSecond float64 // 0: unlimited
+	life               uint64
+	sequence           uint64 // of the last message sent
+
+	hub       string            // address of the hub of the own zone
+	zonePeers []string          // addresses of the other relays of the own zone, sorted
+	zoneByHub map[string]string // other zones, by address of their hub
+
+	ownReport        Report
+	queuedPrefills   prefillQueue
+	receivedPrefills []Reading             // from other relays, since the last TakeReadings
+	relayStates      map[string]*peerState // on a hub: by address of the relay, of the own zone
+	hubStates        map[string]*peerState // on a hub: by address of the hub, of the other zones
+	othersState      *peerState            // on other relays: the loads sent by the hub without the own part; nil before the first message
+
+	receiverStates map[string]*receiverState // by address of the receiver
+	zoneBroadcast  deltaBroadcast            // on a hub: to the relays of the own zone
+	hubBroadcast   deltaBroadcast            // on a hub: to the other hubs
+
+	sentReports  []sentReport // to the hub, the oldest first
+	lastReportAt time.Time
+	nextReportAt time.Time // earliest time of the next report
 }
 
-// New returns a Node that knows no other relay.
+// New returns a Node that does not know of any other relay.
 func New(options Options) *Node {
 	self := options.Self
 	n := &Node{
-		self: self, life: options.Life, link: options.LinkBytes,
-		relays: make(map[string]*peer), zones: make(map[string]*peer), receivers: make(map[string]*receiver),
+		self: self, life: options.Life, linkBytesPerSecond: options.LinkBytes,
+		relayStates: make(map[string]*peerState), hubStates: make(map[string]*peerState), receiverStates: make(map[string]*receiverState),
 	}
-	n.resetBroadcasts()
+	n.resetSendState()
 	n.SetMembers([]Member{self})
 	return n
 }
 
-// SetMembers takes on the relays that are alive. This one always counts.
+// SetMembers sets the relays that are alive. This relay is always one of them.
 func (n *Node) SetMembers(members []Member) {
 	zones := map[string][]string{n.self.Zone: {n.self.Address}}
 	for _, member := range members {
@@ -128,115 +130,117 @@
 			zones[member.Zone] = append(zones[member.Zone], member.Address)
 		}
 	}
-	n.hubs = make(map[string]string)
+	n.zoneByHub = make(map[string]string)
 	for zone, addresses := range zones {
 		if zone != n.self.Zone {
-			n.hubs[distribution.Home(zone, addresses, hubKey)] = zone
+			n.zoneByHub[distribution.Home(zone, addresses, hubKey)] = zone
 		}
 	}
-	was := n.hub
+	previousHub := n.hub
 	n.hub = distribution.Home(n.self.Zone, zones[n.self.Zone], hubKey)
-	if n.hub != was {
-		n.resetBroadcasts()
+	if n.hub != previousHub {
+		n.resetSendState()
 	}
-	n.peers = slices.Sorted(slices.Values(zones[n.self.Zone][1:]))
-	n.forgetAbsent()
+	n.zonePeers = slices.Sorted(slices.Values(zones[n.self.Zone][1:]))
+	n.dropAbsent()
 }
 
-// resetBroadcasts forgets what was sent while another relay was the hub of the zone.
-func (n *Node) resetBroadcasts() {
-	n.toPeers = newBroadcast(leastChange, Load.isAny)
-	n.toHubs = newBroadcast(leastZoneChange, Load.matters)
-	clear(n.receivers)
+// resetSendState forgets everything sent so far. It is called when the hub of the zone changes.
+func (n *Node) resetSendState() {
+	n.zoneBroadcast = newBroadcast(minChange, Load.isNonzero)
+	n.hubBroadcast = newBroadcast(minZoneChange, Load.isRelevantToOtherZones)
+	clear(n.receiverStates)
 	n.sentReports = nil
 }
 
-// forgetAbsent drops what is known of, or was sent to, relays that are no longer there.
-func (n *Node) forgetAbsent() {
-	maps.DeleteFunc(n.relays, func(address string, _ *peer) bool { return !n.isHub() || !slices.Contains(n.peers, address) })
-	maps.DeleteFunc(n.zones, func(address string, _ *peer) bool { return !n.isHub() || n.hubs[address] == "" })
-	maps.DeleteFunc(n.receivers, func(address string, _ *receiver) bool {
-		return address != n.hub && !slices.Contains(n.peers, address) && n.hubs[address] == ""
+// dropAbsent drops the state of relays that are gone, and of those from which this relay no longer expects messages.
+func (n *Node) dropAbsent() {
+	maps.DeleteFunc(n.relayStates, func(address string, _ *peerState) bool { return !n.isHub() || !slices.Contains(n.zonePeers, address) })
+	maps.DeleteFunc(n.hubStates, func(address string, _ *peerState) bool { return !n.isHub() || n.zoneByHub[address] == "" })
+	maps.DeleteFunc(n.receiverStates, func(address string, _ *receiverState) bool {
+		return address != n.hub && !slices.Contains(n.zonePeers, address) && n.zoneByHub[address] == ""
 	})
 }
 
 func (n *Node) isHub() bool { return n.hub == n.self.Address }
 
-// Tick takes what this relay has now, and returns what is to be sent. It is to be called every LocalEvery or more often.
-func (n *Node) Tick(now time.Time, own Report) []Send {
-	n.own = own
-	n.queue.add(n.self.Address, own.Readings)
+// Tick sets the current report of this relay and returns the messages that are due. It must be called at least every LocalEvery.
+func (n *Node) Tick(now time.Time, ownReport Report) []Send {
+	n.ownReport = ownReport
+	n.queuedPrefills.add(n.self.Address, ownReport.Readings)
 	if !n.isHub() {
 		return n.sendReport(now)
 	}
-	zone := n.sumOfZone(now)
-	all := n.sumOfZones(now)
-	all.add(zone)
-	sends := n.sendUpdate(nil, now, update{
-		to: &n.toPeers, receivers: n.peers, interval: LocalEvery, loads: all, entriesMost: entriesMost,
-		sums: func(receiver string) Sums { return n.sumsBut(now, receiver) },
-		fill: func(message *workloadpb.Message, receiver string, loads *workloadpb.Loads) {
+	zoneLoads := n.ownZoneLoads(now)
+	allLoads := n.otherZoneLoads(now)
+	allLoads.add(zoneLoads)
+	sends := n.sendToGroup(nil, now, groupUpdate{
+		broadcast: &n.zoneBroadcast, receivers: n.zonePeers, minInterval: LocalEvery, loads: allLoads, maxEntries: maxEntries,
+		sumsFor: func(receiver string) Sums { return n.sumsExcept(now, receiver) },
+		setLoads: func(message *workloadpb.Message, receiver string, loads *workloadpb.Loads) {
 			message.All, message.IncludedReport = loads, n.includedReport(now, receiver)
 		},
 	})
-	return n.sendUpdate(sends, now, update{
-		to: &n.toHubs, receivers: slices.Sorted(maps.Keys(n.hubs)), interval: n.zoneEvery(), loads: zone, entriesMost: zoneEntries,
-		ownZoneOnly: true,
-		sums:        func(string) Sums { return n.sumsOfZone(now) },
-		fill: func(message *workloadpb.Message, receiver string, loads *workloadpb.Loads) {
-			message.Zone, message.SnapshotWanted = loads, n.zones[receiver].hasGap(now)
+	return n.sendToGroup(sends, now, groupUpdate{
+		broadcast: &n.hubBroadcast, receivers: slices.Sorted(maps.Keys(n.zoneByHub)), minInterval: n.zoneInterval(), loads: zoneLoads,
+		maxEntries:          maxZoneEntries,
+		ownZonePrefillsOnly: true,
+		sumsFor:             func(string) Sums { return n.ownZoneSums(now) },
+		setLoads: func(message *workloadpb.Message, receiver string, loads *workloadpb.Loads) {
+			message.Zone, message.SnapshotWanted = loads, n.hubStates[receiver].hasGap(now)
 		},
 	})
 }
 
-// zoneEvery grows with the number of zones, so that what a hub sends stays bounded.
-func (n *Node) zoneEvery() time.Duration {
-	return ZoneEvery * time.Duration(max(1, (len(n.hubs)+zonesUsual-1)/zonesUsual))
+// zoneInterval returns the minimum time between two updates to other zones. It grows with the number of zones, so that the bandwidth
+// used by a hub stays bounded.
+func (n *Node) zoneInterval() time.Duration {
+	return ZoneInterval * time.Duration(max(1, (len(n.zoneByHub)+zonesPerInterval-1)/zonesPerInterval))
 }
 
-// Others is what all other relays have at endpoints, and what their answers have shown, as far as is known. Not ok: nothing is known, and
-// the caller has to guess.
+// Others returns the loads and sums of all other relays, as far as they are known. If ok is false, nothing is known and the caller has to
+// estimate them.
 func (n *Node) Others(now time.Time) (loads Loads, sums Sums, ok bool) {
 	if !n.isHub() {
-		if !n.others.fresh(now) {
+		if !n.othersState.isFresh(now) {
 			return nil, nil, false
 		}
-		loads = make(Loads, len(n.others.loads))
-		n.others.addTo(loads, now)
-		return loads, n.others.sums, true
+		loads = make(Loads, len(n.othersState.loads))
+		n.othersState.addTo(loads, now)
+		return loads, n.othersState.sums, true
 	}
-	loads, sums = n.sumOfZones(now), make(Sums)
-	for _, peers := range []map[string]*peer{n.relays, n.zones} {
+	loads, sums = n.otherZoneLoads(now), make(Sums)
+	for _, peers := range []map[string]*peerState{n.relayStates, n.hubStates} {
 		addFreshSums(sums, now, peers)
 	}
-	addFresh(loads, now, n.relays)
+	addFreshLoads(loads, now, n.relayStates)
 	return loads, sums, true
 }
 
-// TakeReadings returns what other relays had endpoints read since the last call.
+// TakeReadings returns the prefills that other relays have reported since the last call.
 func (n *Node) TakeReadings() []Reading {
-	received := n.received
-	n.received = nil
-	return received
+	receivedPrefills := n.receivedPrefills
+	n.receivedPrefills = nil
+	return receivedPrefills
 }
 
-// Figures are counts for logs.
+// Figures describes how much a relay knows of the loads of others, for metrics.
 type Figures struct {
-	Hub    bool
+	Hub    bool // this relay is the hub of its zone
 	Known  bool // the loads of the other relays are known
-	Relays int  // of the zone, that the hub has fresh loads of
-	Zones  int  // others, that the hub has fresh loads of
+	Relays int  // on a hub: relays of the own zone whose loads are current
+	Zones  int  // on a hub: other zones whose loads are current
 }
 
-// Figures tells how much is known.
+// Figures returns how much is known of the loads of other relays.
 func (n *Node) Figures(now time.Time) Figures {
-	count := func(peers map[string]*peer) (fresh int) {
+	count := func(peers map[string]*peerState) (fresh int) {
 		for _, peer := range peers {
-			if peer.fresh(now) {
+			if peer.isFresh(now) {
 				fresh++
 			}
 		}
 		return fresh
 	}
-	return Figures{Hub: n.isHub(), Known: n.isHub() || n.others.fresh(now), Relays: count(n.relays), Zones: count(n.zones)}
+	return Figures{Hub: n.isHub(), Known: n.isHub() || n.othersState.isFresh(now), Relays: count(n.relayStates), Zones: count(n.hubStates)}
 }
--- a/internal/workload/node_test.go
+++ b/internal/workload/node_test.go
@@ -14,63 +14,67 @@
 
 var start = time.Unix(1_000, 0)
 
-// network is relays that tell each other their loads, under a virtual clock.
+// network simulates relays that exchange their loads, with a virtual clock.
 type network struct {
-	t       *testing.T
-	now     time.Time
-	members []Member
-	nodes   []*Node
-	own     []Report
-	down    map[string]bool
-	delay   time.Duration
-	flying  []flight
-	bytes   int // between zones
-	updates int // between zones
-	loss    float64
-	link    float64 // bytes a second of each machine
-	onSend  func(from string, send Send)
-	random  *rand.Rand
+	t                  *testing.T
+	now                time.Time
+	members            []Member
+	nodes              []*Node
+	reports            []Report        // of each node, at its next tick
+	down               map[string]bool // by address
+	delay              time.Duration
+	inFlight           []delivery
+	interZoneBytes     int // sent so far
+	interZoneUpdates   int // sent so far
+	lossRate           float64
+	linkBytesPerSecond float64 // of each machine; 0: unlimited
+	onSend             func(from string, send Send)
+	random             *rand.Rand
 }
 
-type flight struct {
+type delivery struct {
 	at      time.Time
 	from    string
 	to      string
 	encoded []byte
 }
 
-func newNetwork(t *testing.T, zones, perZone int) *network { return newNetworkOf(t, zones, perZone, 0) }
+func newNetwork(t *testing.T, zones, perZone int) *network {
+	return newNetworkWithLink(t, zones, perZone, 0)
+}
 
-// newNetworkOf returns relays whose machines' links carry so many bytes a second; 0: as many as wanted.
-func newNetworkOf(t *testing.T, zones, perZone int, link float64) *network {
-	w := &network{t: t, link: link, now: start, down: map[string]bool{}, delay: 5 * time.Millisecond, random: rand.New(rand.NewPCG(1, 2))}
+// newNetworkWithLink returns a network whose machines have links of the given bandwidth; 0 means unlimited.
+func newNetworkWithLink(t *testing.T, zones, perZone int, linkBytesPerSecond float64) *network {
+	net := &network{t: t, linkBytesPerSecond: linkBytesPerSecond, now: start, down: map[string]bool{}, delay: 5 * time.Millisecond,
+		random: rand.New(rand.NewPCG(1, 2))}
 	for zone := range zones {
 		for relay := range perZone {
-			w.members = append(w.members, Member{Address: fmt.Sprintf("10.%d.0.%d:1", zone, relay), Zone: fmt.Sprintf("z%d", zone)})
+			net.members = append(net.members, Member{Address: fmt.Sprintf("10.%d.0.%d:1", zone, relay), Zone: fmt.Sprintf("z%d", zone)})
 		}
 	}
-	for index, member := range w.members {
-		w.nodes = append(w.nodes, New(Options{Self: member, Life: uint64(index) + 1, LinkBytes: w.link}))
-		w.own = append(w.own, Report{})
+	for index, member := range net.members {
+		net.nodes = append(net.nodes, New(Options{Self: member, Life: uint64(index) + 1, LinkBytes: net.linkBytesPerSecond}))
+		net.reports = append(net.reports, Report{})
 	}
-	w.spreadMembers()
-	return w
+	net.updateMembers()
+	return net
 }
 
-func (w *network) spreadMembers() {
+// updateMembers gives all nodes the relays that are not down.
+func (net *network) updateMembers() {
 	var alive []Member
-	for _, member := range w.members {
-		if !w.down[member.Address] {
+	for _, member := range net.members {
+		if !net.down[member.Address] {
 			alive = append(alive, member)
 		}
 	}
-	for _, node := range w.nodes {
+	for _, node := range net.nodes {
 		node.SetMembers(alive)
 	}
 }
 
-func (w *network) zoneOf(address string) string {
-	for _, member := range w.members {
+func (net *network) zoneOf(address string) string {
+	for _, member := range net.members {
 		if member.Address == address {
 			return member.Zone
 		}
@@ -78,271 +82,273 @@
 	return ""
 }
 
-// run lets time pass in steps of ten milliseconds; all relays tick each LocalEvery.
-func (w *network) run(span time.Duration) {
-	for end := w.now.Add(span); w.now.Before(end); w.now = w.now.Add(10 * time.Millisecond) {
-		var left []flight
-		for _, each := range w.flying {
-			if each.at.After(w.now) {
-				left = append(left, each)
+// run advances the clock in steps of 10 ms and delivers messages; all relays tick every LocalEvery.
+func (net *network) run(duration time.Duration) {
+	for end := net.now.Add(duration); net.now.Before(end); net.now = net.now.Add(10 * time.Millisecond) {
+		var pending []delivery
+		for _, next := range net.inFlight {
+			if next.at.After(net.now) {
+				pending = append(pending, next)
 				continue
 			}
-			w.arrive(each)
+			net.deliver(next)
 		}
-		w.flying = left
-		if w.now.Sub(start)%LocalEvery == 0 {
-			w.tick()
+		net.inFlight = pending
+		if net.now.Sub(start)%LocalEvery == 0 {
+			net.tick()
 		}
 	}
 }
 
-func (w *network) arrive(each flight) {
-	for index, member := range w.members {
-		if member.Address == each.to && !w.down[each.to] {
+func (net *network) deliver(due delivery) {
+	for index, member := range net.members {
+		if member.Address == due.to && !net.down[due.to] {
 			message := new(workloadpb.Message)
-			assert.NilError(w.t, proto.Unmarshal(each.encoded, message))
-			w.nodes[index].Receive(w.now, each.from, message)
+			assert.NilError(net.t, proto.Unmarshal(due.encoded, message))
+			net.nodes[index].Receive(net.now, due.from, message)
 		}
 	}
 }
 
-func (w *network) tick() {
-	for index, node := range w.nodes {
-		address := w.members[index].Address
-		if w.down[address] {
+func (net *network) tick() {
+	for index, node := range net.nodes {
+		address := net.members[index].Address
+		if net.down[address] {
 			continue
 		}
-		sends := node.Tick(w.now, w.own[index])
-		w.own[index].Readings = nil
+		sends := node.Tick(net.now, net.reports[index])
+		net.reports[index].Readings = nil
 		for _, send := range sends {
-			if w.onSend != nil {
-				w.onSend(address, send)
+			if net.onSend != nil {
+				net.onSend(address, send)
 			}
 			encoded, err := proto.Marshal(send.Message)
-			assert.NilError(w.t, err)
-			if w.zoneOf(send.To) != w.zoneOf(address) {
-				w.bytes += len(encoded)
-				w.updates++
+			assert.NilError(net.t, err)
+			if net.zoneOf(send.To) != net.zoneOf(address) {
+				net.interZoneBytes += len(encoded)
+				net.interZoneUpdates++
 			}
-			if w.random.Float64() >= w.loss {
-				w.flying = append(w.flying, flight{w.now.Add(w.delay), address, send.To, encoded})
+			if net.random.Float64() >= net.lossRate {
+				net.inFlight = append(net.inFlight, delivery{net.now.Add(net.delay), address, send.To, encoded})
 			}
 		}
 	}
 }
 
-// expected is what all relays but one have together.
-func (w *network) expected(but int) Loads {
+// expected returns the summed loads of all relays except one, without those that are down.
+func (net *network) expected(except int) Loads {
 	sum := Loads{}
-	for index := range w.own {
-		if index != but && !w.down[w.members[index].Address] {
-			sum.add(w.own[index].Loads)
+	for index := range net.reports {
+		if index != except && !net.down[net.members[index].Address] {
+			sum.add(net.reports[index].Loads)
 		}
 	}
 	return sum
 }
 
-// Each relay learns what all others have, itself left out, within a few words.
-func TestEachRelayKnowsWhatTheOthersHave(t *testing.T) {
-	for _, loss := range []float64{0, 0.3} {
-		w := newNetwork(t, 3, 4)
-		w.loss = loss
-		for index := range w.own {
-			w.own[index].Loads = Loads{Key(index % 5): {Requests: 2 + index, Unread: 2000 * index, Held: 100 * index}}
+// Each relay learns the loads of all others, without its own, within a few messages.
+func TestRelaysLearnLoadsOfOthers(t *testing.T) {
+	for _, lossRate := range []float64{0, 0.3} {
+		net := newNetwork(t, 3, 4)
+		net.lossRate = lossRate
+		for index := range net.reports {
+			net.reports[index].Loads = Loads{Key(index % 5): {Requests: 2 + index, Unread: 2000 * index, Held: 100 * index}}
 		}
-		w.run(map[bool]time.Duration{true: 400 * time.Millisecond, false: 6 * time.Second}[loss == 0])
+		net.run(map[bool]time.Duration{true: 400 * time.Millisecond, false: 6 * time.Second}[lossRate == 0])
 		exact := 0
-		for index, node := range w.nodes {
-			others, _, known := node.Others(w.now)
+		for index, node := range net.nodes {
+			others, _, known := node.Others(net.now)
 			assert.Assert(t, known)
-			if fmt.Sprint(others) == fmt.Sprint(w.expected(index)) {
+			if fmt.Sprint(others) == fmt.Sprint(net.expected(index)) {
 				exact++
 			}
 		}
-		if loss == 0 {
-			assert.Equal(t, exact, len(w.nodes))
+		if lossRate == 0 {
+			assert.Equal(t, exact, len(net.nodes))
 		} else {
-			assert.Assert(t, exact > len(w.nodes)/2, "%d", exact)
+			assert.Assert(t, exact > len(net.nodes)/2, "%d", exact)
 		}
 	}
 }
 
-// News of a change reach another zone's relays within three words and the way.
-func TestChangesAreKnownSoon(t *testing.T) {
-	w := newNetwork(t, 3, 4)
-	w.run(time.Second)
-	w.own[0].Loads = Loads{7: {Requests: 1, Unread: 30_000}}
-	began := w.now
-	last := len(w.nodes) - 1
+// A change reaches the relays of another zone within the intervals of three messages and the latency.
+func TestChangesPropagateQuickly(t *testing.T) {
+	net := newNetwork(t, 3, 4)
+	net.run(time.Second)
+	net.reports[0].Loads = Loads{7: {Requests: 1, Unread: 30_000}}
+	changedAt := net.now
+	last := len(net.nodes) - 1
 	for {
-		others, _, _ := w.nodes[last].Others(w.now)
+		others, _, _ := net.nodes[last].Others(net.now)
 		if others[7].Unread == 30_000 {
 			break
 		}
-		w.run(10 * time.Millisecond)
-		assert.Assert(t, w.now.Sub(began) < time.Second)
+		net.run(10 * time.Millisecond)
+		assert.Assert(t, net.now.Sub(changedAt) < time.Second)
 	}
-	assert.Assert(t, w.now.Sub(began) <= 2*LocalEvery+ZoneEvery+5*w.delay, "%v", w.now.Sub(began))
+	assert.Assert(t, net.now.Sub(changedAt) <= 2*LocalEvery+ZoneInterval+5*net.delay, "%v", net.now.Sub(changedAt))
 }
 
-// A relay that is gone counts for nothing after a while; one whose hub is gone knows that it knows nothing, until there is another.
-func TestLostRelaysAreForgotten(t *testing.T) {
-	w := newNetwork(t, 2, 3)
-	for index := range w.own {
-		w.own[index].Loads = Loads{1: {Requests: 10}}
+// The loads of a relay that is gone expire. A relay whose hub is gone reports that the loads of others are unknown, until there is another
+// hub.
+func TestLostRelaysExpire(t *testing.T) {
+	net := newNetwork(t, 2, 3)
+	for index := range net.reports {
+		net.reports[index].Loads = Loads{1: {Requests: 10}}
 	}
-	w.run(time.Second)
-	hub := w.nodes[0].hub
-	w.down[hub] = true
-	w.run(forgetAfter + 100*time.Millisecond)
-	for index, node := range w.nodes {
-		_, _, known := node.Others(w.now)
-		inZone := w.members[index].Zone == w.zoneOf(hub)
-		if w.members[index].Address != hub {
+	net.run(time.Second)
+	hub := net.nodes[0].hub
+	net.down[hub] = true
+	net.run(senderExpiry + 100*time.Millisecond)
+	for index, node := range net.nodes {
+		_, _, known := node.Others(net.now)
+		inZone := net.members[index].Zone == net.zoneOf(hub)
+		if net.members[index].Address != hub {
 			assert.Equal(t, known, !inZone, "relay %d", index)
 		}
 	}
-	w.spreadMembers()
-	w.run(time.Second)
-	for index, node := range w.nodes {
-		if w.down[w.members[index].Address] {
+	net.updateMembers()
+	net.run(time.Second)
+	for index, node := range net.nodes {
+		if net.down[net.members[index].Address] {
 			continue
 		}
-		others, _, known := node.Others(w.now)
+		others, _, known := node.Others(net.now)
 		assert.Assert(t, known)
-		assert.Equal(t, others[1].Requests, w.expected(index)[1].Requests, "relay %d", index)
+		assert.Equal(t, others[1].Requests, net.expected(index)[1].Requests, "relay %d", index)
 	}
 }
 
-// What goes between zones is bounded however often loads change, and names the endpoints with a load that matters, the most loaded first.
+// Updates between zones are bounded however often loads change, and contain the endpoints with the largest loads.
 func TestUpdatesBetweenZonesAreBounded(t *testing.T) {
-	w := newNetwork(t, 2, 2)
+	net := newNetwork(t, 2, 2)
 	random := rand.New(rand.NewPCG(3, 4))
-	w.run(time.Second)
-	w.bytes, w.updates = 0, 0
+	net.run(time.Second)
+	net.interZoneBytes, net.interZoneUpdates = 0, 0
 	for range 200 {
 		loads := Loads{}
 		for range 40 {
 			loads[Key(random.Uint32()%2000)] = Load{Requests: random.IntN(20), Unread: random.IntN(60_000)}
 		}
-		w.own[0].Loads = loads
-		w.run(10 * time.Millisecond)
+		net.reports[0].Loads = loads
+		net.run(10 * time.Millisecond)
 	}
-	assert.Assert(t, w.updates <= 2*int(2*time.Second/ZoneEvery)+2, "%d updates", w.updates)
-	for _, tokens := range []int{1, 4} { // as many endpoints with a load that matters as may be named, and more
-		many := Loads{}
-		for key := range 3 * zoneEntries {
-			many[Key(key)] = Load{Requests: 1, Unread: key * tokens}
+	assert.Assert(t, net.interZoneUpdates <= 2*int(2*time.Second/ZoneInterval)+2, "%d updates", net.interZoneUpdates)
+	for _, tokens := range []int{1, 4} { // as many relevant endpoints as an update may contain, and more
+		manyLoads := Loads{}
+		for key := range 3 * maxZoneEntries {
+			manyLoads[Key(key)] = Load{Requests: 1, Unread: key * tokens}
 		}
-		hubs := newBroadcast(leastZoneChange, Load.matters)
-		named := hubs.update(w.now, many, hubs.changes(w.now, many, zoneEntries))
-		assert.Equal(t, len(named), zoneEntries)
-		for key := 2 * zoneEntries; key < 3*zoneEntries; key++ {
-			assert.Equal(t, named[Key(key)].Unread, key*tokens)
+		broadcast := newBroadcast(minZoneChange, Load.isRelevantToOtherZones)
+		entries := broadcast.markSent(net.now, manyLoads, broadcast.changes(net.now, manyLoads, maxZoneEntries))
+		assert.Equal(t, len(entries), maxZoneEntries)
+		for key := 2 * maxZoneEntries; key < 3*maxZoneEntries; key++ {
+			assert.Equal(t, entries[Key(key)].Unread, key*tokens)
 		}
 	}
 }
 
-// A hub of many zones sends to each of them less often.
-func TestManyZonesAreToldLessOften(t *testing.T) {
-	few, many := newNetwork(t, 4, 1), newNetwork(t, 40, 1)
-	assert.Equal(t, few.nodes[0].zoneEvery(), ZoneEvery)
-	assert.Equal(t, many.nodes[0].zoneEvery(), 5*ZoneEvery)
+// With many zones, a hub sends to each of them less often.
+func TestUpdateIntervalGrowsWithZones(t *testing.T) {
+	fewZones, manyZones := newNetwork(t, 4, 1), newNetwork(t, 40, 1)
+	assert.Equal(t, fewZones.nodes[0].zoneInterval(), ZoneInterval)
+	assert.Equal(t, manyZones.nodes[0].zoneInterval(), 5*ZoneInterval)
 }
 
-// Readings reach every other relay once, and never the one that told them.
-func TestReadingsReachAllOthersOnce(t *testing.T) {
-	w := newNetwork(t, 3, 3)
-	w.run(time.Second)
-	for _, node := range w.nodes {
+// Prefill reports reach every other relay once, and never come back to their reporter.
+func TestPrefillsReachEveryOtherRelayOnce(t *testing.T) {
+	net := newNetwork(t, 3, 3)
+	net.run(time.Second)
+	for _, node := range net.nodes {
 		node.TakeReadings()
 	}
-	for index := range w.own {
-		w.own[index].Readings = []Reading{{Part: uint64(index) + 1, Tokens: 1000, Endpoint: Key(index)}}
+	for index := range net.reports {
+		net.reports[index].Readings = []Reading{{Part: uint64(index) + 1, Tokens: 1000, Endpoint: Key(index)}}
 	}
-	w.run(time.Second)
-	for index, node := range w.nodes {
-		heard := map[uint64]int{}
-		for _, reading := range node.TakeReadings() {
-			heard[reading.Part]++
+	net.run(time.Second)
+	for index, node := range net.nodes {
+		received := map[uint64]int{}
+		for _, prefill := range node.TakeReadings() {
+			received[prefill.Part]++
 		}
-		for other := range w.nodes {
+		for other := range net.nodes {
 			wanted := 1
 			if other == index {
 				wanted = 0
 			}
-			assert.Equal(t, heard[uint64(other)+1], wanted, "relay %d of %d", index, other)
+			assert.Equal(t, received[uint64(other)+1], wanted, "relay %d of %d", index, other)
 		}
 	}
 }
 
-// A flood of readings is cut to the newest, and told in parts.
-func TestReadingsAreBounded(t *testing.T) {
-	var queue readingQueue
-	for part := range 3 * readingsKept {
+// A queue of too many prefill reports keeps the newest ones, and they are sent in several messages.
+func TestPrefillQueueIsBounded(t *testing.T) {
+	var queue prefillQueue
+	for part := range 3 * maxQueuedPrefills {
 		queue.add("a", []Reading{{Part: uint64(part)}})
 	}
-	assert.Equal(t, len(queue.readings), readingsKept)
-	told, place := queue.after(0, func(string) bool { return true })
-	assert.Equal(t, len(told), readingsTold)
-	assert.Equal(t, told[0].Part, uint64(2*readingsKept))
-	next, _ := queue.after(place, func(string) bool { return true })
-	assert.Equal(t, next[0].Part, told[readingsTold-1].Part+1)
+	assert.Equal(t, len(queue.entries), maxQueuedPrefills)
+	first, position := queue.prefillsFrom(0, func(string) bool { return true })
+	assert.Equal(t, len(first), maxPrefillsPerMessage)
+	assert.Equal(t, first[0].Part, uint64(2*maxQueuedPrefills))
+	next, _ := queue.prefillsFrom(position, func(string) bool { return true })
+	assert.Equal(t, next[0].Part, first[maxPrefillsPerMessage-1].Part+1)
 }
 
-// Sums add up over all relays but the receiver.
+// Each relay gets the sums over all relays without its own.
 func TestSumsAddUp(t *testing.T) {
-	w := newNetwork(t, 2, 3)
-	for index := range w.own {
-		w.own[index].Sums = Sums{9: {float64(int(1) << index)}}
+	net := newNetwork(t, 2, 3)
+	for index := range net.reports {
+		net.reports[index].Sums = Sums{9: {float64(int(1) << index)}}
 	}
-	w.run(3 * time.Second)
-	for index, node := range w.nodes {
-		_, sums, _ := node.Others(w.now)
-		assert.Equal(t, int(sums[9][0]), 1<<len(w.nodes)-1-1<<index, "relay %d", index)
+	net.run(3 * time.Second)
+	for index, node := range net.nodes {
+		_, sums, _ := node.Others(net.now)
+		assert.Equal(t, int(sums[9][0]), 1<<len(net.nodes)-1-1<<index, "relay %d", index)
 	}
 }
 
-// A late message, one of another's zone and one whose lists do not fit are ignored.
-func TestImproperMessagesAreIgnored(t *testing.T) {
-	w := newNetwork(t, 2, 2)
+// Messages that are late, from an unknown relay or with parallel lists of different lengths are ignored.
+func TestInvalidMessagesAreIgnored(t *testing.T) {
+	net := newNetwork(t, 2, 2)
 	hub := 0
-	for index := range w.nodes {
-		if w.nodes[index].isHub() {
+	for index := range net.nodes {
+		if net.nodes[index].isHub() {
 			hub = index
 			break
 		}
 	}
-	node, peer := w.nodes[hub], w.nodes[hub].peers[0]
-	say := func(from string, sequence uint64, loads *workloadpb.Loads) {
-		node.Receive(w.now, from, &workloadpb.Message{Life: 1, Sequence: sequence, Relay: loads})
+	node, peer := net.nodes[hub], net.nodes[hub].zonePeers[0]
+	receive := func(from string, sequence uint64, loads *workloadpb.Loads) {
+		node.Receive(net.now, from, &workloadpb.Message{Life: 1, Sequence: sequence, Relay: loads})
 	}
 	requests := func() int {
-		others, _, _ := node.Others(w.now)
+		others, _, _ := node.Others(net.now)
 		return others[1].Requests
 	}
-	proper := func(count uint32) *workloadpb.Loads {
-		return &workloadpb.Loads{Endpoints: []uint32{1}, Requests: []uint32{count}, Unread: []uint32{0}, Held: []uint32{0}, Overdue: []uint32{0}}
+	validLoads := func(count uint32) *workloadpb.Loads {
+		return &workloadpb.Loads{Endpoints: []uint32{1}, Requests: []uint32{count}, Unread: []uint32{0}, Held: []uint32{0},
+			Overdue: []uint32{0}}
 	}
-	say(peer, 5, proper(3))
+	receive(peer, 5, validLoads(3))
 	assert.Equal(t, requests(), 3)
-	say(peer, 4, proper(9))
-	say("10.9.9.9:1", 6, proper(9))
-	say(peer, 7, &workloadpb.Loads{Endpoints: []uint32{1, 2}, Requests: []uint32{9}})
+	receive(peer, 4, validLoads(9))
+	receive("10.9.9.9:1", 6, validLoads(9))
+	receive(peer, 7, &workloadpb.Loads{Endpoints: []uint32{1, 2}, Requests: []uint32{9}})
 	assert.Equal(t, requests(), 3)
-	say(peer, 8, proper(4))
+	receive(peer, 8, validLoads(4))
 	assert.Equal(t, requests(), 4)
-	w.now = w.now.Add(forgetAfter)
+	net.now = net.now.Add(senderExpiry)
 	assert.Equal(t, requests(), 0)
 }
 
-// Sums that are no numbers, or too many, are left out.
-func TestImproperSumsAreLeftOut(t *testing.T) {
+// Sums that are not finite, or have a wrong number of terms, are ignored.
+func TestInvalidSumsAreIgnored(t *testing.T) {
 	nan := make([]float32, SumTerms)
 	nan[3] = float32(0) / func() float32 { return 0 }()
 	sums := decodeSums([]*workloadpb.Sums{
 		{Service: 1, Figures: make([]float32, SumTerms)}, {Service: 2, Figures: nan}, {Service: 3, Figures: make([]float32, SumTerms-1)},
 	})
-	_, proper := sums[1]
-	assert.Assert(t, proper && len(sums) == 1)
+	_, kept := sums[1]
+	assert.Assert(t, kept && len(sums) == 1)
 }
--- a/internal/workload/peer.go
+++ b/internal/workload/peer.go
@@ -6,31 +6,36 @@
 	"wallflow/internal/workload/workloadpb"
 )
 
-// peer is what one other relay has sent: the newest load of each endpoint, and the sums of its answers.
-type peer struct {
-	life       uint64
-	sequence   uint64
+// peerState is what was received from another relay: the newest load of each endpoint, and the sums over its answers.
+type peerState struct {
+	life       uint64 // run of the peer process that the rest of the state is from
+	sequence   uint64 // of the newest message
 	receivedAt time.Time
-	loads      map[Key]sentLoad
+	loads      map[Key]timedLoad
 	sums       Sums
-	gapSince   time.Time // an update did not come, and no snapshot since; zero: none is missing
+	gapSince   time.Time // when an update was found missing that no snapshot has made up for; zero if there is none
 }
 
-// fresh reports whether the relay has sent something lately. Of nil, one that never has, it is false.
-func (p *peer) fresh(now time.Time) bool { return p != nil && now.Sub(p.receivedAt) < forgetAfter }
+// isFresh reports whether the relay has sent something within senderExpiry. It is false for a nil state: the relay never sent anything.
+func (p *peerState) isFresh(now time.Time) bool {
+	return p != nil && now.Sub(p.receivedAt) < senderExpiry
+}
 
-// hasGap reports whether loads may be out of date because an update was missed. Once all have been sent again, or have expired, none is.
-func (p *peer) hasGap(now time.Time) bool {
+// hasGap reports whether loads may be out of date because an update was missed. After entryExpiry they no longer are: by then
+// each load has either been sent again or expired.
+func (p *peerState) hasGap(now time.Time) bool {
 	return p != nil && !p.gapSince.IsZero() && now.Sub(p.gapSince) < entryExpiry
 }
 
-// isNewer reports whether a message is newer than those before. The first one of another life of the relay is.
-func (p *peer) isNewer(life, sequence uint64) bool { return p.life != life || sequence > p.sequence }
+// isNewer reports whether a message is newer than all before it. The first message after a restart of the relay is newer.
+func (p *peerState) isNewer(life, sequence uint64) bool {
+	return p.life != life || sequence > p.sequence
+}
 
-// receive takes loads of a message; a part of them may be the receiver's own. It returns false for a message that came late or is
-// malformed.
-func (p *peer) receive(now time.Time, message *workloadpb.Message, encoded *workloadpb.Loads, isSnapshot bool, own Loads) bool {
-	loads, ok := decode(encoded)
+// receive applies the loads and sums of a message, without ownLoads, the part of the loads that is the receiver's own. It returns false
+// for a message that is malformed, or older than one received before.
+func (p *peerState) receive(now time.Time, message *workloadpb.Message, encoded *workloadpb.Loads, isSnapshot bool, ownLoads Loads) bool {
+	loads, ok := decodeLoads(encoded)
 	if !ok || !p.isNewer(message.Life, message.Sequence) {
 		return false
 	}
@@ -43,36 +48,36 @@
 		p.gapSince = time.Time{}
 		clear(p.loads)
 	}
-	p.apply(now, loads, own)
+	p.apply(now, loads, ownLoads)
 	if len(message.Sums) > 0 {
 		p.sums = decodeSums(message.Sums)
 	}
 	return true
 }
 
-// advance notes the newest message. What a former life of the relay sent counts no more.
-func (p *peer) advance(now time.Time, life, sequence uint64) {
+// advance records the newest message. After a restart of the relay, everything that its previous process sent is dropped.
+func (p *peerState) advance(now time.Time, life, sequence uint64) {
 	if p.life != life || p.loads == nil {
-		p.loads = make(map[Key]sentLoad)
+		p.loads = make(map[Key]timedLoad)
 		p.sums = nil
 	}
 	p.life, p.sequence, p.receivedAt = life, sequence, now
 }
 
-// apply takes the loads of some endpoints, less the receiver's own part.
-func (p *peer) apply(now time.Time, loads, own Loads) {
+// apply sets the loads of the endpoints that a message contains, after subtracting the part that is the receiver's own.
+func (p *peerState) apply(now time.Time, loads, ownLoads Loads) {
 	for key, load := range loads {
-		load.subtract(own[key])
+		load.subtract(ownLoads[key])
 		if load == (Load{}) {
 			delete(p.loads, key)
 			continue
 		}
-		p.loads[key] = sentLoad{Load: load, at: now}
+		p.loads[key] = timedLoad{Load: load, at: now}
 	}
 }
 
-// addTo adds the loads to a sum. An endpoint that was not named for a while counts no more.
-func (p *peer) addTo(sum Loads, now time.Time) {
+// addTo adds the loads to a sum, and drops those that have not been sent again within entryExpiry.
+func (p *peerState) addTo(sum Loads, now time.Time) {
 	for key, last := range p.loads {
 		if now.Sub(last.at) >= entryExpiry {
 			delete(p.loads, key)
--- a/internal/workload/receive.go
+++ b/internal/workload/receive.go
@@ -8,91 +8,94 @@
 	"wallflow/internal/workload/workloadpb"
 )
 
-// Receive takes a message of another relay. One that is not from a relay that this one expects messages of, or came late, is ignored.
+// Receive processes a message from another relay. A message is ignored if this relay expects none from its sender, or if it is older
+// than one received before.
 func (n *Node) Receive(now time.Time, from string, message *workloadpb.Message) {
 	if !n.receiveLoads(now, from, message) {
 		return
 	}
-	if receiver := n.receiver(from); message.SnapshotWanted && now.Sub(receiver.snapshotAt) >= repeatEvery {
-		receiver.hasSnapshot = false // a request that crossed with the last snapshot asks for nothing new
+	if receiver := n.receiverState(from); message.SnapshotWanted && now.Sub(receiver.snapshotSentAt) >= repeatInterval {
+		receiver.hasSnapshot = false // an earlier request may have crossed with the last snapshot
 	}
-	readings := decodeReadings(message.Readings)
-	n.received = append(n.received, readings...)
+	prefills := decodePrefills(message.Readings)
+	n.receivedPrefills = append(n.receivedPrefills, prefills...)
 	if n.isHub() {
-		n.queue.add(from, readings)
+		n.queuedPrefills.add(from, prefills)
 	}
 }
 
-// receiveLoads takes the loads and sums of a message. It returns false for a message that is ignored.
+// receiveLoads applies the loads and sums of a message. It returns false for a message that is to be ignored.
 func (n *Node) receiveLoads(now time.Time, from string, message *workloadpb.Message) bool {
 	switch {
-	case message.GetRelay() != nil && n.isHub() && slices.Contains(n.peers, from):
-		return peerAt(n.relays, from).receive(now, message, message.Relay, true, nil)
-	case message.GetZone() != nil && n.isHub() && n.hubs[from] != "":
-		return peerAt(n.zones, from).receive(now, message, message.Zone, message.Snapshot, nil)
+	case message.GetRelay() != nil && n.isHub() && slices.Contains(n.zonePeers, from):
+		return peerStateAt(n.relayStates, from).receive(now, message, message.Relay, true, nil)
+	case message.GetZone() != nil && n.isHub() && n.zoneByHub[from] != "":
+		return peerStateAt(n.hubStates, from).receive(now, message, message.Zone, message.Snapshot, nil)
 	case message.GetAll() != nil && from == n.hub && !n.isHub():
-		if n.others == nil {
-			n.others = &peer{}
+		if n.othersState == nil {
+			n.othersState = &peerState{}
 		}
-		return n.others.receive(now, message, message.All, message.Snapshot, n.reportedIn(message.IncludedReport))
+		return n.othersState.receive(now, message, message.All, message.Snapshot, n.reportedLoads(message.IncludedReport))
 	}
 	return false
 }
 
-// peerAt returns the peer at an address, a new one if it has sent nothing yet.
-func peerAt(peers map[string]*peer, address string) *peer {
+// peerStateAt returns the state of the peer at an address, and adds it if there is none yet.
+func peerStateAt(peers map[string]*peerState, address string) *peerState {
 	if peers[address] == nil {
-		peers[address] = &peer{}
+		peers[address] = &peerState{}
 	}
 	return peers[address]
 }
 
-// sumOfZone is what the relays of the own zone have, this one included.
-func (n *Node) sumOfZone(now time.Time) Loads {
-	sum := maps.Clone(n.own.Loads)
+// ownZoneLoads returns the summed loads of all relays of the own zone, this one included.
+func (n *Node) ownZoneLoads(now time.Time) Loads {
+	sum := maps.Clone(n.ownReport.Loads)
 	if sum == nil {
 		sum = make(Loads)
 	}
-	addFresh(sum, now, n.relays)
+	addFreshLoads(sum, now, n.relayStates)
 	return sum
 }
 
-// sumOfZones is what the relays of the other zones have.
-func (n *Node) sumOfZones(now time.Time) Loads {
+// otherZoneLoads returns the summed loads of the relays of all other zones.
+func (n *Node) otherZoneLoads(now time.Time) Loads {
 	sum := make(Loads)
-	addFresh(sum, now, n.zones)
+	addFreshLoads(sum, now, n.hubStates)
 	return sum
 }
 
-func addFresh(sum Loads, now time.Time, peers map[string]*peer) {
+// addFreshLoads adds the loads of the peers that have sent something within senderExpiry.
+func addFreshLoads(sum Loads, now time.Time, peers map[string]*peerState) {
 	for _, peer := range peers {
-		if peer.fresh(now) {
+		if peer.isFresh(now) {
 			peer.addTo(sum, now)
 		}
 	}
 }
 
-// sumsOfZone is what the answers to the relays of the own zone have shown.
-func (n *Node) sumsOfZone(now time.Time) Sums {
+// ownZoneSums returns the sums over the answers to all relays of the own zone, this one included.
+func (n *Node) ownZoneSums(now time.Time) Sums {
 	sums := make(Sums)
-	sums.add(n.own.Sums)
-	addFreshSums(sums, now, n.relays)
+	sums.add(n.ownReport.Sums)
+	addFreshSums(sums, now, n.relayStates)
 	return sums
 }
 
-// sumsBut is what the answers to all relays but one of the own zone have shown.
-func (n *Node) sumsBut(now time.Time, relay string) Sums {
-	sums := n.sumsOfZone(now)
-	addFreshSums(sums, now, n.zones)
-	if reporter := n.relays[relay]; reporter.fresh(now) {
+// sumsExcept returns the sums over the answers to all relays except one of the own zone.
+func (n *Node) sumsExcept(now time.Time, relay string) Sums {
+	sums := n.ownZoneSums(now)
+	addFreshSums(sums, now, n.hubStates)
+	if reporter := n.relayStates[relay]; reporter.isFresh(now) {
 		return sums.without(reporter.sums)
 	}
 	return sums
 }
 
-func addFreshSums(sums Sums, now time.Time, peers map[string]*peer) {
+// addFreshSums adds the sums of the peers that have sent something within senderExpiry.
+func addFreshSums(sums Sums, now time.Time, peers map[string]*peerState) {
 	for _, peer := range peers {
-		if peer.fresh(now) {
+		if peer.isFresh(now) {
 			sums.add(peer.sums)
 		}
 	}
