--- a/internal/workload/sums.go
+++ b/internal/workload/sums.go
@@ -8,35 +8,36 @@
 	"wallflow/internal/workload/workloadpb"
 )
 
-// SumTerms is how many figures the sums of a service have.
+// SumTerms is the number of terms in the sums of a service.
 const SumTerms = 10
 
-// servicesMost bounds the services that a message has sums of.
-const servicesMost = 64
+// maxServices is the maximum number of services whose sums are in one message.
+const maxServices = 64
 
-// Sums are figures that add up over relays, by service: what the answers of its engines have shown.
+// Sums holds, by service, the terms from which the speed of its engines is estimated. The terms are sums over answers, so that those of
+// several relays can be added. Package selector defines the terms.
 type Sums map[Key][SumTerms]float64
 
-// add adds a part of the sums.
+// add adds other sums to s, term by term.
 func (s Sums) add(part Sums) {
-	for key, figures := range part {
+	for key, terms := range part {
 		sum := s[key]
-		for term := range figures {
-			sum[term] += figures[term]
+		for index := range terms {
+			sum[index] += terms[index]
 		}
 		s[key] = sum
 	}
 }
 
-// without is the sums less a part of them.
+// without returns the sums minus a part of them.
 func (s Sums) without(part Sums) Sums {
 	rest := maps.Clone(s)
-	for key, figures := range part {
-		left := rest[key]
-		for term := range figures {
-			left[term] -= figures[term]
+	for key, terms := range part {
+		remainder := rest[key]
+		for index := range terms {
+			remainder[index] -= terms[index]
 		}
-		rest[key] = left
+		rest[key] = remainder
 	}
 	return rest
 }
@@ -44,31 +45,31 @@
 func (s Sums) encode() []*workloadpb.Sums {
 	var encoded []*workloadpb.Sums
 	for _, key := range slices.Sorted(maps.Keys(s)) {
-		figures := make([]float32, SumTerms)
-		for term, figure := range s[key] {
-			figures[term] = float32(figure)
+		terms := make([]float32, SumTerms)
+		for index, value := range s[key] {
+			terms[index] = float32(value)
 		}
-		encoded = append(encoded, &workloadpb.Sums{Service: uint32(key), Figures: figures})
+		encoded = append(encoded, &workloadpb.Sums{Service: uint32(key), Figures: terms})
 	}
-	return encoded[:min(len(encoded), servicesMost)]
+	return encoded[:min(len(encoded), maxServices)]
 }
 
-// decodeSums reads sums; what can't be used is left out.
+// decodeSums decodes sums. It skips services with a wrong number of terms or with terms that are not finite.
 func decodeSums(encoded []*workloadpb.Sums) Sums {
 	sums := make(Sums, len(encoded))
-	for _, each := range encoded[:min(len(encoded), servicesMost)] {
-		if len(each.GetFigures()) != SumTerms || slices.ContainsFunc(each.Figures, notFinite) {
+	for _, entry := range encoded[:min(len(encoded), maxServices)] {
+		if len(entry.GetFigures()) != SumTerms || slices.ContainsFunc(entry.Figures, notFinite) {
 			continue
 		}
-		var figures [SumTerms]float64
-		for term, figure := range each.Figures {
-			figures[term] = float64(figure)
+		var terms [SumTerms]float64
+		for index, value := range entry.Figures {
+			terms[index] = float64(value)
 		}
-		sums[Key(each.GetService())] = figures
+		sums[Key(entry.GetService())] = terms
 	}
 	return sums
 }
 
-func notFinite(figure float32) bool {
-	return math.IsNaN(float64(figure)) || math.IsInf(float64(figure), 0)
+func notFinite(value float32) bool {
+	return math.IsNaN(float64(value)) || math.IsInf(float64(value), 0)
 }
