--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -12,7 +12,7 @@
 
 func TestRun(t *testing.T) {
 	var out bytes.Buffer
-	// A relay that dies and starts again in one batch knows nothing of the message it held.
+	// An instance that stops and starts again in one batch knows nothing of the message it held.
 	in := start + "\nMARK 200.0 2\nRETIRE 0\nCONFIGURE 0 8 services.count=1\nGO\nMARK 300.0 3\nTIMED_OUT_CLIENT 0 11\nGO\n"
 	if err := run(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,5 @@
-// Package wire reads and writes the bench's dialect: text lines in, text lines out, nothing else.
+// Package wire reads and writes the line protocol between the simulator and package policy: batches of events in,
+// actions out.
 package wire
 
 import (
@@ -14,14 +15,14 @@
 	"wallflow/policy"
 )
 
-// ItemKind names what an Item of a batch is.
+// ItemKind is the kind of an Item.
 type ItemKind int
 
 // The kinds of item.
 const (
-	Start ItemKind = iota // a fresh instance, with its settings and seed
-	Stop                  // the instance dies
-	Event                 // something that the instance observes
+	Start ItemKind = iota // a new instance starts, with its settings and seed
+	Stop                  // the instance stops without notice
+	Event                 // the instance observes an event
 )
 
 // Item is one event of a batch, for one instance.
@@ -33,40 +34,40 @@
 	Event    policy.Event    // Event
 }
 
-// Batch is what comes in at one time.
+// Batch is all input for one point in time.
 type Batch struct {
 	Now    time.Duration
-	Number string
+	Number string // repeated in the reply
 	Items  []Item
 }
 
 // Reader reads batches.
 type Reader struct {
-	in    *bufio.Reader
-	line  int
-	lists map[int][]policy.Listing
-	cells map[int]*schema
-	pool  struct{ number, left int }
-	buf   []byte
+	in      *bufio.Reader
+	line    int                             // number of the current line, for errors
+	lists   map[int][]policy.Listing        // by POOL number
+	schemas map[int]*reportSchema           // by instance
+	pool    struct{ number, remaining int } // the POOL being read, and how many HOST lines it still has
+	buf     []byte
 }
 
-// schema is what an instance's settings say of its events.
-type schema struct{ left, limit string }
+// reportSchema names the values of a report that an instance's settings describe; "" if there is none.
+type reportSchema struct{ remaining, limit string }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
-		in: bufio.NewReaderSize(in, 1<<16), lists: map[int][]policy.Listing{}, cells: map[int]*schema{},
+		in: bufio.NewReaderSize(in, 1<<16), lists: map[int][]policy.Listing{}, schemas: map[int]*reportSchema{},
 	}
 }
 
-// Next reads one batch into b, reusing its room. It returns io.EOF when the input ends between batches.
+// Next reads one batch into b and reuses its storage. It returns io.EOF if the input ends between batches.
 func (r *Reader) Next(b *Batch) error {
 	b.Items = b.Items[:0]
-	open := false
+	inBatch := false
 	for {
 		text, err := r.readLine()
-		if err == io.EOF && !open && text == "" {
+		if err == io.EOF && !inBatch && text == "" {
 			return io.EOF
 		}
 		if err != nil && err != io.EOF {
@@ -75,16 +76,16 @@
 		if err == io.EOF {
 			return fmt.Errorf("line %d: the input ends inside a batch", r.line)
 		}
-		if text == "" && !open {
+		if text == "" && !inBatch {
 			continue
 		}
 		f := fields{text: text}
-		done, err := r.parse(&f, b, &open)
+		done, err := r.parse(&f, b, &inBatch)
 		if err == nil {
 			err = f.err
 		}
 		if err != nil {
-			return fmt.Errorf("line %d: %v: %q", r.line, err, clip(text))
+			return fmt.Errorf("line %d: %v: %q", r.line, err, truncate(text))
 		}
 		if done {
 			return nil
@@ -92,7 +93,8 @@
 	}
 }
 
-func clip(s string) string {
+// truncate shortens input for an error message.
+func truncate(s string) string {
 	if len(s) > 120 {
 		return s[:120] + "..."
 	}
@@ -112,77 +114,77 @@
 	}
 }
 
-// parse takes one line of a batch; done tells that it was the last.
-func (r *Reader) parse(f *fields, b *Batch, open *bool) (done bool, err error) {
+// parse handles one line of a batch; done reports that it was the last.
+func (r *Reader) parse(f *fields, b *Batch, inBatch *bool) (done bool, err error) {
 	name := f.word()
 	if name == "MARK" {
-		if *open {
+		if *inBatch {
 			return false, fmt.Errorf("MARK inside a batch")
 		}
-		*open = true
+		*inBatch = true
 		b.Now = f.ms()
 		b.Number = f.word()
 		if _, err := strconv.ParseUint(b.Number, 10, 64); err != nil {
 			return false, fmt.Errorf("bad batch number")
 		}
-		return false, f.end()
+		return false, f.result()
 	}
-	if !*open {
-		return false, fmt.Errorf("a line outside a batch")
+	if !*inBatch {
+		return false, fmt.Errorf("line outside a batch")
 	}
-	if (name == "HOST") != (r.pool.left > 0) {
+	if (name == "HOST") != (r.pool.remaining > 0) {
 		return false, fmt.Errorf("POOL and its HOST lines do not match")
 	}
 	switch name {
 	case "GO":
-		return true, f.end()
+		return true, f.result()
 	case "POOL":
 		r.pool.number = f.integer()
-		r.pool.left = f.integer()
-		if r.pool.left < 0 {
+		r.pool.remaining = f.integer()
+		if r.pool.remaining < 0 {
 			return false, fmt.Errorf("bad number of entries")
 		}
-		r.lists[r.pool.number] = make([]policy.Listing, 0, min(r.pool.left, 1024))
-		return false, f.end()
+		r.lists[r.pool.number] = make([]policy.Listing, 0, min(r.pool.remaining, 1024))
+		return false, f.result()
 	case "HOST":
-		r.pool.left--
+		r.pool.remaining--
 		l, err := parseHost(f)
 		r.lists[r.pool.number] = append(r.lists[r.pool.number], l)
 		return false, err
 	case "CONFIGURE":
-		it := Item{Kind: Start, Instance: f.integer()}
-		it.Seed = f.unsigned()
-		set, sc, err := parseSettings(f.rest())
-		it.Settings = set
-		r.cells[it.Instance] = sc
-		b.Items = append(b.Items, it)
+		item := Item{Kind: Start, Instance: f.integer()}
+		item.Seed = f.unsigned()
+		cfg, sc, err := parseSettings(f.rest())
+		item.Settings = cfg
+		r.schemas[item.Instance] = sc
+		b.Items = append(b.Items, item)
 		return false, err
 	case "RETIRE":
 		b.Items = append(b.Items, Item{Kind: Stop, Instance: f.integer()})
-		return false, f.end()
+		return false, f.result()
 	}
-	it := Item{Kind: Event, Instance: f.integer()}
-	sc := r.cells[it.Instance]
+	item := Item{Kind: Event, Instance: f.integer()}
+	sc := r.schemas[item.Instance]
 	if sc == nil {
 		return false, fmt.Errorf("no such instance")
 	}
-	known, err := r.parseEvent(name, f, &it.Event, sc)
-	if known {
-		b.Items = append(b.Items, it)
+	used, err := r.parseEvent(name, f, &item.Event, sc)
+	if used {
+		b.Items = append(b.Items, item)
 	}
 	return false, err
 }
 
-// parseEvent fills e; known is false for an event that no decision uses.
-func (r *Reader) parseEvent(name string, f *fields, e *policy.Event, sc *schema) (known bool, err error) {
+// parseEvent fills in e; used is false for an event that no decision uses.
+func (r *Reader) parseEvent(name string, f *fields, e *policy.Event, sc *reportSchema) (used bool, err error) {
 	switch name {
 	case "KNOCK":
 		e.Kind = policy.Taken
 		e.ID = f.id()
 		e.Key = f.optional()
-		f.integer()
+		f.integer() // not used
 		e.Customer = f.optionalInteger()
-		f.optional()
+		f.optional() // not used
 		e.Class = f.integer()
 		e.Left = f.ms()
 		e.Destination = f.integer()
@@ -194,9 +196,9 @@
 		e.Outcome = f.outcome()
 		e.Took = f.ms()
 		e.Ended = f.boolean()
-		note := f.optionalInteger()
+		retryAfter := f.optionalInteger()
 		if e.Outcome == policy.Full {
-			e.Wait = time.Duration(note) * time.Millisecond
+			e.Wait = time.Duration(retryAfter) * time.Millisecond
 		}
 		e.Report = f.report(sc)
 	case "PONG":
@@ -210,11 +212,11 @@
 		e.ID = f.id()
 	case "TICK_DUE":
 		e.Kind = policy.Woken
-		f.unsigned()
+		f.unsigned() // not used
 	case "TARGETS":
 		mode := f.word()
-		f.unsigned()
-		buffer := f.optionalInteger()
+		f.unsigned() // not used
+		poolNumber := f.optionalInteger()
 		switch mode {
 		case "full", "cached":
 			e.Kind = policy.ListWhole
@@ -222,11 +224,11 @@
 			e.Kind = policy.ListChanges
 		case "failed":
 			e.Kind = policy.ListFailed
-			return true, f.end()
+			return true, f.result()
 		default:
 			return false, fmt.Errorf("unknown mode")
 		}
-		list, ok := r.lists[buffer]
+		list, ok := r.lists[poolNumber]
 		if !ok {
 			return false, fmt.Errorf("no such POOL")
 		}
@@ -236,7 +238,7 @@
 	default:
 		return false, fmt.Errorf("unknown message")
 	}
-	return true, f.end()
+	return true, f.result()
 }
 
 func parseHost(f *fields) (policy.Listing, error) {
@@ -244,7 +246,7 @@
 	switch f.word() {
 	case "in_service":
 		l.InService = true
-	case "terminating":
+	case "terminating": // listed, but draining: not in service
 	case "terminated":
 		l.Gone = true
 	default:
@@ -253,48 +255,50 @@
 	l.Kind = f.integer()
 	l.Destination = f.integer()
 	l.Zone = f.integer()
-	f.optional()
+	f.optional() // not used
 	l.Route = f.word()
 	if w, err := strconv.ParseFloat(f.optional(), 64); err == nil && w > 0 && !math.IsInf(w, 0) {
 		l.Weight = w
 	}
-	return l, f.end()
+	return l, f.result()
 }
 
-// fields splits a line; the first error sticks.
+// fields splits a line into values separated by spaces and keeps the first error.
 type fields struct {
-	text string
-	err  error
-	over bool
+	text      string
+	err       error
+	exhausted bool // no value is left
 }
 
-func (f *fields) fail(what string) {
+func (f *fields) setError(what string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("bad %s", what)
 	}
 }
 
 func (f *fields) word() string {
-	if f.over {
-		f.fail("line: too few values")
+	if f.exhausted {
+		f.setError("line: too few values")
 		return ""
 	}
 	w, rest, more := strings.Cut(f.text, " ")
-	f.text, f.over = rest, !more
+	f.text, f.exhausted = rest, !more
 	if w == "" {
-		f.fail("line: an empty value")
+		f.setError("line: an empty value")
 	}
 	return w
 }
 
+// rest returns all values that are left.
 func (f *fields) rest() string {
-	f.over = true
+	f.exhausted = true
 	return f.text
 }
 
-// end reports what went wrong in the line so far. Values beyond those known are passed over.
-func (f *fields) end() error { return f.err }
+// result returns the first error in the line. Further values after the known ones are ignored.
+func (f *fields) result() error { return f.err }
 
+// optional returns the next value; "" for "-", which stands for none.
 func (f *fields) optional() string {
 	if w := f.word(); w != "-" {
 		return w
@@ -305,7 +309,7 @@
 func (f *fields) integer() int {
 	n, err := strconv.Atoi(f.word())
 	if err != nil {
-		f.fail("whole number")
+		f.setError("integer")
 	}
 	return n
 }
@@ -317,7 +321,7 @@
 	}
 	n, err := strconv.Atoi(w)
 	if err != nil {
-		f.fail("whole number")
+		f.setError("integer")
 	}
 	return n
 }
@@ -325,7 +329,7 @@
 func (f *fields) unsigned() uint64 {
 	n, err := strconv.ParseUint(f.word(), 10, 64)
 	if err != nil {
-		f.fail("whole number")
+		f.setError("integer")
 	}
 	return n
 }
@@ -333,7 +337,7 @@
 func (f *fields) id() uint32 {
 	n, err := strconv.ParseUint(f.word(), 10, 32)
 	if err != nil {
-		f.fail("message id")
+		f.setError("message id")
 	}
 	return uint32(n)
 }
@@ -345,14 +349,14 @@
 	case "0":
 		return false
 	}
-	f.fail("truth value")
+	f.setError("boolean")
 	return false
 }
 
 func (f *fields) ms() time.Duration {
 	d, err := millis(f.word())
 	if err != nil {
-		f.fail("time")
+		f.setError("time")
 	}
 	return d
 }
@@ -374,13 +378,13 @@
 func (f *fields) outcome() policy.Outcome {
 	o, ok := outcomes[f.word()]
 	if !ok {
-		f.fail("outcome")
+		f.setError("outcome")
 	}
 	return o
 }
 
-// report reads name:value pairs; names that the settings do not explain are passed over.
-func (f *fields) report(sc *schema) policy.Report {
+// report reads name:value pairs; names that the settings do not describe are ignored.
+func (f *fields) report(sc *reportSchema) policy.Report {
 	var rep policy.Report
 	text := f.optional()
 	for text != "" {
@@ -392,7 +396,7 @@
 			continue
 		}
 		switch name {
-		case sc.left:
+		case sc.remaining:
 			rep.Left = x
 		case sc.limit:
 			rep.Limit, rep.Told = x, true
@@ -407,7 +411,7 @@
 	buf []byte
 }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(out, 1<<16)} }
 
 // Actions writes an instance's actions at now.
@@ -416,26 +420,26 @@
 		a := &acts[i]
 		switch a.Kind {
 		case policy.Send:
-			w.head("SUBMIT_TO", instance)
+			w.begin("SUBMIT_TO", instance)
 			w.id(a.ID)
 			w.text(a.Route)
 			w.ms(a.At)
 		case policy.Refuse:
-			w.head("REJECT", instance)
+			w.begin("REJECT", instance)
 			w.id(a.ID)
 			w.ms(a.Delay)
 		case policy.Fail:
-			w.head("SURRENDER", instance)
+			w.begin("SURRENDER", instance)
 			w.id(a.ID)
 		case policy.Wake:
-			w.head("WAKE_AT", instance)
+			w.begin("WAKE_AT", instance)
 			w.id(0)
 			w.ms(a.Delay)
 		case policy.CloseIdle:
-			w.head("HANG_UP", instance)
+			w.begin("HANG_UP", instance)
 			w.text(a.Route)
 		case policy.Watch:
-			w.head("STREAM_CHANGES", instance)
+			w.begin("STREAM_CHANGES", instance)
 			w.id(1)
 		}
 		w.buf = append(w.buf, '\n')
@@ -443,28 +447,29 @@
 	}
 }
 
-// Die writes that an instance's decisions broke.
-func (w *Writer) Die(instance int, words string) {
-	w.head("DIE", instance)
+// Panic reports that the decisions of an instance panicked.
+func (w *Writer) Panic(instance int, text string) {
+	w.begin("DIE", instance)
 	w.text(strings.Map(func(r rune) rune {
 		if r == '\n' || r == '\r' {
 			return ' '
 		}
 		return r
-	}, words))
+	}, text))
 	w.buf = append(w.buf, '\n')
 	w.out.Write(w.buf)
 }
 
-// End ends the reply to a batch and flushes it.
-func (w *Writer) End(number string) error {
+// EndBatch ends the reply to a batch and flushes it.
+func (w *Writer) EndBatch(number string) error {
 	w.out.WriteString("YIELD ")
 	w.out.WriteString(number)
 	w.out.WriteByte('\n')
 	return w.out.Flush()
 }
 
-func (w *Writer) head(name string, instance int) {
+// begin starts a line of the reply: the name of the message and the instance.
+func (w *Writer) begin(name string, instance int) {
 	w.buf = append(w.buf[:0], name...)
 	w.buf = append(w.buf, ' ')
 	w.buf = strconv.AppendInt(w.buf, int64(instance), 10)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -14,7 +14,7 @@
 const configure = "CONFIGURE 3 77 services.count=1 services.0.semantics=read_like services.0.goal_time_ms=2000.0 " +
 	"services.0.give_up_ms=20000.0 stats.fields=x0,x1\n"
 
-func read(t *testing.T, lines string) ([]Item, error) {
+func readBatch(t *testing.T, lines string) ([]Item, error) {
 	t.Helper()
 	r := NewReader(strings.NewReader("MARK 10.5 1\n" + configure + "GO\n\nMARK 20.25 2\n" + lines + "GO\n"))
 	var b Batch
@@ -57,18 +57,18 @@
 			policy.Event{Kind: policy.ListChanges, List: []policy.Listing{
 				{Route: "host.abu", Destination: 5, Gone: true}}}},
 	} {
-		items, err := read(t, c.lines)
+		items, err := readBatch(t, c.lines)
 		if err != nil || len(items) != 1 || items[0].Instance != 3 || !reflect.DeepEqual(items[0].Event, c.want) {
 			t.Errorf("%q: %+v, %v\nwant %+v", c.lines, items, err, c.want)
 		}
 	}
-	items, err := read(t, "HEADERS 3 1 0 host.a 9.25\nINBOX 3 2 6869\nRETIRE 3\n")
+	items, err := readBatch(t, "HEADERS 3 1 0 host.a 9.25\nINBOX 3 2 6869\nRETIRE 3\n")
 	if err != nil || len(items) != 1 || items[0].Kind != Stop {
 		t.Errorf("unused messages: %+v, %v", items, err)
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestMalformedInput(t *testing.T) {
 	for _, lines := range []string{
 		"WHAT 3 1\n", "KNOCK 3 5000000000 - 0 - - 0 1.0 0\n", "KNOCK 3 1 - 0 -\n", "KNOCK 3 1 - 0 - - 0 soon 0\n",
 		"KNOCK 4 1 - 0 - - 0 1.0 0\n", "FINISHED 3 1 0 host.a melted 1.0 0 - -\n",
@@ -76,13 +76,13 @@
 		"POOL 0 1\nGO\n", "HOST in_service 0 1 0 - host.a 1\n", "POOL 0 1\nHOST lost 0 1 0 - host.a 1\n",
 		"TICK_DUE 3 -1\n", "MARK 30 3\n", "CONFIGURE 5 1 fleet_size=many\n", "CONFIGURE 5 1 nonsense\n", " \n",
 	} {
-		if items, err := read(t, lines); err == nil || !strings.Contains(err.Error(), "line ") {
+		if items, err := readBatch(t, lines); err == nil || !strings.Contains(err.Error(), "line ") {
 			t.Errorf("%q: %+v, error %v", lines, items, err)
 		}
 	}
 	var b Batch
 	if err := NewReader(strings.NewReader("GO\n")).Next(&b); err == nil || err == io.EOF {
-		t.Errorf("a line outside a batch: error %v", err)
+		t.Errorf("line outside a batch: error %v", err)
 	}
 	if err := NewReader(strings.NewReader("MARK 1 1\n")).Next(&b); err == nil || err == io.EOF {
 		t.Errorf("input that ends in a batch: error %v", err)
@@ -90,7 +90,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	set, sc, err := parseSettings("extra.call_slots=38 extra.carriage=0.0,0.03 extra.per_call=10,1 " +
+	got, sc, err := parseSettings("extra.call_slots=38 extra.carriage=0.0,0.03 extra.per_call=10,1 " +
 		"extra.separate_routes=false,true bounds.open_cap=438 bounds.send_cap=8 bounds.retry_after=true " +
 		"bounds.max_retry_after_ms=3000.0 fleet_size=2 weight_kind=rough membership_mode=ask new.key=1 " +
 		"realms.count=2 realms.0.quota_per_s=52.0 rules.answer_slack_ms=20.0 rules.cold_from=0.18 " +
@@ -110,8 +110,8 @@
 		ColdShare: 0.18, WarmWithin: 14 * time.Second, OverloadFactor: 2, OverloadWindow: 3 * time.Second,
 		OrderPause: 100 * time.Millisecond,
 	}
-	if err != nil || !reflect.DeepEqual(set, want) || sc.limit != "" {
-		t.Errorf("got %+v, %v, %v\nwant %+v", set, sc, err, want)
+	if err != nil || !reflect.DeepEqual(got, want) || sc.limit != "" {
+		t.Errorf("got %+v, %v, %v\nwant %+v", got, sc, err, want)
 	}
 }
 
@@ -124,8 +124,8 @@
 		{Kind: policy.Wake, Delay: 500 * time.Microsecond}, {Kind: policy.CloseIdle, Route: "host.a"},
 		{Kind: policy.Watch},
 	})
-	w.Die(3, "out of\nrange")
-	if err := w.End("12"); err != nil {
+	w.Panic(3, "out of\nrange")
+	if err := w.EndBatch("12"); err != nil {
 		t.Fatal(err)
 	}
 	want := "SUBMIT_TO 3 1564119492 host.a 8492.25\nREJECT 3 2 250\nSURRENDER 3 5\nWAKE_AT 3 0 0.5\n" +
--- a/policy/api.go
+++ b/policy/api.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Effect says what repeating a message of a class may do.
+// Effect is what repeating a message of a class may do.
 type Effect int
 
 // The three kinds of effect.
 const (
-	Safe   Effect = iota // may be repeated and refused at will
-	Keyed                // repeats are dropped inside a group of routes and a window
-	Unsafe               // must never take effect twice
+	Safe   Effect = iota // may be repeated and refused at any time
+	Keyed                // the destination drops repeats within a group of routes and a time window
+	Unsafe               // must not take effect twice
 )
 
 // Outcome is how an attempt or a probe ended.
@@ -31,51 +31,51 @@
 type Class struct {
 	Effect   Effect
 	GroupAll bool // Keyed: every route of the destination drops repeats; else those of one zone
-	// DedupWindow is, of keyed messages, how long repeats are dropped, from the first send that may have run. Journals have it as Window.
+	// DedupWindow is how long repeats of keyed messages are dropped, from the first send that may have run. Journals store it as Window.
 	DedupWindow time.Duration `json:"Window"`
-	Ordered     bool          // messages of one key take turns
-	Aim         time.Duration // delivered within this, a message earns its full worth
-	GiveUp      time.Duration // how long a message may be delivered
-	Value       float64       // worth of a message; default 1
-	Attempts    int           // for a message; 0: as the settings have it
-	Advice      time.Duration `json:",omitempty"` // least time that a refused client is told to stay away; 0: as is usual
+	Ordered     bool          // messages of one key are sent one after another, in order of arrival
+	Aim         time.Duration // target latency: a message delivered within it has its full value
+	GiveUp      time.Duration // time after arrival at which the message expires
+	Value       float64       // value of a message, for priorities; default 1
+	Attempts    int           // maximum for a message; 0: Settings.MaxAttempts
+	Advice      time.Duration `json:",omitempty"` // minimum retry-after of a refusal; 0: RetryAdvice
 }
 
 // Kind is one kind of destination.
 type Kind struct {
-	Separate bool // its routes are separate: each has its own limit, pace and outages
-	PerCall  int  // messages in one call at most; default 1
+	Separate bool // each route has its own rate limit, pacing rate and outages
+	PerCall  int  // maximum number of messages in one call; default 1
 }
 
 // Customer is one customer of the service.
 type Customer struct {
 	Name  string
-	Quota float64 // messages a second within its share, over all senders; 0: no share is set
+	Quota float64 // its share in messages a second, over all senders; 0: unlimited
 }
 
-// Settings are what a Sender is told when it starts. Zero values of optional fields mean their default.
+// Settings configure a Sender. Zero values of optional fields mean their defaults.
 type Settings struct {
 	Classes        []Class
 	Kinds          []Kind
 	Customers      []Customer
-	Senders        int           // senders of the fleet; default 1
-	Slots          int           // calls out at once; 0: no limit
-	MaxHeld        int           // messages held at once; 0: no limit
-	MaxAttempts    int           // attempts for a message; 0: no limit
-	MaxRetryAfter  time.Duration // longest advice that a client heeds; 0: none is given
-	RoughWeights   bool          // listed weights may be up to half too high or too low
-	NoWeights      bool          // listed weights tell nothing
-	AskList        bool          // list changes come only after Watch
-	Carriage       []float64     // fee for each zone of a separate route
-	ColdShare      float64       // share of its capacity that a destination has after an outage; default 0.1
-	WarmWithin     time.Duration // and all of it after this; default 30 s
-	OverloadFactor float64       // sent more than this multiple of its capacity; default 1
-	OverloadWindow time.Duration // for this long, it falls over
-	OrderPause     time.Duration // rest of a key after an attempt that may still run
+	Senders        int           // number of senders in the fleet; default 1
+	Slots          int           // maximum number of calls in flight; 0: no limit
+	MaxHeld        int           // maximum number of messages held; 0: no limit
+	MaxAttempts    int           // maximum for a message; 0: no limit
+	MaxRetryAfter  time.Duration // longest retry-after that a client follows; 0: refusals carry none
+	RoughWeights   bool          // listed weights may be up to 50% too high or too low
+	NoWeights      bool          // listed weights carry no information
+	AskList        bool          // list changes are sent only after a Watch action
+	Carriage       []float64     // fee of a message by the zone of a separate route
+	ColdShare      float64       // fraction of its capacity that a destination has right after an outage; default 0.1
+	WarmWithin     time.Duration // a destination has its full capacity this long after an outage; default 30 s
+	OverloadFactor float64       // load, as a multiple of its capacity, above which a destination fails; default 1
+	OverloadWindow time.Duration // time over which this load is measured; default 3 s
+	OrderPause     time.Duration // pause of a key after an attempt that may still run
 	SkipFirst      time.Duration // first skip of a failing route; default 2 s
-	SkipMost       time.Duration // longest one; default 10 s
+	SkipMost       time.Duration // longest skip of a failing route; default 10 s
 
-	Order map[int][]string // by destination: its routes in the order in which they are tried; others come after them
+	Order map[int][]string // by destination: routes in the order in which they are tried; unnamed routes come last
 }
 
 // Listing is one entry of the list of routes.
@@ -84,102 +84,100 @@
 	Destination int
 	Kind        int
 	Zone        int
-	Weight      float64 // calls a second from all senders together; 0: not told
+	Weight      float64 // capacity in calls a second from all senders together; 0: unknown
 	InService   bool    // false: draining
 	Gone        bool    // removed
 }
 
-// EventKind names what an Event tells.
+// EventKind is what an Event reports.
 type EventKind int
 
 // The kinds of event.
 const (
-	Taken       EventKind = iota // a message was handed in
+	Taken       EventKind = iota // a message was accepted
 	Finished                     // an attempt has its outcome
-	Withdrawn                    // the client has gone
-	ListWhole                    // the whole list of routes
-	ListChanges                  // changes to the list
-	ListFailed                   // a call for the list failed
-	Woken                        // a wake came due
+	Withdrawn                    // the client has disconnected
+	ListWhole                    // the full list of routes
+	ListChanges                  // changes to the list of routes
+	ListFailed                   // a request for the list failed
+	Woken                        // a requested wake is due
 	Probed                       // a probe has its outcome
-	Standby                      // clients are to be sent elsewhere
-	Active                       // and may come again
-	Ending                       // the process was told to end
-	HandedOver                   // another process decides from here on
-	Configured                   // the settings are others from here on
-	Recalled                     // what the process before knew of outages
+	Standby                      // the process is to drain its clients
+	Active                       // clients may return: the drain ends
+	Ending                       // the process is to end
+	HandedOver                   // another process has taken over the decisions
+	Configured                   // new settings apply from here on
+	Recalled                     // what the previous process knew of outages
 )
 
-// Report is what a destination tells of its limit. It is late and noisy.
+// Report is what a destination reports of its rate limit. It is delayed and noisy.
 type Report struct {
-	Told  bool
-	Left  float64 // share of the limit that is left
+	Told  bool    // the destination has reported
+	Left  float64 // fraction of the limit that is left
 	Limit float64 // calls a second; 0: no limit
 }
 
-// Resumed is what became of a message before the process that had taken it on ended. A call that was out then
+// Resumed is the history of a message from before the process that had accepted it ended. A call in flight at that time
 // may have run.
 type Resumed struct {
 	Attempts int           // sends used
-	Ran      bool          // one may have run
+	Ran      bool          // an attempt may have run
 	RanAgo   time.Duration // how long ago the first of them was sent
-	RanZone  int           // and to which zone
+	RanZone  int           // the zone it was sent to
 }
 
-// Doubt is that a route may be in an outage, or coming back from one, as one process tells it the next.
+// Doubt is a route that may be in an outage or recovering from one, as one process reports it to the next.
 type Doubt struct {
 	Route  string
-	Slight bool          // on one failure alone
-	Back   time.Duration // since the first delivery after it; 0: none yet
+	Slight bool          // suspected on one failure alone
+	Back   time.Duration // time since the first delivery after the outage; 0: none yet
 }
 
-// RetryAdvice is the least time that a client turned away is told to stay away.
-const RetryAdvice = retryAdvice
+// RetryAdvice is the shortest retry-after of a refusal.
+const RetryAdvice = minRetryAfter
 
 // Event is one thing that a Sender observes.
 type Event struct {
 	Kind EventKind
 	ID   uint32 // message
 
-	Doubts []Doubt // Recalled
+	Doubts []Doubt // of the previous process
 
-	// Taken
+	// Of a message that was accepted.
 	Key         string
 	Class       int
 	Customer    int
 	Destination int
-	Left        time.Duration // time left to the deadline
-	Terms       *Class        // it was taken on under; nil: those that the settings have for Class
-	Resumed     *Resumed      // taken on by an earlier process; nil if new
+	Left        time.Duration // time until the deadline
+	Terms       *Class        // class under which it was accepted; nil: as the settings define Class
+	Resumed     *Resumed      // accepted by a previous process; nil if new
 
-	// Finished, Probed
-	Attempt int
+	// Of the outcome of an attempt or a probe.
+	Attempt int // counts the sends of the message, from 0
 	Route   string
 	Outcome Outcome
 	Took    time.Duration
-	Ended   bool          // the message is over
-	Wait    time.Duration // the wait told with the outcome; 0: none
+	Ended   bool          // the message has ended
+	Wait    time.Duration // the retry-after received with the outcome; 0: none
 	Report  Report
 
-	// ListWhole, ListChanges
-	List []Listing
+	List []Listing // the full list of routes, or changes to it
 
-	// Configured
-	Settings *Settings // checked
+	Settings *Settings // new settings, validated
 }
 
-// ActionKind names what an Action asks for.
+// ActionKind is what an Action requests.
 type ActionKind int
 
 // The kinds of action.
 const (
 	Send      ActionKind = iota // start an attempt
-	Refuse                      // end the message; the client may safely come again
-	Fail                        // end the message; nothing is promised
-	Wake                        // ask for a Woken event after Delay
+	Refuse                      // end the message; the client may safely send it again
+	Fail                        // end the message; it may or may not have taken effect
+	Wake                        // request a Woken event after Delay
 	CloseIdle                   // close the idle connections to a route
 	Watch                       // subscribe to list changes
-	Attend                      // the client side is to do what Door says; until the first, all is open
+	Attend                      // set the state of the client side; until the first, it serves
 )
 
 // Action is one thing that a Sender decides.
@@ -187,8 +185,8 @@
 	Kind  ActionKind
 	ID    uint32
 	Route string
-	At    time.Duration // Send: time to drop the attempt
-	Leave time.Duration // Send: time after which it must not leave any more; 0: none
-	Delay time.Duration // Refuse: advice to the client; Wake: time from now
-	Door  Door          // Attend
+	At    time.Duration // Send: the attempt times out then
+	Leave time.Duration // Send: the attempt must not be sent after this; 0: no limit
+	Delay time.Duration // Refuse: retry-after for the client; Wake: time from now
+	Door  Door          // new state of the client side
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkStep is one message taken and delivered by a sender of 400 destinations and 1,000 routes; with
-// backlog, 200 more wait at destinations that none of their routes takes.
+// BenchmarkStep measures one message accepted and delivered by a sender of 400 destinations and 1,000 routes; with a
+// backlog, 200 more messages wait at destinations of which no route is in service.
 func BenchmarkStep(b *testing.B) {
 	for _, backlog := range []int{0, 200} {
 		b.Run(fmt.Sprintf("backlog=%d", backlog), func(b *testing.B) { benchmarkStep(b, backlog) })
@@ -15,9 +15,9 @@
 }
 
 func benchmarkStep(b *testing.B, backlog int) {
-	set := settings()
-	set.Senders, set.Slots, set.MaxHeld = 400, 8, 1000
-	s, err := New(set, 1)
+	cfg := settings()
+	cfg.Senders, cfg.Slots, cfg.MaxHeld = 400, 8, 1000
+	s, err := New(cfg, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"wallflow/policy"
 )
 
-// A relay takes one message for destination 7, whose first route answers that it is full.
+// A relay accepts one message for destination 7, whose first route responds that it is full.
 func Example() {
 	sender, err := policy.New(policy.Settings{
 		Classes: []policy.Class{{Effect: policy.Safe, Aim: 2 * time.Second, GiveUp: 20 * time.Second}},
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -6,141 +6,144 @@
 	"time"
 )
 
-// What is harmless from one sender and harmful from many at once: bursts at a start, connections held idle, paces
-// that grow past what is left for all. A sender of many meets a route too seldom to learn it from outcomes.
+// What is harmless from one sender and harmful from many at once: bursts at a start, idle connections, pacing rates
+// that outgrow the shared limit. One sender of a large fleet calls a route too rarely to learn its state from outcomes.
 
 const (
-	fewSenders   = 6                      // so many fit any table, and see enough of a route by themselves
-	leftLow      = 0.4                    // share of a limit left under which a pace does not grow
-	startShare   = 0.9                    // of its even part of a limit: the pace of one of many at the start
-	toldStep     = 4.0                    // most by which one told limit changes a pace, up or down
-	singlesStart = 2.0                    // of its part: the pace of singles at the start
-	lowShare     = 0.7                    // of its listed limit: told less, noise aside, a gate has lowered it
-	lowSpan      = 3 * time.Second        // in which two gates that tell so tell of others
-	tightMost    = 2                      // failed connections in a row that a full table explains
-	tightRest    = 300 * time.Millisecond // rest of a route with a full table: about an answer's time
-	gatherShare  = 0.25                   // of its aim: how long a message waits for others to share its call
-	scarceSpan   = 30 * time.Second       // how long a kind whose table was full is short of connections
+	smallFleet        = 6                      // largest fleet that fits any connection table and whose senders learn enough alone
+	lowRemaining      = 0.4                    // fraction of a limit left below which no pacing rate grows
+	startRateRatio    = 0.9                    // initial pacing rate in a large fleet, as a fraction of the even share of the limit
+	maxLimitStep      = 4.0                    // largest factor by which one reported limit changes a pacing rate, up or down
+	singlesStartRatio = 2.0                    // initial pacing rate of calls that carry one message, as a multiple of the fair share
+	loweredRatio      = 0.7                    // a limit reported below this fraction of the listed one is lowered, noise aside
+	limitChangeWindow = 3 * time.Second        // two limit changes within this indicate the same change elsewhere
+	maxTableFullRun   = 2                      // consecutive failed connections that a full connection table explains
+	tableFullPause    = 300 * time.Millisecond // pause of a route with a full connection table: about one response time
+	batchWaitRatio    = 0.25                   // fraction of its target time that a message waits for others to share its call
+	scarceDuration    = 30 * time.Second       // time that connections of a kind count as scarce after a full table
 )
 
-// bundles tells whether a call to a route may carry several messages.
-func (s *Sender) bundles(r *route) bool {
-	return r.Kind >= 0 && r.Kind < len(s.set.Kinds) && s.set.Kinds[r.Kind].PerCall > 1
+// batches reports whether a call to a route may carry several messages.
+func (s *Sender) batches(r *route) bool {
+	return r.Kind >= 0 && r.Kind < len(s.cfg.Kinds) && s.cfg.Kinds[r.Kind].PerCall > 1
 }
 
-// opening paces a gate from the start where its limit is listed. Guards against many senders that are free to call
-// until each has met refusals. What waits for its part can travel together in bundles; singles get more than the
-// part, since they wait for nothing else and most senders want less.
-func (s *Sender) opening(r *route) {
-	g := r.gate
-	if g.pace > 0 || s.set.Senders <= fewSenders || s.limit(g) == 0 {
+// initPacing limits the pacing rate of a scope from the start if its limit is listed. Prevents many senders from calling without limit
+// until each has met refusals. Messages that wait for their share can travel together in one call; calls that carry one message start
+// above the fair share, since their messages wait for nothing else and most senders need less.
+func (s *Sender) initPacing(r *route) {
+	sc := r.scope
+	if sc.pacingRate > 0 || s.cfg.Senders <= smallFleet || s.limit(sc) == 0 {
 		return
 	}
-	s.paced(g)
-	if !s.bundles(r) {
-		g.pace, g.tokens = singlesStart*g.pace, 1
+	s.startAtFairShare(sc)
+	if !s.batches(r) {
+		sc.pacingRate, sc.tokens = singlesStartRatio*sc.pacingRate, 1
 	}
 }
 
-// paced starts a gate at this sender's part. Many senders draw when the first call is due: a token in every hand
-// would be one burst of them all.
-func (s *Sender) paced(g *gate) {
-	g.pace, g.tokens, g.tokensAt = s.part(g), 1, s.now
-	if s.set.Senders > fewSenders {
-		g.creptAt = s.now
-		g.pace, g.tokens = startShare*math.Max(leastLimit, s.limit(g))/float64(s.set.Senders), s.rng.Float64()
+// startAtFairShare starts the pacing of a scope at this sender's share. In a large fleet the time of the first call is
+// random: a full token at every sender would cause one burst of them all.
+func (s *Sender) startAtFairShare(sc *scope) {
+	sc.pacingRate, sc.tokens, sc.tokensAt = s.fairShare(sc), 1, s.now
+	if s.cfg.Senders > smallFleet {
+		sc.grownAt = s.now
+		sc.pacingRate, sc.tokens = startRateRatio*math.Max(minLimit, s.limit(sc))/float64(s.cfg.Senders), s.rng.Float64()
 	}
 }
 
-// usedUp tells whether little of a gate's limit is left, as told with the last answer. Guards against many senders
-// that grow their paces past it by turns, each on a success or two.
-func (s *Sender) usedUp(g *gate) bool {
-	return s.set.Senders > fewSenders && g.limit > 0 && g.left < leftLow
+// limitNearlyUsed reports whether little of a scope's limit was left at the last report. Prevents many senders from
+// growing their pacing rates past it by turns, each with a success or two.
+func (s *Sender) limitNearlyUsed(sc *scope) bool {
+	return s.cfg.Senders > smallFleet && sc.reportedLimit > 0 && sc.remaining < lowRemaining
 }
 
-// relimit has a pace follow the limit as it is told. Guards against many senders that go on as before where a
-// destination lowers its limit, until each has been refused, and against as slow a return when it raises it. What
-// was told before is what it is held against: a gate's first report tells of no change.
-func (s *Sender) relimit(g *gate, told float64) {
-	if s.set.Senders > fewSenders && g.pace > 0 && g.limit > 0 {
-		by := math.Min(toldStep, math.Max(1/toldStep, told/g.limit)) // nonsense does little, and the next report undoes it
-		g.pace, g.ceiling = g.pace*by, g.ceiling*by
+// followLimit scales a pacing rate with the reported limit. Prevents many senders from going on as before after a limit is lowered, until
+// each has been refused, and from returning as slowly after it is raised. The report is compared with the previous one, so the first
+// report of a scope changes nothing. An invalid report has little effect, and the next one reverts it.
+func (s *Sender) followLimit(sc *scope, reported float64) {
+	if s.cfg.Senders > smallFleet && sc.pacingRate > 0 && sc.reportedLimit > 0 {
+		factor := math.Min(maxLimitStep, math.Max(1/maxLimitStep, reported/sc.reportedLimit))
+		sc.pacingRate, sc.refusedRate = sc.pacingRate*factor, sc.refusedRate*factor
 	}
 }
 
-// hearsay takes two gates that tell within a short time that their limits fell, or are back, for a sign that those not
-// heard of since did the same, until they tell themselves. Guards against many senders that meet a gate once in seconds
-// and overrun its lowered limit with a call each, before any of them has been told.
-func (s *Sender) hearsay(r *route) {
-	g, was, share := r.gate, s.heard, r.gate.limit/r.Weight
-	trust := r.Weight > 0 && !s.set.NoWeights && !s.set.RoughWeights && s.set.Senders > fewSenders
-	if !trust || g.low == (share < lowShare) {
+// inferLimitChange takes two scopes that report a lowered or a restored limit within a short time for a sign that all
+// scopes without a newer report changed likewise, until these report themselves. Prevents many senders, which call a
+// scope once in some seconds each, from exceeding its lowered limit before any of them has received a report of it.
+func (s *Sender) inferLimitChange(r *route) {
+	sc, previous, ratio := r.scope, s.lastLimitChange, r.scope.reportedLimit/r.Weight
+	usable := r.Weight > 0 && !s.cfg.NoWeights && !s.cfg.RoughWeights && s.cfg.Senders > smallFleet
+	if !usable || sc.lowered == (ratio < loweredRatio) {
 		return
 	}
-	g.low = !g.low
-	s.heard = lowering{g, g.low, s.now}
-	if was.gate == nil || was.gate == g || was.low != g.low || s.now > was.at+lowSpan {
+	sc.lowered = !sc.lowered
+	s.lastLimitChange = limitChange{sc, sc.lowered, s.now}
+	if previous.scope == nil || previous.scope == sc || previous.lowered != sc.lowered || s.now > previous.at+limitChangeWindow {
 		return
 	}
-	for _, x := range s.gates() {
+	for _, x := range s.scopes() {
 		listed := x.routes[0].Weight
-		has := cmp.Or(x.limit, listed)
-		if x.toldAt < was.at && listed > 0 && g.low == (has >= lowShare*listed) {
-			x.limit = has
-			s.relimit(x, listed*min(1, share))
-			x.limit = listed * min(1, share)
+		limit := cmp.Or(x.reportedLimit, listed)
+		if x.reportedAt < previous.at && listed > 0 && sc.lowered == (limit >= loweredRatio*listed) {
+			x.reportedLimit = limit
+			s.followLimit(x, listed*min(1, ratio))
+			x.reportedLimit = listed * min(1, ratio)
 		}
 	}
 }
 
-// spread is over how many calls at the pace refused sparse senders spread. Many are paced from the start: their clumps
-// are short, and what they leave unused of a limit is many times what one does.
-func (s *Sender) spread() float64 {
-	if s.set.Senders > fewSenders {
+// refusalSpread is over how many call intervals refused sparse senders spread. A large fleet is paced from the start:
+// its bursts are short, and what it leaves unused of a limit is many times what one sender does.
+func (s *Sender) refusalSpread() float64 {
+	if s.cfg.Senders > smallFleet {
 		return 1
 	}
 	return sparseSpread
 }
 
-// beyond tells whether a pace is above this sender's part: it grows at the expense of many others then, and slowly.
-func (s *Sender) beyond(g *gate) bool { return s.set.Senders > fewSenders && g.pace > s.part(g) }
+// aboveFairShare reports whether a pacing rate is above this sender's share: it then grows slowly, at the expense of others.
+func (s *Sender) aboveFairShare(sc *scope) bool {
+	return s.cfg.Senders > smallFleet && sc.pacingRate > s.fairShare(sc)
+}
 
-// grown is what a pace may grow to: from below this sender's part no further than that. One that meets a route once in
-// some seconds would pass it with a success, and 80 of them as one.
-func (s *Sender) grown(g *gate, to float64) float64 {
-	if part := s.part(g); s.set.Senders > fewSenders && g.pace < part {
-		return math.Min(to, part)
+// capGrowth bounds the growth of a pacing rate from below this sender's share to that share. A sender that calls a
+// route once in some seconds would exceed it with one success, and 80 such senders would together.
+func (s *Sender) capGrowth(sc *scope, rate float64) float64 {
+	if share := s.fairShare(sc); s.cfg.Senders > smallFleet && sc.pacingRate < share {
+		return math.Min(rate, share)
 	}
-	return to
+	return rate
 }
 
-// gathers is until when a message waits for others that may share its call: no longer than this sender waits between two calls
-// there, and inside its aim, so that it costs little. Guards against senders that call for a message or two each, and overrun a
-// limit that has room for all they hold.
-func (s *Sender) gathers(m *message, r *route) time.Duration {
-	if m.sends > 0 || !s.bundles(r) || len(m.dest.queue) >= s.together(r) {
+// batchWaitUntil is until when a message waits for others to share its call: no longer than the interval between two
+// calls of this sender there, and a fraction of its target time, so that it costs little. Prevents senders from making
+// a call for every message or two, and so exceeding a limit that has room for all their messages.
+func (s *Sender) batchWaitUntil(m *message, r *route) time.Duration {
+	if m.sends > 0 || !s.batches(r) || len(m.dest.queue) >= s.callCapacity(r) {
 		return 0
 	}
-	return m.due - m.class.Aim + min(time.Duration(gatherShare*float64(m.class.Aim)), span(max(r.gate.pace, s.part(r.gate))))
+	return m.targetAt - m.class.Aim + min(time.Duration(batchWaitRatio*float64(m.class.Aim)),
+		interval(max(r.scope.pacingRate, s.fairShare(r.scope))))
 }
 
-// holdsNone tells whether no connection to a route is held idle. What many senders hold is missing in the tables
-// of destinations, which have room for calls at work. Where messages share calls, those are few and come steadily:
-// there a connection is kept until the kind turns out to be short of them.
-func (s *Sender) holdsNone(r *route) bool {
-	return s.set.Senders > fewSenders && (s.now < s.scarce[r.Kind] || !s.bundles(r))
+// closesIdle reports whether idle connections to a route are closed. Those of a large fleet would take the entries of
+// the destination's connection table that active calls need. Where messages share calls, calls are few and regular:
+// their connections stay open until connections of the kind prove scarce.
+func (s *Sender) closesIdle(r *route) bool {
+	return s.cfg.Senders > smallFleet && (s.now < s.scarceUntil[r.Kind] || !s.batches(r))
 }
 
-// crowded tells whether a failed connection looks like a full table: it failed at once, at a route that
-// answered of late or, among many senders, of a kind that had such failures. Some in a row are an outage.
-func (s *Sender) crowded(r *route, o sample) bool {
-	short := s.set.Senders > fewSenders && s.now < s.scarce[r.Kind]
-	failed := o.outcome == ConnectFailed && s.now-o.sent < leastExpect
-	return failed && r.gate.tights < tightMost && (s.alive(r) || short)
+// looksTableFull reports whether a failed connection indicates a full connection table: it failed at once, at a route that responded
+// recently or, in a large fleet, of a kind with recent failures of this sort. Several in a row are an outage.
+func (s *Sender) looksTableFull(r *route, o sample) bool {
+	scarce := s.cfg.Senders > smallFleet && s.now < s.scarceUntil[r.Kind]
+	failed := o.outcome == ConnectFailed && s.now-o.sentAt < minExpectedTime
+	return failed && r.scope.tableFullRun < maxTableFullRun && (s.alive(r) || scarce)
 }
 
-// crowd answers a full connection table.
-func (s *Sender) crowd(r *route, _ sample) {
-	r.skipUntil = s.now + time.Duration((0.5+s.rng.Float64())*float64(tightRest))
-	s.act(Action{Kind: CloseIdle, Route: r.Route})
+// pauseRoute pauses a route whose connection table is full.
+func (s *Sender) pauseRoute(r *route, _ sample) {
+	r.skipUntil = s.now + time.Duration((0.5+s.rng.Float64())*float64(tableFullPause))
+	s.emit(Action{Kind: CloseIdle, Route: r.Route})
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -8,275 +8,279 @@
 	"time"
 )
 
-// A fleet of senders plays in front of one route that fails calls, or refuses them, and comes back cold. The
-// judge counts what reaches it from senders told of a failure or a refusal there during the outage, and holds
-// each window since the return against the budget. The senders share nothing but the route.
+// A simulated fleet of senders calls one route that fails or refuses calls in an outage and returns cold. The test
+// counts the calls since the return from senders that know of a failure or a refusal in the outage, and compares each
+// window with the recovery budget. The senders share nothing but the route.
 
-// fleetCase is one such day.
+// fleetCase is one scenario.
 type fleetCase struct {
-	senders int
-	limit   float64 // calls a second
-	demand  float64 // messages, as a multiple of the limit
-	fails   float64 // share of the calls that fail in the outage
-	listed  bool    // the limit is listed; else no sender ever knows it
-	told    bool    // the limit is told in answers
-	reborn  float64 // share of the senders that restart in the ramp, two seconds after the return
-	site    fleetSite
+	senders       int
+	limit         float64 // calls a second
+	demand        float64 // messages, as a multiple of the limit
+	failureRatio  float64 // fraction of the calls that fail in the outage
+	listed        bool    // the limit is listed, so that senders know it
+	limitReported bool    // the limit is reported with responses
+	restartRatio  float64 // fraction of the senders that restart in the warm-up, two seconds after the return
+	recovery      recoverySettings
 }
 
-// fleetSite is what a customer's settings say of cold routes.
-type fleetSite struct {
-	share, factor float64
-	window, warm  time.Duration
+// recoverySettings are what the settings say of returning destinations.
+type recoverySettings struct {
+	coldShare, overloadFactor  float64
+	overloadWindow, warmWithin time.Duration
 }
 
-// The first two are figures as two customers have them, the third allows a call or two.
+// The first two are the settings of two customers; the third allows a call or two.
 var (
-	siteA = fleetSite{0.25, 1.5, 3 * time.Second, 14 * time.Second}
-	siteB = fleetSite{0.18, 2, 3 * time.Second, 12 * time.Second}
-	siteC = fleetSite{0.12, 1.1, time.Second, 10 * time.Second}
+	recoveryA = recoverySettings{0.25, 1.5, 3 * time.Second, 14 * time.Second}
+	recoveryB = recoverySettings{0.18, 2, 3 * time.Second, 12 * time.Second}
+	recoveryC = recoverySettings{0.12, 1.1, time.Second, 10 * time.Second}
 )
 
 func (c fleetCase) String() string {
-	return fmt.Sprintf("%d senders, limit %v, demand %v, fails %v, listed %v, told %v, reborn %v, site %v",
-		c.senders, c.limit, c.demand, c.fails, c.listed, c.told, c.reborn, c.site)
+	return fmt.Sprintf("%d senders, limit %v, demand %v, failing %v, listed %v, reported %v, restarting %v, recovery %v",
+		c.senders, c.limit, c.demand, c.failureRatio, c.listed, c.limitReported, c.restartRatio, c.recovery)
 }
 
 const (
-	fleetTick    = 10 * time.Millisecond
-	fleetReturn  = time.Minute + 35*time.Second
-	fleetFailing = time.Minute + 20*time.Second
-	fleetEnd     = fleetReturn + 8*time.Second
+	fleetTick        = 10 * time.Millisecond
+	fleetOutageEnd   = time.Minute + 35*time.Second
+	fleetOutageStart = time.Minute + 20*time.Second
+	fleetEnd         = fleetOutageEnd + 8*time.Second
 )
 
 func fleetSettings(c fleetCase) Settings {
 	return Settings{
 		Classes: []Class{{Effect: Safe, Aim: 4 * time.Second, GiveUp: 28 * time.Second, Value: 1}},
 		Kinds:   []Kind{{Separate: true, PerCall: 1}}, Senders: c.senders, Slots: 8, NoWeights: !c.listed,
-		ColdShare: c.site.share, WarmWithin: c.site.warm, OverloadFactor: c.site.factor, OverloadWindow: c.site.window,
+		ColdShare: c.recovery.coldShare, WarmWithin: c.recovery.warmWithin,
+		OverloadFactor: c.recovery.overloadFactor, OverloadWindow: c.recovery.overloadWindow,
 	}
 }
 
-// fleetWorld is the route, the senders' messages and the books of the judge.
-type fleetWorld struct {
-	c      fleetCase
-	rng    *rand.Rand
-	now    time.Duration
-	fleet  []*Sender
-	inbox  [][]Event
-	due    map[time.Duration][]fleetEvent
-	room   float64        // calls that the limit leaves
-	told   []bool         // by sender: of a failure or refusal in the outage
-	pushes []fleetPush    // since the return
-	tries  map[uint32]int // of each message
-	served int            // in the whole day
+// fleetSimulation is the route, the senders' messages and the records of the check.
+type fleetSimulation struct {
+	c             fleetCase
+	rng           *rand.Rand
+	now           time.Duration
+	fleet         []*Sender
+	inbox         [][]Event
+	pending       map[time.Duration][]fleetEvent
+	tokens        float64        // calls that the limit still allows
+	knowsFailure  []bool         // by sender: it received a failure or refusal in the outage
+	recoveryCalls []fleetCall    // calls since the return
+	attempts      map[uint32]int // attempts of each message
+	delivered     int            // deliveries in the whole run
 }
 
 type fleetEvent struct {
 	sender int
-	ev     Event
+	event  Event
 }
 
-type fleetPush struct {
-	at   time.Duration
-	told bool
+type fleetCall struct {
+	at    time.Duration
+	aware bool
 }
 
-func (w *fleetWorld) start(i int, seed uint64) error {
-	s, err := New(fleetSettings(w.c), seed)
+func (sim *fleetSimulation) start(i int, seed uint64) error {
+	s, err := New(fleetSettings(sim.c), seed)
 	if err != nil {
 		return err
 	}
-	w.fleet[i] = s
-	w.inbox[i] = []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Weight: w.c.limit, InService: true}}}}
+	sim.fleet[i] = s
+	sim.inbox[i] = []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Weight: sim.c.limit, InService: true}}}}
 	return nil
 }
 
-// restart has a sender's place taken by a process that knows what its journal has.
-func (w *fleetWorld) restart(i int) error {
-	doubts := w.fleet[i].Doubts()
-	err := w.start(i, w.rng.Uint64())
-	w.inbox[i] = append([]Event{{Kind: Recalled, Doubts: doubts}}, w.inbox[i]...) // before any list
+// restart replaces a sender by a new process that knows what its journal holds.
+func (sim *fleetSimulation) restart(i int) error {
+	suspicions := sim.fleet[i].Doubts()
+	err := sim.start(i, sim.rng.Uint64())
+	sim.inbox[i] = append([]Event{{Kind: Recalled, Doubts: suspicions}}, sim.inbox[i]...) // before any list
 	return err
 }
 
-// call plays one call at the route: its outcome comes a tick or two later.
-func (w *fleetWorld) call(i int, a Action) {
-	failing := w.now >= fleetFailing && w.now < fleetReturn
-	if w.now >= fleetReturn {
-		w.pushes = append(w.pushes, fleetPush{w.now, w.told[i]})
+// call simulates one call to the route: its outcome follows two ticks later.
+func (sim *fleetSimulation) call(i int, a Action) {
+	failing := sim.now >= fleetOutageStart && sim.now < fleetOutageEnd
+	if sim.now >= fleetOutageEnd {
+		sim.recoveryCalls = append(sim.recoveryCalls, fleetCall{sim.now, sim.knowsFailure[i]})
 	}
-	e := Event{Kind: Finished, ID: a.ID, Attempt: w.tries[a.ID], Route: "a", Took: 2 * fleetTick}
-	w.tries[a.ID]++
+	e := Event{Kind: Finished, ID: a.ID, Attempt: sim.attempts[a.ID], Route: "a", Took: 2 * fleetTick}
+	sim.attempts[a.ID]++
 	switch {
-	case w.room < 1:
+	case sim.tokens < 1:
 		e.Outcome = Full
 	default:
-		w.room--
-		if failing && w.rng.Float64() < w.c.fails {
+		sim.tokens--
+		if failing && sim.rng.Float64() < sim.c.failureRatio {
 			e.Outcome = Error
 		}
 	}
-	if w.c.told {
-		e.Report = Report{Told: true, Limit: w.c.limit}
+	if sim.c.limitReported {
+		e.Report = Report{Told: true, Limit: sim.c.limit}
 	}
 	if e.Ended = e.Outcome == OK; e.Ended {
-		w.served++
+		sim.delivered++
 	} else if failing {
-		w.told[i] = true
+		sim.knowsFailure[i] = true
 	}
-	w.later(i, 2*fleetTick, e)
+	sim.schedule(i, 2*fleetTick, e)
 }
 
-func (w *fleetWorld) later(i int, after time.Duration, e Event) {
-	at := (w.now + after + fleetTick - 1) / fleetTick * fleetTick
-	w.due[at] = append(w.due[at], fleetEvent{i, e})
+func (sim *fleetSimulation) schedule(i int, after time.Duration, e Event) {
+	at := (sim.now + after + fleetTick - 1) / fleetTick * fleetTick
+	sim.pending[at] = append(sim.pending[at], fleetEvent{i, e})
 }
 
-// playFleet runs a day. Half of the senders carry most of the traffic, a third restart inside the outage.
-func playFleet(t *testing.T, c fleetCase, seed uint64) *fleetWorld {
+// simulateFleet runs a scenario. Half of the senders carry most of the traffic, and a third restart in the outage.
+func simulateFleet(t *testing.T, c fleetCase, seed uint64) *fleetSimulation {
 	t.Helper()
-	w := &fleetWorld{c: c, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Minute, fleet: make([]*Sender, c.senders),
-		inbox: make([][]Event, c.senders), due: map[time.Duration][]fleetEvent{}, told: make([]bool, c.senders),
-		tries: map[uint32]int{}}
-	restarts := fleetFailing + 7*time.Second
-	for i := range w.fleet {
-		if err := w.start(i, w.rng.Uint64()); err != nil {
+	sim := &fleetSimulation{c: c, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Minute, fleet: make([]*Sender, c.senders),
+		inbox: make([][]Event, c.senders), pending: map[time.Duration][]fleetEvent{}, knowsFailure: make([]bool, c.senders),
+		attempts: map[uint32]int{}}
+	restarts := fleetOutageStart + 7*time.Second
+	for i := range sim.fleet {
+		if err := sim.start(i, sim.rng.Uint64()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	id := uint32(0)
-	for ; w.now < fleetEnd; w.now += fleetTick {
-		w.room = math.Min(1+0.5*c.limit, w.room+c.limit*fleetTick.Seconds())
-		if w.now == restarts {
+	for ; sim.now < fleetEnd; sim.now += fleetTick {
+		sim.tokens = math.Min(1+0.5*c.limit, sim.tokens+c.limit*fleetTick.Seconds())
+		if sim.now == restarts {
 			for i := 0; i < c.senders; i += 3 {
-				if err := w.restart(i); err != nil {
+				if err := sim.restart(i); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		if w.now == fleetReturn+2*time.Second {
-			for i := range w.fleet {
-				if w.rng.Float64() < c.reborn {
-					if err := w.restart(i); err != nil {
+		if sim.now == fleetOutageEnd+2*time.Second {
+			for i := range sim.fleet {
+				if sim.rng.Float64() < c.restartRatio {
+					if err := sim.restart(i); err != nil {
 						t.Fatal(err)
 					}
 				}
 			}
 		}
-		for n := c.limit * c.demand * fleetTick.Seconds(); n > w.rng.Float64(); n-- {
-			i := w.rng.IntN(c.senders)
-			if w.rng.IntN(2) == 0 {
-				i = w.rng.IntN((c.senders + 1) / 2)
+		for n := c.limit * c.demand * fleetTick.Seconds(); n > sim.rng.Float64(); n-- {
+			i := sim.rng.IntN(c.senders)
+			if sim.rng.IntN(2) == 0 {
+				i = sim.rng.IntN((c.senders + 1) / 2)
 			}
 			id++
-			w.later(i, 0, Event{Kind: Taken, ID: id, Left: 28 * time.Second})
+			sim.schedule(i, 0, Event{Kind: Taken, ID: id, Left: 28 * time.Second})
 		}
-		for _, e := range w.due[w.now] {
-			w.inbox[e.sender] = append(w.inbox[e.sender], e.ev)
+		for _, e := range sim.pending[sim.now] {
+			sim.inbox[e.sender] = append(sim.inbox[e.sender], e.event)
 		}
-		delete(w.due, w.now)
-		for i, evs := range w.inbox {
+		delete(sim.pending, sim.now)
+		for i, evs := range sim.inbox {
 			if len(evs) == 0 {
 				continue
 			}
-			w.inbox[i] = nil
-			for _, a := range w.fleet[i].Step(w.now, evs) {
+			sim.inbox[i] = nil
+			for _, a := range sim.fleet[i].Step(sim.now, evs) {
 				switch a.Kind {
 				case Send:
-					w.call(i, a)
+					sim.call(i, a)
 				case Wake:
-					w.later(i, max(a.Delay, fleetTick), Event{Kind: Woken})
+					sim.schedule(i, max(a.Delay, fleetTick), Event{Kind: Woken})
 				}
 			}
 		}
 	}
-	return w
+	return sim
 }
 
-// fell tells whether a window since the return broke failback: more calls than the budget N of its length and
-// 2 x root of N + 2 for chance, over two thirds of them from senders told. Beside it stands what the window of the greatest
-// share had: all calls, those of senders told, and the bound.
-func (w *fleetWorld) fell() (broken bool, worst fleetWindow) {
-	set := fleetSettings(w.c)
-	for i, last := range w.pushes {
-		share := min(1, set.ColdShare+(1-set.ColdShare)*float64(last.at-fleetReturn)/float64(set.WarmWithin))
-		budget := set.OverloadFactor * share * w.c.limit * set.OverloadWindow.Seconds()
-		all, told := 0.0, 0.0
-		for _, p := range w.pushes[:i+1] {
-			if p.at > last.at-set.OverloadWindow {
+// overloaded reports whether a window since the return breaks the recovery rule: more calls than the budget N of its
+// length plus 2*sqrt(N) + 2 for chance, and over two thirds of them from senders aware of a failure. It also returns
+// the window with the highest ratio of calls from aware senders to the bound.
+func (sim *fleetSimulation) overloaded() (exceeded bool, worst fleetWindow) {
+	cfg := fleetSettings(sim.c)
+	for i, last := range sim.recoveryCalls {
+		share := min(1, cfg.ColdShare+(1-cfg.ColdShare)*float64(last.at-fleetOutageEnd)/float64(cfg.WarmWithin))
+		budget := cfg.OverloadFactor * share * sim.c.limit * cfg.OverloadWindow.Seconds()
+		all, aware := 0.0, 0.0
+		for _, p := range sim.recoveryCalls[:i+1] {
+			if p.at > last.at-cfg.OverloadWindow {
 				all++
-				if p.told {
-					told++
+				if p.aware {
+					aware++
 				}
 			}
 		}
 		bound := budget + 2*math.Sqrt(budget) + 2
-		broken = broken || all > bound && told > all*2/3
-		if w.c.reborn == 0 && w.c.site == siteA { // held before the rule had 2 calls more, and goes on to
-			broken = broken || all > bound-2 && told >= all*2/3
+		exceeded = exceeded || all > bound && aware > all*2/3
+		if sim.c.restartRatio == 0 && sim.c.recovery == recoveryA { // here also the stricter bound without the 2 calls holds
+			exceeded = exceeded || all > bound-2 && aware >= all*2/3
 		}
-		if told/bound > worst.told/math.Max(1, worst.bound) {
-			worst = fleetWindow{last.at - fleetReturn, all, told, bound}
+		if aware/bound > worst.aware/math.Max(1, worst.bound) {
+			worst = fleetWindow{last.at - fleetOutageEnd, all, aware, bound}
 		}
 	}
-	return broken, worst
+	return exceeded, worst
 }
 
 type fleetWindow struct {
-	at               time.Duration
-	all, told, bound float64
+	at                time.Duration
+	all, aware, bound float64
 }
 
-func TestFleetKeepsTheRecoveryBudget(t *testing.T) {
+func TestFleetKeepsRecoveryBudget(t *testing.T) {
 	for _, senders := range []int{2, 3, 20, 30, 80, 300, 400, 700} {
 		t.Run(fmt.Sprintf("%d senders", senders), func(t *testing.T) {
 			t.Parallel()
-			fleetOfSizeKeepsTheBudget(t, senders)
+			checkFleetOfSize(t, senders)
 		})
 	}
 }
 
-// fleetOfSizeKeepsTheBudget plays all days of one size.
-func fleetOfSizeKeepsTheBudget(t *testing.T, senders int) {
-	var most fleetWindow // of all plays of this size, against its bound
+// checkFleetOfSize runs all scenarios with one number of senders.
+func checkFleetOfSize(t *testing.T, senders int) {
+	var highest fleetWindow // of all runs, relative to its bound
 	for _, c := range []fleetCase{
-		{senders, 30, 0.9, 1, true, false, 0, siteA},
-		{senders, 30, 0.9, 1, false, true, 0, siteA},
-		{senders, 30, 0.9, 1, false, false, 0, siteA},
-		{senders, 30, 2, 1, true, false, 0, siteA},
-		{senders, 30, 2, 1, false, true, 0, siteA},
-		{senders, 30, 0.9, 0.8, false, true, 0, siteA},
-		{senders, 30, 2, 0.8, false, true, 0, siteA},
-		{senders, 3, 0.9, 1, false, true, 0, siteA},
-		{senders, 3, 2, 0.8, true, false, 0, siteA},
-		{senders, 3, 2, 1, false, false, 0, siteA},
-		{senders, 30, 2, 1, true, false, 0.4, siteA},
-		{senders, 30, 2, 1, false, true, 1, siteA},
-		{senders, 30, 0.9, 1, true, false, 1, siteB},
-		{senders, 30, 2, 1, true, true, 0.7, siteB},
-		{senders, 3, 2, 1, true, false, 1, siteB},
-		{senders, 30, 0.9, 1, true, false, 0, siteC},
-		{senders, 30, 2, 1, true, true, 1, siteC},
-		{senders, 3, 2, 1, true, false, 0.7, siteC},
-		{senders, 3, 2, 1, false, false, 0, siteC},
+		{senders, 30, 0.9, 1, true, false, 0, recoveryA},
+		{senders, 30, 0.9, 1, false, true, 0, recoveryA},
+		{senders, 30, 0.9, 1, false, false, 0, recoveryA},
+		{senders, 30, 2, 1, true, false, 0, recoveryA},
+		{senders, 30, 2, 1, false, true, 0, recoveryA},
+		{senders, 30, 0.9, 0.8, false, true, 0, recoveryA},
+		{senders, 30, 2, 0.8, false, true, 0, recoveryA},
+		{senders, 3, 0.9, 1, false, true, 0, recoveryA},
+		{senders, 3, 2, 0.8, true, false, 0, recoveryA},
+		{senders, 3, 2, 1, false, false, 0, recoveryA},
+		{senders, 30, 2, 1, true, false, 0.4, recoveryA},
+		{senders, 30, 2, 1, false, true, 1, recoveryA},
+		{senders, 30, 0.9, 1, true, false, 1, recoveryB},
+		{senders, 30, 2, 1, true, true, 0.7, recoveryB},
+		{senders, 3, 2, 1, true, false, 1, recoveryB},
+		{senders, 30, 0.9, 1, true, false, 0, recoveryC},
+		{senders, 30, 2, 1, true, true, 1, recoveryC},
+		{senders, 3, 2, 1, true, false, 0.7, recoveryC},
+		{senders, 3, 2, 1, false, false, 0, recoveryC},
 	} {
 		for seed := range uint64(3) {
-			w := playFleet(t, c, seed)
-			broken, worst := w.fell()
+			sim := simulateFleet(t, c, seed)
+			broken, worst := sim.overloaded()
 			if broken {
-				t.Errorf("%v, seed %d: pushed over; %.0f calls, %.0f of senders told, bound %.1f, %v after the return", c, seed, worst.all, worst.told, worst.bound, worst.at)
+				t.Errorf("%v, seed %d: overloaded: %.0f calls, %.0f from aware senders, bound %.1f, %v after the return",
+					c, seed, worst.all, worst.aware, worst.bound, worst.at)
 			}
-			if worst.told > worst.bound {
-				t.Errorf("%v, seed %d: senders told alone are over: %.0f, bound %.1f, %v after the return", c, seed, worst.told, worst.bound, worst.at)
+			if worst.aware > worst.bound {
+				t.Errorf("%v, seed %d: aware senders alone exceed the bound: %.0f, bound %.1f, %v after the return",
+					c, seed, worst.aware, worst.bound, worst.at)
 			}
-			if w.served == 0 {
-				t.Errorf("%v, seed %d: nothing served", c, seed)
+			if sim.delivered == 0 {
+				t.Errorf("%v, seed %d: nothing delivered", c, seed)
 			}
-			if worst.told/math.Max(1, worst.bound) > most.told/math.Max(1, most.bound) {
-				most = worst
+			if worst.aware/math.Max(1, worst.bound) > highest.aware/math.Max(1, highest.bound) {
+				highest = worst
 			}
 		}
 	}
-	t.Logf("%d senders: at most %.0f calls of senders told in a window, bound %.1f, %v after the return", senders, most.told, most.bound, most.at)
+	t.Logf("%d senders: at most %.0f calls from aware senders in a window, bound %.1f, %v after the return",
+		senders, highest.aware, highest.bound, highest.at)
 }
--- a/policy/group.go
+++ b/policy/group.go
@@ -1,34 +1,33 @@
 package policy
 
-// How many messages travel in one call. They share one fate: where calls break, or get no answer, the many are lost
-// with the one that was struck, and those that may not be repeated for good.
+// How many messages one call carries. They share one outcome: if the call breaks, or has no response, all of its
+// messages are lost with it, and for good those that must not be repeated.
 
-const groupCreep = 1 // further messages in a call with each call that was delivered
+const callCapacityGrowth = 1 // further messages in a call with each delivered call
 
-// together is how many messages a call to a route may carry.
-func (s *Sender) together(r *route) int {
-	most := max(1, s.set.Kinds[r.Kind].PerCall)
-	if r.group > 0 {
-		return min(most, int(r.group))
+// callCapacity is how many messages a call to a route may carry.
+func (s *Sender) callCapacity(r *route) int {
+	limit := max(1, s.cfg.Kinds[r.Kind].PerCall)
+	if r.perCall > 0 {
+		return min(limit, int(r.perCall))
 	}
-	return most
+	return limit
 }
 
-// regroup has calls carry one message after one whose connection broke, whatever else the route answers,
-// and more again with each that is delivered.
-func (s *Sender) regroup(r *route, o Outcome) {
-	if r.Kind < 0 || r.Kind >= len(s.set.Kinds) {
+// adjustCallCapacity limits calls to one message after a reset, whatever else the route responds; each delivered call raises the limit.
+func (s *Sender) adjustCallCapacity(r *route, o Outcome) {
+	if r.Kind < 0 || r.Kind >= len(s.cfg.Kinds) {
 		return
 	}
 	switch o {
 	case Reset:
-		r.group = 1
+		r.perCall = 1
 	case OK:
-		if r.group > 0 {
-			r.group += groupCreep
+		if r.perCall > 0 {
+			r.perCall += callCapacityGrowth
 		}
-		if r.group >= float64(s.set.Kinds[r.Kind].PerCall) {
-			r.group = 0
+		if r.perCall >= float64(s.cfg.Kinds[r.Kind].PerCall) {
+			r.perCall = 0
 		}
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -10,12 +10,12 @@
 
 const ms = time.Millisecond
 
-// desk drives one Sender with an explicit clock.
-type desk struct {
-	t     *testing.T
-	s     *Sender
-	now   time.Duration
-	tries map[uint32]int
+// harness drives one Sender with an explicit clock.
+type harness struct {
+	t        *testing.T
+	s        *Sender
+	now      time.Duration
+	attempts map[uint32]int
 }
 
 func settings() Settings {
@@ -31,24 +31,24 @@
 	}
 }
 
-func newDesk(t *testing.T, set Settings, list ...Listing) *desk {
+func newHarness(t *testing.T, cfg Settings, list ...Listing) *harness {
 	t.Helper()
-	s, err := New(set, 1)
+	s, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &desk{t: t, s: s, now: time.Minute, tries: map[uint32]int{}}
+	h := &harness{t: t, s: s, now: time.Minute, attempts: map[uint32]int{}}
 	for i := range list {
 		list[i].InService = true
 	}
-	d.step(Event{Kind: ListWhole, List: list})
-	return d
+	h.step(Event{Kind: ListWhole, List: list})
+	return h
 }
 
-// step gives events at the present time and keeps the actions other than wakes.
-func (d *desk) step(evs ...Event) []Action {
+// step passes events at the current time and returns the actions other than wakes.
+func (h *harness) step(evs ...Event) []Action {
 	var acts []Action
-	for _, a := range d.s.Step(d.now, evs) {
+	for _, a := range h.s.Step(h.now, evs) {
 		if a.Kind != Wake {
 			acts = append(acts, a)
 		}
@@ -56,26 +56,26 @@
 	return acts
 }
 
-func (d *desk) take(id uint32, class int) []Action {
-	return d.step(Event{Kind: Taken, ID: id, Class: class, Left: 60 * time.Second})
+func (h *harness) accept(id uint32, class int) []Action {
+	return h.step(Event{Kind: Taken, ID: id, Class: class, Left: 60 * time.Second})
 }
 
-func (d *desk) end(id uint32, route string, o Outcome, after, wait time.Duration) []Action {
-	d.now += after
-	n := d.tries[id]
-	d.tries[id]++
-	return d.step(Event{Kind: Finished, ID: id, Attempt: n, Route: route, Outcome: o, Took: after, Wait: wait,
+func (h *harness) finish(id uint32, route string, o Outcome, took, retryAfter time.Duration) []Action {
+	h.now += took
+	n := h.attempts[id]
+	h.attempts[id]++
+	return h.step(Event{Kind: Finished, ID: id, Attempt: n, Route: route, Outcome: o, Took: took, Wait: retryAfter,
 		Ended: o == OK})
 }
 
-// wake lets time pass and wakes the Sender.
-func (d *desk) wake(after time.Duration) []Action {
-	d.now += after
-	return d.step(Event{Kind: Woken})
+// advance lets time pass and wakes the Sender.
+func (h *harness) advance(after time.Duration) []Action {
+	h.now += after
+	return h.step(Event{Kind: Woken})
 }
 
-// goesTo tells where the first Send of the actions goes; "" if none.
-func goesTo(acts []Action) string {
+// sentTo returns the route of the first Send among the actions; "" if there is none.
+func sentTo(acts []Action) string {
 	for _, a := range acts {
 		if a.Kind == Send {
 			return a.Route
@@ -88,30 +88,30 @@
 	return slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == k })
 }
 
-func TestRoutesGoByWeightFeeAndLot(t *testing.T) {
-	set := settings()
-	set.Carriage = []float64{0, 0.03}
-	d := newDesk(t, set, Listing{Route: "a", Kind: 1, Zone: 1, Weight: 5}, Listing{Route: "c", Kind: 1, Weight: 5},
+func TestRoutesAreOrderedByWeightFeeAndTieBreak(t *testing.T) {
+	cfg := settings()
+	cfg.Carriage = []float64{0, 0.03}
+	h := newHarness(t, cfg, Listing{Route: "a", Kind: 1, Zone: 1, Weight: 5}, Listing{Route: "c", Kind: 1, Weight: 5},
 		Listing{Route: "b", Kind: 1, Weight: 5}, Listing{Route: "z", Kind: 1, Zone: 1, Weight: 9})
 	var got []string
-	got = append(got, goesTo(d.take(1, 0)))
+	got = append(got, sentTo(h.accept(1, 0)))
 	for range 3 {
-		got = append(got, goesTo(d.end(1, got[len(got)-1], Full, 10*ms, 0)))
+		got = append(got, sentTo(h.finish(1, got[len(got)-1], Full, 10*ms, 0)))
 	}
-	// Each refusal leaves its gate a pace with nothing saved, so the message moves on.
-	slices.Sort(got[1:3]) // equal routes go by lot
+	// After a refusal the pacing rate of the scope has no token left, so the message moves on.
+	slices.Sort(got[1:3]) // equal routes are in random order
 	if want := []string{"z", "b", "c", "a"}; !slices.Equal(got, want) {
 		t.Errorf("order %v, want %v", got, want)
 	}
 }
 
-// Hundreds of senders once loaded the first of several equal routes while the others idled.
+// Without a random tie-break, hundreds of senders load the first of several equal routes while the others stay idle.
 func TestSendersSpreadOverEqualRoutes(t *testing.T) {
 	first := map[string]int{}
 	for seed := range uint64(60) {
-		set := settings()
-		set.Senders = 60
-		s, err := New(set, seed)
+		cfg := settings()
+		cfg.Senders = 60
+		s, err := New(cfg, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -119,7 +119,7 @@
 			{Kind: ListWhole, List: []Listing{{Route: "a", InService: true}, {Route: "b", InService: true},
 				{Route: "c", InService: true}}},
 			{Kind: Taken, ID: 1, Left: 9 * time.Second}})
-		first[goesTo(acts)]++
+		first[sentTo(acts)]++
 	}
 	if first["a"] < 10 || first["b"] < 10 || first["c"] < 10 {
 		t.Errorf("first choices of 60 senders: %v", first)
@@ -134,20 +134,21 @@
 		o    sample
 		skip bool
 	}{
-		{"shut", route{}, sample{outcome: Full, wait: 5 * time.Second}, true},
-		{"shut", route{refusals: shutRefusals, refusedAt: now - shutSpan}, sample{outcome: Full}, true},
-		{"full", route{refusals: shutRefusals, refusedAt: now - shutSpan + 1}, sample{outcome: Full, wait: time.Second}, false},
-		{"trial failed", route{down: true}, sample{outcome: Error}, true},
-		{"crowded", route{streak: 1}, sample{outcome: ConnectFailed, tight: true}, false},
-		{"failed", route{streak: 1}, sample{outcome: ConnectFailed}, false},
-		{"in a row", route{streak: 3, okAt: now - time.Second}, sample{outcome: ConnectFailed}, true},
-		{"mostly failing", route{streak: 1, recent: 0b10111010}, sample{outcome: Error}, true},
-		{"failed", route{streak: 1, recent: 0b1011010}, sample{outcome: Error}, false},
-		{"failed", route{streak: 2}, sample{outcome: Timeout}, false},
+		{"shut", route{}, sample{outcome: Full, retryAfter: 5 * time.Second}, true},
+		{"shut", route{refusals: outageRefusals, firstRefusedAt: now - minRefusalSpan}, sample{outcome: Full}, true},
+		{"full", route{refusals: outageRefusals, firstRefusedAt: now - minRefusalSpan + 1},
+			sample{outcome: Full, retryAfter: time.Second}, false},
+		{"trial failed", route{skipped: true}, sample{outcome: Error}, true},
+		{"crowded", route{failures: 1}, sample{outcome: ConnectFailed, tableFull: true}, false},
+		{"failed", route{failures: 1}, sample{outcome: ConnectFailed}, false},
+		{"in a row", route{failures: 3, deliveredAt: now - time.Second}, sample{outcome: ConnectFailed}, true},
+		{"mostly failing", route{failures: 1, outcomeBits: 0b10111010}, sample{outcome: Error}, true},
+		{"failed", route{failures: 1, outcomeBits: 0b1011010}, sample{outcome: Error}, false},
+		{"failed", route{failures: 2}, sample{outcome: Timeout}, false},
 	} {
 		s := &Sender{now: now}
 		r := &c.r
-		i := slices.IndexFunc(failureRules, func(f rule) bool { return f.match(s, r, c.o) })
+		i := slices.IndexFunc(failureRules, func(f failureRule) bool { return f.match(s, r, c.o) })
 		if i < 0 || failureRules[i].name != c.rule || failureRules[i].skip != c.skip {
 			t.Errorf("%+v, %+v: rule %d, want %q with skip %v", c.r, c.o, i, c.rule, c.skip)
 		}
@@ -155,75 +156,75 @@
 }
 
 func TestSkipExpires(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 1, Weight: 9}, Listing{Route: "b", Kind: 1, Weight: 5})
+	h := newHarness(t, settings(), Listing{Route: "a", Kind: 1, Weight: 9}, Listing{Route: "b", Kind: 1, Weight: 5})
 	for id := range uint32(3) {
-		d.now += time.Second // the recovery budget of a route in doubt
-		if got := goesTo(d.take(id, 0)); got != "a" {
+		h.now += time.Second // the recovery budget of a suspected route
+		if got := sentTo(h.accept(id, 0)); got != "a" {
 			t.Fatalf("message %d to %q before the skip", id, got)
 		}
-		d.end(id, "a", Error, 10*ms, 0)
-		d.step(Event{Kind: Withdrawn, ID: id})
+		h.finish(id, "a", Error, 10*ms, 0)
+		h.step(Event{Kind: Withdrawn, ID: id})
 	}
-	if got := goesTo(d.take(10, 0)); got != "b" {
+	if got := sentTo(h.accept(10, 0)); got != "b" {
 		t.Errorf("message to %q while a is skipped", got)
 	}
-	d.now += time.Duration(float64(skipFirst) * (1 + skipJitter))
-	if got := goesTo(d.take(11, 0)); got != "a" {
+	h.now += time.Duration(float64(firstSkip) * (1 + skipJitter))
+	if got := sentTo(h.accept(11, 0)); got != "a" {
 		t.Errorf("message to %q after the skip", got)
 	}
-	if got := goesTo(d.take(12, 0)); got != "b" {
+	if got := sentTo(h.accept(12, 0)); got != "b" {
 		t.Errorf("second message to %q during the trial", got)
 	}
-	if got := goesTo(d.take(13, 2)); got != "b" {
+	if got := sentTo(h.accept(13, 2)); got != "b" {
 		t.Errorf("unsafe message to %q during the trial", got)
 	}
 }
 
-func TestPaceHalvesCreepsAndRestarts(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 1, Weight: 2})
+func TestPacingRateHalvesGrowsAndRestarts(t *testing.T) {
+	h := newHarness(t, settings(), Listing{Route: "a", Kind: 1, Weight: 2})
 	for id := range uint32(8) {
-		d.take(id, 0)
+		h.accept(id, 0)
 	}
-	g := d.s.routes["a"].gate
-	if g.pace != 0 {
-		t.Fatalf("the pace starts at %v, want free", g.pace)
+	sc := h.s.routes["a"].scope
+	if sc.pacingRate != 0 {
+		t.Fatalf("the pacing rate starts at %v, want unlimited", sc.pacingRate)
 	}
-	d.end(0, "a", Full, 100*ms, 0)
-	if g.pace != 4 {
-		t.Errorf("pace %v after a refusal at 8 in the last second, want 4", g.pace)
+	h.finish(0, "a", Full, 100*ms, 0)
+	if sc.pacingRate != 4 {
+		t.Errorf("pacing rate %v after a refusal at 8 in the last second, want 4", sc.pacingRate)
 	}
-	d.end(1, "a", Full, ms, 0)
-	if g.pace != 4 {
-		t.Errorf("pace %v after a refusal of the same burst, want 4", g.pace)
+	h.finish(1, "a", Full, ms, 0)
+	if sc.pacingRate != 4 {
+		t.Errorf("pacing rate %v after a refusal of the same burst, want 4", sc.pacingRate)
 	}
-	d.end(2, "a", OK, ms, 0)
-	if want := 4 * (1 + paceCreep); g.pace != want {
-		t.Errorf("pace %v after a delivery, want %v", g.pace, want)
+	h.finish(2, "a", OK, ms, 0)
+	if want := 4 * (1 + rateGrowth); sc.pacingRate != want {
+		t.Errorf("pacing rate %v after a delivery, want %v", sc.pacingRate, want)
 	}
 	for id := uint32(3); id < 6; id++ {
-		d.end(id, "a", Error, ms, 0)
+		h.finish(id, "a", Error, ms, 0)
 	}
-	r := d.s.routes["a"]
-	if !r.down {
-		t.Fatal("three failures in a row did not skip the route")
+	r := h.s.routes["a"]
+	if !r.skipped {
+		t.Fatal("three consecutive failures did not skip the route")
 	}
-	d.s.learn(r, sample{outcome: OK, sent: d.now}, ms)
-	if want := paceRestart * (1 + paceCreep); r.down || g.pace != want {
-		t.Errorf("pace %v at the end of a skip, want %v", g.pace, want)
+	h.s.observe(r, sample{outcome: OK, sentAt: h.now}, ms)
+	if want := restartRate * (1 + rateGrowth); r.skipped || sc.pacingRate != want {
+		t.Errorf("pacing rate %v at the end of a skip, want %v", sc.pacingRate, want)
 	}
 }
 
-// Halving counts of few calls a second again and again starved gates whose limit was known.
-func TestPaceKeepsItsEvenPart(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 1, Weight: 20})
-	r := d.s.routes["a"]
+// Repeatedly halving inaccurate counts of a few calls a second starves scopes whose limit is known.
+func TestPacingRateKeepsItsEvenShare(t *testing.T) {
+	h := newHarness(t, settings(), Listing{Route: "a", Kind: 1, Weight: 20})
+	r := h.s.routes["a"]
 	for range 5 {
-		d.now += time.Second
-		d.s.now = d.now
-		d.s.halve(r, sample{outcome: Full, sent: d.now})
+		h.now += time.Second
+		h.s.now = h.now
+		h.s.backOff(r, sample{outcome: Full, sentAt: h.now})
 	}
-	if want := 20 * paceSure; r.gate.pace != want {
-		t.Errorf("pace %v after five refusals, want %v", r.gate.pace, want)
+	if want := 20 * minEvenShareRatio; r.scope.pacingRate != want {
+		t.Errorf("pacing rate %v after five refusals, want %v", r.scope.pacingRate, want)
 	}
 }
 
@@ -234,739 +235,742 @@
 		want    ActionKind
 		early   bool
 	}{
-		{0, Timeout, Refuse, false}, // safe: the client may come again
+		{0, Timeout, Refuse, false}, // safe: the client may send it again
 		{1, Full, Refuse, false},    // keyed, never ran
-		{1, Timeout, Fail, true},    // keyed, may have run: no repeat is dropped after 10 s
+		{1, Timeout, Fail, true},    // keyed, may have run: repeats are dropped for 10 s only
 		{2, ConnectFailed, Refuse, false},
 	} {
-		d := newDesk(t, settings(), Listing{Route: "a"})
-		d.take(1, c.class)
-		d.step(Event{Kind: ListChanges, List: []Listing{{Route: "a", Gone: true}}})
-		d.end(1, "a", c.outcome, time.Second, 0)
-		if acts := d.wake(58900 * ms); has(acts, c.want) != c.early || !c.early && len(acts) != 0 {
+		h := newHarness(t, settings(), Listing{Route: "a"})
+		h.accept(1, c.class)
+		h.step(Event{Kind: ListChanges, List: []Listing{{Route: "a", Gone: true}}})
+		h.finish(1, "a", c.outcome, time.Second, 0)
+		if acts := h.advance(58900 * ms); has(acts, c.want) != c.early || !c.early && len(acts) != 0 {
 			t.Errorf("%+v: %+v before the deadline", c, acts)
 		}
 		if c.early {
 			continue
 		}
-		if acts := d.wake(90 * ms); len(acts) != 1 || acts[0].Kind != c.want {
+		if acts := h.advance(90 * ms); len(acts) != 1 || acts[0].Kind != c.want {
 			t.Errorf("%+v: %+v at the deadline", c, acts)
 		}
 	}
-	d := newDesk(t, settings(), Listing{Route: "a"})
-	d.take(1, 2)
-	if acts := d.end(1, "a", Timeout, time.Second, 0); !has(acts, Fail) || has(acts, Send) {
+	h := newHarness(t, settings(), Listing{Route: "a"})
+	h.accept(1, 2)
+	if acts := h.finish(1, "a", Timeout, time.Second, 0); !has(acts, Fail) || has(acts, Send) {
 		t.Errorf("an unsafe message that may have run: %+v", acts)
 	}
 }
 
-func TestDrainedRouteTakesNothing(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
-	acts := d.step(Event{Kind: ListChanges, List: []Listing{{Route: "a"}}},
+func TestDrainingRouteGetsNoCalls(t *testing.T) {
+	h := newHarness(t, settings(), Listing{Route: "a"})
+	acts := h.step(Event{Kind: ListChanges, List: []Listing{{Route: "a"}}},
 		Event{Kind: Taken, ID: 1, Left: 9 * time.Second})
 	if has(acts, Send) {
 		t.Errorf("sent to a draining route: %+v", acts)
 	}
 }
 
-func TestToldWaitHoldsTheGate(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"}, Listing{Route: "b"})
-	d.take(1, 0)
-	d.end(1, "a", Full, 10*ms, 700*ms)
-	if acts := d.take(2, 0); has(acts, Send) {
-		t.Errorf("sent during a wait: %+v", acts)
+func TestRetryAfterBlocksTheScope(t *testing.T) {
+	h := newHarness(t, settings(), Listing{Route: "a"}, Listing{Route: "b"})
+	h.accept(1, 0)
+	h.finish(1, "a", Full, 10*ms, 700*ms)
+	if acts := h.accept(2, 0); has(acts, Send) {
+		t.Errorf("sent before the retry-after ended: %+v", acts)
 	}
-	if acts := d.wake(699 * ms); has(acts, Send) {
-		t.Errorf("sent during a wait: %+v", acts)
+	if acts := h.advance(699 * ms); has(acts, Send) {
+		t.Errorf("sent before the retry-after ended: %+v", acts)
 	}
-	if acts := d.wake(2 * time.Second); !has(acts, Send) {
-		t.Error("nothing sent after the wait")
+	if acts := h.advance(2 * time.Second); !has(acts, Send) {
+		t.Error("nothing sent after the retry-after")
 	}
 }
 
-// A wait told to one message of a call whose others were delivered was once lost.
-func TestWaitOfAMixedCall(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 2})
-	d.step(Event{Kind: Taken, ID: 1, Left: 9 * time.Second}, Event{Kind: Taken, ID: 2, Left: 9 * time.Second})
-	d.step(Event{Kind: Finished, ID: 1, Route: "a", Outcome: OK, Ended: true},
+// A retry-after for one message of a call also applies if the other messages were delivered.
+func TestRetryAfterOfAPartlyDeliveredCall(t *testing.T) {
+	h := newHarness(t, settings(), Listing{Route: "a", Kind: 2})
+	h.step(Event{Kind: Taken, ID: 1, Left: 9 * time.Second}, Event{Kind: Taken, ID: 2, Left: 9 * time.Second})
+	h.step(Event{Kind: Finished, ID: 1, Route: "a", Outcome: OK, Ended: true},
 		Event{Kind: Finished, ID: 2, Route: "a", Outcome: Full, Wait: time.Second})
-	if got := d.s.routes["a"].gate.wait; got != d.now+time.Second {
-		t.Errorf("wait until %v, want %v", got, d.now+time.Second)
+	if got := h.s.routes["a"].scope.waitUntil; got != h.now+time.Second {
+		t.Errorf("blocked until %v, want %v", got, h.now+time.Second)
 	}
 }
 
-func TestRecoverySpacesCalls(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 1, Weight: 5})
-	r := d.s.routes["a"]
-	d.s.now = d.now
-	d.s.doubt(r)
-	r.gate.credit = 0
-	// 2/3 of what topples at the window's end, 2*0.36*5*2 calls, less half a call, in a window that lapses late.
-	rate := (toldShare*2*0.36*5*2 - 0.5) / (2 * (1 + lapseShare)) * (1 - ownPart)
-	if got, want := d.s.coldUntil(r), d.now+span(rate); got != want {
+func TestRecoveryBudgetSpacesCalls(t *testing.T) {
+	h := newHarness(t, settings(), Listing{Route: "a", Kind: 1, Weight: 5})
+	r := h.s.routes["a"]
+	h.s.now = h.now
+	h.s.suspect(r)
+	r.scope.credit = 0
+	// 2/3 of the overload at the window's end, 2*0.36*5*2 calls, less half a call, in a window longer by the credit expiry.
+	rate := (awareSenderRatio*2*0.36*5*2 - 0.5) / (2 * (1 + creditExpiryRatio)) * (1 - ownRatio)
+	if got, want := h.s.recoveryAt(r), h.now+interval(rate); got != want {
 		t.Errorf("next call at %v, want %v", got, want)
 	}
-	r.back, d.s.now = d.now, d.now+10*time.Second
-	if got := d.s.coldUntil(r); got != 0 || r.cold {
+	r.recoveredAt, h.s.now = h.now, h.now+10*time.Second
+	if got := h.s.recoveryAt(r); got != 0 || r.suspected {
 		t.Errorf("after the warm-up: next call at %v", got)
 	}
 }
 
-// Senders told to wait until a destination opens once all called as it did: their budget had filled meanwhile.
-func TestWaitSavesNoBudgetUp(t *testing.T) {
-	set := settings()
-	set.Senders = 400
-	open := 0
+// Senders that wait for the end of a retry-after must not accrue recovery credit meanwhile: all of them would call as
+// the destination returns.
+func TestRetryAfterAccruesNoRecoveryCredit(t *testing.T) {
+	cfg := settings()
+	cfg.Senders = 400
+	callers := 0
 	for seed := range uint64(400) {
-		s, err := New(set, seed)
+		s, err := New(cfg, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.Step(time.Minute, []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Weight: 400, InService: true}}}})
 		r := s.routes["a"]
-		r.gate.wait = s.now + 10*time.Second
-		s.learn(r, sample{outcome: Full, wait: 10 * time.Second, sent: s.now}, ms)
-		s.coldUntil(r)
-		if s.now = r.gate.wait; s.coldUntil(r) <= s.now {
-			open++
+		r.scope.waitUntil = s.now + 10*time.Second
+		s.observe(r, sample{outcome: Full, retryAfter: 10 * time.Second, sentAt: s.now}, ms)
+		s.recoveryAt(r)
+		if s.now = r.scope.waitUntil; s.recoveryAt(r) <= s.now {
+			callers++
 		}
 	}
-	if open > 4 {
-		t.Errorf("%d of 400 senders call at the end of the wait", open)
+	if callers > 4 {
+		t.Errorf("%d of 400 senders call at the end of the retry-after", callers)
 	}
 }
 
-// A sender of hundreds may see one failure of an outage: that is enough to doubt, and one delivery to clear.
-func TestSparseSenderDoubtsOnOneFailure(t *testing.T) {
+// One of hundreds of senders may see a single failure of an outage: it is enough to suspect the route, and one delivery
+// ends the suspicion.
+func TestSparseSenderSuspectsOnOneFailure(t *testing.T) {
 	for _, c := range []struct {
-		senders int
-		cold    bool
+		senders   int
+		suspected bool
 	}{{1, false}, {3, false}, {100, true}, {400, true}} {
-		set := settings()
-		set.Senders = c.senders
-		d := newDesk(t, set, Listing{Route: "a", Weight: 4})
-		r := d.s.routes["a"]
-		d.s.now = d.now
-		d.s.learn(r, sample{outcome: Timeout, sent: d.now}, time.Second)
-		if r.cold != c.cold {
-			t.Errorf("%d senders: in doubt %v after one failure", c.senders, r.cold)
+		cfg := settings()
+		cfg.Senders = c.senders
+		h := newHarness(t, cfg, Listing{Route: "a", Weight: 4})
+		r := h.s.routes["a"]
+		h.s.now = h.now
+		h.s.observe(r, sample{outcome: Timeout, sentAt: h.now}, time.Second)
+		if r.suspected != c.suspected {
+			t.Errorf("%d senders: suspected %v after one failure", c.senders, r.suspected)
 		}
-		d.s.learn(r, sample{outcome: OK, sent: d.now}, ms)
-		if r.cold {
-			t.Errorf("%d senders: in doubt after a delivery", c.senders)
+		h.s.observe(r, sample{outcome: OK, sentAt: h.now}, ms)
+		if r.suspected {
+			t.Errorf("%d senders: suspected after a delivery", c.senders)
 		}
 	}
 }
 
-// A shut destination was pushed over by hundreds of senders that it had refused twice each.
-func TestSparseSenderDoubtsOnTwoRefusals(t *testing.T) {
+// Otherwise hundreds of senders, refused twice each by a destination in an outage, overload it when it returns.
+func TestSparseSenderSuspectsOnTwoRefusals(t *testing.T) {
 	for _, c := range []struct {
 		senders   int
 		gap, wait time.Duration
-		cold      bool
+		suspected bool
 	}{
-		{20, shutSpan, 0, true},
-		{20, shutSpan - ms, 0, false},  // a clump: over by then
-		{20, shutSpan, 500 * ms, true}, // waits are told by shut destinations too
-		{10, shutSpan, 0, true},        // its part is more than a call in the span of a fall: a warm-up follows
-		{1, shutSpan, 0, false},
+		{20, minRefusalSpan, 0, true},
+		{20, minRefusalSpan - ms, 0, false},  // a burst: it has ended by then
+		{20, minRefusalSpan, 500 * ms, true}, // destinations in an outage send retry-after too
+		{10, minRefusalSpan, 0, true},        // its share is more than one call per overload window
+		{1, minRefusalSpan, 0, false},
 	} {
-		set := settings()
-		set.Senders = c.senders
-		d := newDesk(t, set, Listing{Route: "a", Weight: 4})
-		r := d.s.routes["a"]
-		d.s.now = d.now
-		d.s.learn(r, sample{outcome: Full, sent: d.now, wait: c.wait}, ms)
-		d.s.now += c.gap
-		d.s.learn(r, sample{outcome: Full, sent: d.s.now, wait: c.wait}, ms)
-		if r.cold != c.cold {
-			t.Errorf("%+v: in doubt %v", c, r.cold)
+		cfg := settings()
+		cfg.Senders = c.senders
+		h := newHarness(t, cfg, Listing{Route: "a", Weight: 4})
+		r := h.s.routes["a"]
+		h.s.now = h.now
+		h.s.observe(r, sample{outcome: Full, sentAt: h.now, retryAfter: c.wait}, ms)
+		h.s.now += c.gap
+		h.s.observe(r, sample{outcome: Full, sentAt: h.s.now, retryAfter: c.wait}, ms)
+		if r.suspected != c.suspected {
+			t.Errorf("%+v: suspected %v", c, r.suspected)
 		}
 	}
 }
 
-// Hundreds of senders refused once by a shut destination, or told by one failed connection of a crashed one,
-// pushed it over together as it came back. Most of them doubt now; where each sees more of a route, none does yet.
-func TestHintsCastDoubtByChance(t *testing.T) {
+// Hundreds of senders, each with one refusal or one failed connection in an outage, overload a destination together
+// when it returns. So most of them suspect the route; where each sender sees more of a route, none does yet.
+func TestOutageHintsRaiseSuspicionByChance(t *testing.T) {
 	for _, c := range []struct {
-		senders     int
-		outcome     Outcome
-		alive       bool
-		least, most int // in doubt, of 200
+		senders  int
+		outcome  Outcome
+		alive    bool
+		min, max int // suspected, of 200
 	}{
 		{400, Full, false, 100, 140},
 		{400, ConnectFailed, false, 100, 140},
-		{400, Full, true, 0, 0}, // it answered within the last seconds
+		{400, Full, true, 0, 0}, // it responded within the last seconds
 		{3, Full, false, 0, 0},
-		{20, Full, false, 0, 0}, // its part is more than a call in a warm-up
+		{20, Full, false, 0, 0}, // its share is more than one call per warm-up
 	} {
-		set := settings()
-		set.Senders = c.senders
+		cfg := settings()
+		cfg.Senders = c.senders
 		n := 0
 		for seed := range uint64(200) {
-			s, err := New(set, seed)
+			s, err := New(cfg, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			s.Step(time.Minute, []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Weight: 4, InService: true}}}})
 			r := s.routes["a"]
-			s.scarce[0] = s.now + time.Minute
+			s.scarceUntil[0] = s.now + time.Minute
 			if c.alive {
-				s.delivered(r, s.now, ms)
+				s.recordDelivery(r, s.now, ms)
 			}
-			s.learn(r, sample{outcome: c.outcome, sent: s.now}, ms)
-			if r.cold {
+			s.observe(r, sample{outcome: c.outcome, sentAt: s.now}, ms)
+			if r.suspected {
 				n++
 			}
 		}
-		if n < c.least || n > c.most {
-			t.Errorf("%+v: %d of 200 in doubt", c, n)
+		if n < c.min || n > c.max {
+			t.Errorf("%+v: %d of 200 suspected", c, n)
 		}
 	}
 }
 
-// Short-lived messages once had two tries of half their time each, both cut off before the answer.
-func TestShortTimeGoesToOneTry(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
+// Two attempts with half of a short time each would both time out before the response.
+func TestShortDeadlineAllowsOneAttempt(t *testing.T) {
+	h := newHarness(t, settings(), Listing{Route: "a"})
 	for _, c := range []struct{ left, want time.Duration }{
-		{1200 * ms, 1200*ms - endMargin},
-		{8 * time.Second, 1600 * ms}, // what an answer not measured yet may take
+		{1200 * ms, 1200*ms - deadlineMargin},
+		{8 * time.Second, 1600 * ms}, // expected response time without a measurement
 	} {
-		acts := d.step(Event{Kind: Taken, ID: uint32(c.left), Left: c.left})
-		if len(acts) != 1 || acts[0].Kind != Send || acts[0].At-d.now != c.want {
-			t.Errorf("%v left: %+v, want one try cut after %v", c.left, acts, c.want)
+		acts := h.step(Event{Kind: Taken, ID: uint32(c.left), Left: c.left})
+		if len(acts) != 1 || acts[0].Kind != Send || acts[0].At-h.now != c.want {
+			t.Errorf("%v left: %+v, want one attempt with a timeout of %v", c.left, acts, c.want)
 		}
 	}
 }
 
-// Messages once waited to their deadlines at destinations that would open after them.
-func TestWhatWaitsForNothingIsRefused(t *testing.T) {
-	set := settings()
-	set.Senders = 400
-	d := newDesk(t, set, Listing{Route: "a", Weight: 4})
-	r := d.s.routes["a"]
-	d.s.now = d.now
-	d.s.doubt(r)
-	r.gate.credit = 0
-	if acts := d.take(1, 0); !has(acts, Refuse) {
-		t.Errorf("opens in %v: %+v, want a refusal", d.s.coldUntil(r)-d.now, acts)
+// A message must not wait to its deadline at a destination that is blocked for longer.
+func TestMessageThatCannotBeSentInTimeIsRefused(t *testing.T) {
+	cfg := settings()
+	cfg.Senders = 400
+	h := newHarness(t, cfg, Listing{Route: "a", Weight: 4})
+	r := h.s.routes["a"]
+	h.s.now = h.now
+	h.s.suspect(r)
+	r.scope.credit = 0
+	if acts := h.accept(1, 0); !has(acts, Refuse) {
+		t.Errorf("blocked for %v: %+v, want a refusal", h.s.recoveryAt(r)-h.now, acts)
 	}
-	if acts := d.take(2, 2); has(acts, Refuse) != d.s.mayRefuse(&message{class: &set.Classes[2]}) {
+	if acts := h.accept(2, 2); has(acts, Refuse) != h.s.mayRefuse(&message{class: &cfg.Classes[2]}) {
 		t.Errorf("unsafe, nothing sent: %+v", acts)
 	}
-	r.gate.credit = 1 - d.s.coldRate(r) // opens in a second
-	d.s.touch(r.gate.dest)
-	if acts := d.take(3, 0); has(acts, Refuse) {
-		t.Errorf("opens in a second: %+v, want it held", acts)
+	r.scope.credit = 1 - h.s.recoveryRate(r) // blocked for a second
+	h.s.recheck(r.scope.dest)
+	if acts := h.accept(3, 0); has(acts, Refuse) {
+		t.Errorf("blocked for a second: %+v, want it held", acts)
 	}
 }
 
-// Calls saved up by hundreds of senders through a long outage once went out together at its end.
-func TestDueCallsLapse(t *testing.T) {
-	set := settings()
-	d := newDesk(t, set, Listing{Route: "a", Kind: 1, Weight: 4})
-	r := d.s.routes["a"]
-	d.s.now = d.now
-	d.s.doubt(r)
-	r.gate.credit = 0
-	rate := d.s.coldRate(r)
-	open := 0
+// Otherwise credit that hundreds of senders accrue during a long outage is spent in one burst at its end.
+func TestUnusedRecoveryCreditExpires(t *testing.T) {
+	cfg := settings()
+	h := newHarness(t, cfg, Listing{Route: "a", Kind: 1, Weight: 4})
+	r := h.s.routes["a"]
+	h.s.now = h.now
+	h.s.suspect(r)
+	r.scope.credit = 0
+	rate := h.s.recoveryRate(r)
+	allowed := 0
 	const steps = 10000
 	for range steps {
-		d.s.now += 10 * ms
-		if d.s.coldUntil(r) <= d.s.now {
-			open++
+		h.s.now += 10 * ms
+		if h.s.recoveryAt(r) <= h.s.now {
+			allowed++
 		}
 	}
-	want := rate * lapseShare * set.OverloadWindow.Seconds()
-	if got := float64(open) / steps; math.Abs(got-want) > 0.1*want {
-		t.Errorf("a call is due %.3f of the time, want %.3f", got, want)
+	want := rate * creditExpiryRatio * cfg.OverloadWindow.Seconds()
+	if got := float64(allowed) / steps; math.Abs(got-want) > 0.1*want {
+		t.Errorf("a call is allowed %.3f of the time, want %.3f", got, want)
 	}
 }
 
-// A wake that came a fraction early was taken as still to come, and the message it was for had no answer.
-func TestEarlyWakeIsAskedForAgain(t *testing.T) {
-	d := newDesk(t, settings())
-	d.take(1, 0)
-	d.now += 1500 * ms
-	at := d.now
-	d.s.wake(at + 500*time.Nanosecond)
-	d.s.wakeAt, d.s.wantWake = d.s.wantWake, 0
-	acts := d.s.Step(at, []Event{{Kind: Woken}})
+// After a wake that comes a fraction early, the Sender requests another one: else the message it was for gets no
+// answer.
+func TestEarlyWakeIsRequestedAgain(t *testing.T) {
+	h := newHarness(t, settings())
+	h.accept(1, 0)
+	h.now += 1500 * ms
+	at := h.now
+	h.s.requestWake(at + 500*time.Nanosecond)
+	h.s.scheduledWake, h.s.nextWake = h.s.nextWake, 0
+	acts := h.s.Step(at, []Event{{Kind: Woken}})
 	if !has(acts, Wake) {
-		t.Errorf("no wake asked for: %+v", acts)
+		t.Errorf("no wake requested: %+v", acts)
 	}
 }
 
-// Idle connections of hundreds of senders once filled the tables of destinations.
+// Idle connections of hundreds of senders fill the connection tables of destinations.
 func TestScarceConnectionsAreClosedAfterUse(t *testing.T) {
 	for _, c := range []struct {
 		senders int
 		want    bool
-	}{{fewSenders, false}, {100, true}} {
-		set := settings()
-		set.Senders = c.senders
-		d := newDesk(t, set, Listing{Route: "a"}, Listing{Route: "b", Destination: 1})
-		d.take(1, 0)
-		d.end(1, "a", ConnectFailed, 10*ms, 0)
-		d.step(Event{Kind: Taken, ID: 2, Destination: 1, Left: 9 * time.Second})
-		if got := has(d.end(2, "b", OK, 10*ms, 0), CloseIdle); got != c.want {
+	}{{smallFleet, false}, {100, true}} {
+		cfg := settings()
+		cfg.Senders = c.senders
+		h := newHarness(t, cfg, Listing{Route: "a"}, Listing{Route: "b", Destination: 1})
+		h.accept(1, 0)
+		h.finish(1, "a", ConnectFailed, 10*ms, 0)
+		h.step(Event{Kind: Taken, ID: 2, Destination: 1, Left: 9 * time.Second})
+		if got := has(h.finish(2, "b", OK, 10*ms, 0), CloseIdle); got != c.want {
 			t.Errorf("%d senders: closed %v after a failed connection of the kind", c.senders, got)
 		}
 	}
 }
 
-// A sender that uses a connection for some hundredths of the time must not hold it for the rest: 80 idle ones
-// once left no room in tables made for 16, and three of eight calls were turned away at the door.
-func TestManySendersHoldNoIdleConnectionForSingles(t *testing.T) {
+// A sender that uses a connection for a few percent of the time must not keep it open: 80 idle connections fill tables
+// of 16 entries, so that three of eight calls fail to connect.
+func TestLargeFleetKeepsNoIdleConnectionsForUnbatchedCalls(t *testing.T) {
 	for _, c := range []struct {
 		senders, kind int
 		want          bool
 	}{{3, 0, false}, {3, 2, false}, {80, 0, true}, {80, 2, false}} {
-		set := settings()
-		set.Senders = c.senders
-		d := newDesk(t, set, Listing{Route: "a", Kind: c.kind})
-		d.take(1, 0)
-		if got := has(d.end(1, "a", OK, 100*ms, 0), CloseIdle); got != c.want {
+		cfg := settings()
+		cfg.Senders = c.senders
+		h := newHarness(t, cfg, Listing{Route: "a", Kind: c.kind})
+		h.accept(1, 0)
+		if got := has(h.finish(1, "a", OK, 100*ms, 0), CloseIdle); got != c.want {
 			t.Errorf("%d senders, kind %d: closed after use %v", c.senders, c.kind, got)
 		}
 	}
 }
 
-// Two failed connections at a full table once put a destination in doubt for its whole warm-up.
+// Two failed connections at a full table must not make a destination suspected for its whole warm-up.
 func TestFullTableIsNoOutage(t *testing.T) {
 	for _, c := range []struct {
 		senders, fails int
 		took           time.Duration
-		cold           bool
+		suspected      bool
 	}{
-		{20, 2, 10 * ms, false},             // a full table
-		{100, tightMost + 3, 10 * ms, true}, // an outage after all
-		{100, 3, time.Second, true},         // not at once: silence
-		{3, 3, 10 * ms, true},               // few senders fill no table
+		{20, 2, 10 * ms, false},                   // a full table
+		{100, maxTableFullRun + 3, 10 * ms, true}, // an outage after all
+		{100, 3, time.Second, true},               // not at once: no response
+		{3, 3, 10 * ms, true},                     // a small fleet fills no table
 	} {
-		set := settings()
-		set.Senders = c.senders
-		d := newDesk(t, set, Listing{Route: "a", Weight: 4}, Listing{Route: "b", Weight: 4})
-		d.s.now = d.now
-		d.s.scarce[0] = d.now + time.Minute
+		cfg := settings()
+		cfg.Senders = c.senders
+		h := newHarness(t, cfg, Listing{Route: "a", Weight: 4}, Listing{Route: "b", Weight: 4})
+		h.s.now = h.now
+		h.s.scarceUntil[0] = h.now + time.Minute
 		for range c.fails {
-			d.s.learn(d.s.routes["a"], sample{outcome: ConnectFailed, sent: d.now - c.took}, c.took)
+			h.s.observe(h.s.routes["a"], sample{outcome: ConnectFailed, sentAt: h.now - c.took}, c.took)
 		}
-		if got := d.s.routes["a"].cold; got != c.cold {
-			t.Errorf("%+v: in doubt %v", c, got)
+		if got := h.s.routes["a"].suspected; got != c.suspected {
+			t.Errorf("%+v: suspected %v", c, got)
 		}
 	}
 }
 
-// At a call in some seconds a pace once recovered thirty times slower than at ten a second.
-func TestPaceRecoversWithTime(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 1})
-	g := d.s.routes["a"].gate
-	g.pace, g.halvedAt, g.tokensAt = 0.1, d.now, d.now
-	d.s.now = d.now + 4*time.Second
-	d.s.creep(g)
-	if want := 0.1 * math.Pow(1+paceCreep, 4); math.Abs(g.pace-want) > 1e-9 {
-		t.Errorf("pace %v after a success in 4 s, want %v", g.pace, want)
+// A pacing rate of one call in some seconds must not recover thirty times slower than one of ten a second.
+func TestPacingRateGrowsWithTime(t *testing.T) {
+	h := newHarness(t, settings(), Listing{Route: "a", Kind: 1})
+	sc := h.s.routes["a"].scope
+	sc.pacingRate, sc.halvedAt, sc.tokensAt = 0.1, h.now, h.now
+	h.s.now = h.now + 4*time.Second
+	h.s.growRate(sc)
+	if want := 0.1 * math.Pow(1+rateGrowth, 4); math.Abs(sc.pacingRate-want) > 1e-9 {
+		t.Errorf("pacing rate %v after a success in 4 s, want %v", sc.pacingRate, want)
 	}
 }
 
-// A replacement listed during an outage was once sent to at full pace.
-func TestReplacementInheritsDoubt(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
+// A replacement that is listed during an outage must not be called at the full rate.
+func TestReplacementRouteInheritsSuspicion(t *testing.T) {
+	h := newHarness(t, settings(), Listing{Route: "a"})
 	for id := range uint32(3) {
-		d.take(id, 0)
-		d.end(id, "a", ConnectFailed, time.Second, 0)
-		d.step(Event{Kind: Withdrawn, ID: id})
+		h.accept(id, 0)
+		h.finish(id, "a", ConnectFailed, time.Second, 0)
+		h.step(Event{Kind: Withdrawn, ID: id})
 	}
-	d.step(Event{Kind: ListChanges, List: []Listing{{Route: "a", Gone: true}, {Route: "n", InService: true}}})
-	if d.s.coldUntil(d.s.routes["n"]) == 0 {
+	h.step(Event{Kind: ListChanges, List: []Listing{{Route: "a", Gone: true}, {Route: "n", InService: true}}})
+	if h.s.recoveryAt(h.s.routes["n"]) == 0 {
 		t.Error("the replacement of a failing route is not under the recovery budget")
 	}
 }
 
-func TestKeyTakesTurnsAndRests(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
-	d.step(Event{Kind: Taken, ID: 1, Key: "k", Class: 2, Left: 9 * time.Second},
+func TestKeyIsSentInOrderAndPauses(t *testing.T) {
+	h := newHarness(t, settings(), Listing{Route: "a"})
+	h.step(Event{Kind: Taken, ID: 1, Key: "k", Class: 2, Left: 9 * time.Second},
 		Event{Kind: Taken, ID: 2, Key: "k", Class: 2, Left: 9 * time.Second})
-	if acts := d.end(1, "a", Timeout, time.Second, 0); has(acts, Send) {
-		t.Errorf("sent while the key rests: %+v", acts)
+	if acts := h.finish(1, "a", Timeout, time.Second, 0); has(acts, Send) {
+		t.Errorf("sent while the key is paused: %+v", acts)
 	}
-	if acts := d.wake(99 * ms); has(acts, Send) {
-		t.Errorf("sent while the key rests: %+v", acts)
+	if acts := h.advance(99 * ms); has(acts, Send) {
+		t.Errorf("sent while the key is paused: %+v", acts)
 	}
-	if acts := d.wake(ms); !has(acts, Send) {
-		t.Error("the next message of the key was not sent after the rest")
+	if acts := h.advance(ms); !has(acts, Send) {
+		t.Error("the next message of the key was not sent after the pause")
 	}
 }
 
-// Time-outs of calls that later ones overtook once skipped routes that lost single calls.
-func TestLostCallIsNoEvidence(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
-	r := d.s.routes["a"]
-	d.s.now = d.now
-	d.s.learn(r, sample{outcome: OK, sent: d.now}, ms)
+// Timeouts of single lost calls must not skip a route that responded to later calls.
+func TestOvertakenTimeoutIsNoEvidence(t *testing.T) {
+	h := newHarness(t, settings(), Listing{Route: "a"})
+	r := h.s.routes["a"]
+	h.s.now = h.now
+	h.s.observe(r, sample{outcome: OK, sentAt: h.now}, ms)
 	for range 5 {
-		d.s.learn(r, sample{outcome: Timeout, sent: d.now - time.Second}, time.Second)
+		h.s.observe(r, sample{outcome: Timeout, sentAt: h.now - time.Second}, time.Second)
 	}
-	if r.down || r.cold || r.streak != 0 {
-		t.Errorf("down %v, cold %v, streak %d after lost calls", r.down, r.cold, r.streak)
+	if r.skipped || r.suspected || r.failures != 0 {
+		t.Errorf("skipped %v, suspected %v, %d failures after lost calls", r.skipped, r.suspected, r.failures)
 	}
 }
 
-// Scattered resets once put living routes under the recovery budget.
-func TestResetAtALivingRouteIsNoEvidence(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
-	r := d.s.routes["a"]
-	d.s.now = d.now
-	d.s.learn(r, sample{outcome: OK, sent: d.now}, ms)
-	d.s.learn(r, sample{outcome: Reset, sent: d.now + 1}, ms)
-	d.s.learn(r, sample{outcome: Reset, sent: d.now + 1}, ms)
-	if r.cold {
-		t.Error("in doubt after two resets within 3 s of an answer")
+// Occasional resets must not put a responding route under the recovery budget.
+func TestResetAtARespondingRouteIsNoEvidence(t *testing.T) {
+	h := newHarness(t, settings(), Listing{Route: "a"})
+	r := h.s.routes["a"]
+	h.s.now = h.now
+	h.s.observe(r, sample{outcome: OK, sentAt: h.now}, ms)
+	h.s.observe(r, sample{outcome: Reset, sentAt: h.now + 1}, ms)
+	h.s.observe(r, sample{outcome: Reset, sentAt: h.now + 1}, ms)
+	if r.suspected {
+		t.Error("suspected after two resets within 3 s of a response")
 	}
-	d.s.now += aliveSpan
+	h.s.now += aliveTime
 	for range 3 {
-		d.s.learn(r, sample{outcome: Reset, sent: d.now + 1}, ms)
+		h.s.observe(r, sample{outcome: Reset, sentAt: h.now + 1}, ms)
 	}
-	if !r.down {
-		t.Error("not skipped after three resets in a row and no answer for 3 s")
+	if !r.skipped {
+		t.Error("not skipped after three consecutive resets and no response for 3 s")
 	}
 }
 
-// Under loss without resets, each time-out once restarted the warm-up of a route that went on answering.
-func TestTimeOutsBetweenAnswersKeepTheWarmUp(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
-	r := d.s.routes["a"]
-	d.s.now = d.now
-	d.s.doubt(r)
-	d.s.learn(r, sample{outcome: OK, sent: d.now}, ms)
-	back := r.back
+// Under loss without resets, timeouts must not restart the warm-up of a route that goes on responding.
+func TestTimeoutsBetweenResponsesKeepTheWarmUp(t *testing.T) {
+	h := newHarness(t, settings(), Listing{Route: "a"})
+	r := h.s.routes["a"]
+	h.s.now = h.now
+	h.s.suspect(r)
+	h.s.observe(r, sample{outcome: OK, sentAt: h.now}, ms)
+	recoveredAt := r.recoveredAt
 	for range 6 {
-		d.s.now += time.Second
-		d.s.learn(r, sample{outcome: Timeout, sent: d.s.now - ms}, time.Second)
-		d.s.learn(r, sample{outcome: OK, sent: d.s.now}, ms)
+		h.s.now += time.Second
+		h.s.observe(r, sample{outcome: Timeout, sentAt: h.s.now - ms}, time.Second)
+		h.s.observe(r, sample{outcome: OK, sentAt: h.s.now}, ms)
 	}
-	if back == 0 || r.back != back || r.down {
-		t.Errorf("back at %v, then %v, down %v", back, r.back, r.down)
+	if recoveredAt == 0 || r.recoveredAt != recoveredAt || r.skipped {
+		t.Errorf("recovered at %v, then %v, skipped %v", recoveredAt, r.recoveredAt, r.skipped)
 	}
-	d.s.now += time.Second
+	h.s.now += time.Second
 	for range 2 {
-		d.s.learn(r, sample{outcome: Timeout, sent: d.s.now}, time.Second)
+		h.s.observe(r, sample{outcome: Timeout, sentAt: h.s.now}, time.Second)
 	}
-	if r.back != 0 {
-		t.Error("two time-outs in a row did not restart the warm-up")
+	if r.recoveredAt != 0 {
+		t.Error("two consecutive timeouts did not restart the warm-up")
 	}
 }
 
-// Calls cut off after milliseconds once kept recovered routes skipped.
-func TestShortCallSkipsNothing(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
-	r := d.s.routes["a"]
-	d.s.now = d.now
+// Calls that their deadlines cut short after milliseconds must not keep a recovered route skipped.
+func TestCallCutShortSkipsNoRoute(t *testing.T) {
+	h := newHarness(t, settings(), Listing{Route: "a"})
+	r := h.s.routes["a"]
+	h.s.now = h.now
 	for range 5 {
-		d.s.learn(r, sample{outcome: Timeout, sent: d.now, short: true}, ms)
+		h.s.observe(r, sample{outcome: Timeout, sentAt: h.now, cutShort: true}, ms)
 	}
-	if r.down || !r.cold {
-		t.Errorf("down %v, cold %v after short calls", r.down, r.cold)
+	if r.skipped || !r.suspected {
+		t.Errorf("skipped %v, suspected %v after calls cut short", r.skipped, r.suspected)
 	}
 }
 
-// Calls of a route whose last call failed carry one message: ten once shared each failed trial.
-func TestBatches(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 2})
-	three := func(first uint32) int {
+// After a failure, calls to a route carry one message each, so that a failed trial does not affect ten messages.
+func TestBatchesOnlyWithoutFailures(t *testing.T) {
+	h := newHarness(t, settings(), Listing{Route: "a", Kind: 2})
+	sendThree := func(first uint32) int {
 		var evs []Event
 		for i := range uint32(3) {
 			evs = append(evs, Event{Kind: Taken, ID: first + i, Left: 9 * time.Second})
 		}
-		before := len(d.s.routes["a"].calls)
-		d.step(evs...)
-		return len(d.s.routes["a"].calls) - before
+		before := len(h.s.routes["a"].calls)
+		h.step(evs...)
+		return len(h.s.routes["a"].calls) - before
 	}
-	if n := three(1); n != 1 {
+	if n := sendThree(1); n != 1 {
 		t.Errorf("three messages in %d calls, want 1", n)
 	}
-	d.s.routes["a"].streak = 1
-	if n := three(4); n != 3 {
+	h.s.routes["a"].failures = 1
+	if n := sendThree(4); n != 3 {
 		t.Errorf("three messages in %d calls after a failure, want 3", n)
 	}
 }
 
 func TestOverdueCallsKeepSlotsFree(t *testing.T) {
-	set := settings()
-	set.Slots = 8
-	d := newDesk(t, set, Listing{Route: "a", Kind: 1})
-	d.take(1, 0)
-	d.take(2, 0)
-	d.now += 5 * time.Second
-	if acts := d.take(3, 0); has(acts, Send) {
+	cfg := settings()
+	cfg.Slots = 8
+	h := newHarness(t, cfg, Listing{Route: "a", Kind: 1})
+	h.accept(1, 0)
+	h.accept(2, 0)
+	h.now += 5 * time.Second
+	if acts := h.accept(3, 0); has(acts, Send) {
 		t.Errorf("a third call to a silent route: %+v", acts)
 	}
 }
 
-// One destination that takes nothing does not fill the room: from some length of its queue on its messages are turned away as
-// they come, those beyond a customer's share sooner, and others find room. Nobody who was taken on is pushed out.
-func TestAQueueLeavesRoomForOthers(t *testing.T) {
-	set := settings()
-	set.MaxHeld, set.Customers = 50, []Customer{{Name: "a"}, {Name: "b", Quota: 0.01}}
-	d := newDesk(t, set)
+// A destination that accepts nothing must not fill the capacity: above some queue length its new messages are refused,
+// those beyond a customer's share sooner, and other destinations have capacity left. No accepted message is evicted.
+func TestQueueLeavesCapacityForOthers(t *testing.T) {
+	cfg := settings()
+	cfg.MaxHeld, cfg.Customers = 50, []Customer{{Name: "a"}, {Name: "b", Quota: 0.01}}
+	h := newHarness(t, cfg)
 	id, refused := uint32(0), 0
-	hand := func(dest, customer int) bool {
+	submit := func(dest, customer int) bool {
 		t.Helper()
 		id++
-		acts := d.step(Event{Kind: Taken, ID: id, Destination: dest, Customer: customer, Left: 60 * time.Second})
+		acts := h.step(Event{Kind: Taken, ID: id, Destination: dest, Customer: customer, Left: 60 * time.Second})
 		if len(acts) == 0 {
 			return true
 		}
 		if len(acts) > 1 || acts[0].Kind != Refuse || acts[0].ID != id {
-			t.Fatalf("message %d was taken on, and pushed out for %d", acts[0].ID, id)
+			t.Fatalf("message %d was accepted, and evicted for %d", acts[0].ID, id)
 		}
 		refused++
 		return false
 	}
 	fill := func(dest, customer int) (n int) {
-		for hand(dest, customer) {
+		for submit(dest, customer) {
 			n++
 		}
 		return n
 	}
 	if n := fill(1, 0); n != 30 {
-		t.Errorf("the first queue has %d of 50, want three fifths", n)
+		t.Errorf("the first queue holds %d of 50, want three fifths", n)
 	}
 	if n := fill(2, 1); n > 8 {
-		t.Errorf("%d beyond their customer's share were taken on", n)
+		t.Errorf("%d beyond their customer's share were accepted", n)
 	}
-	if n := fill(3, 0); n == 0 || d.s.held >= set.MaxHeld {
-		t.Errorf("a third queue got %d, %d are held of %d", n, d.s.held, set.MaxHeld)
+	if n := fill(3, 0); n == 0 || h.s.held >= cfg.MaxHeld {
+		t.Errorf("the third queue holds %d; %d of %d are held", n, h.s.held, cfg.MaxHeld)
 	}
-	if !hand(4, 0) {
-		t.Error("no room for a destination with an empty queue")
+	if !submit(4, 0) {
+		t.Error("no capacity for a destination with an empty queue")
 	}
 	if refused != 3 {
 		t.Errorf("%d were refused, want one of each queue", refused)
 	}
 }
 
-func TestLateMessagesGoAfterThoseInTime(t *testing.T) {
-	d := newDesk(t, settings())
-	d.take(1, 0)
-	d.wake(3 * time.Second)
-	d.take(2, 0)
-	acts := d.step(Event{Kind: ListChanges, List: []Listing{{Route: "a", InService: true}}})
+func TestLateMessagesAreSentAfterThoseWithinTarget(t *testing.T) {
+	h := newHarness(t, settings())
+	h.accept(1, 0)
+	h.advance(3 * time.Second)
+	h.accept(2, 0)
+	acts := h.step(Event{Kind: ListChanges, List: []Listing{{Route: "a", InService: true}}})
 	if len(acts) != 2 || acts[0].ID != 2 || acts[1].ID != 1 {
 		t.Errorf("order of sends: %+v", acts)
 	}
 }
 
-func TestNewRefusesSettingsWithoutSense(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+func TestNewRejectsInvalidSettings(t *testing.T) {
+	for name, invalidate := range map[string]func(*Settings){
 		"no class":       func(s *Settings) { s.Classes = nil },
 		"negative slots": func(s *Settings) { s.Slots = -1 },
 		"negative aim":   func(s *Settings) { s.Classes[0].Aim = -1 },
 		"negative pause": func(s *Settings) { s.OrderPause = -1 },
-		"no number":      func(s *Settings) { s.ColdShare = math.NaN() },
-		"endless value":  func(s *Settings) { s.Classes[0].Value = math.Inf(1) },
+		"not a number":   func(s *Settings) { s.ColdShare = math.NaN() },
+		"infinite value": func(s *Settings) { s.Classes[0].Value = math.Inf(1) },
 	} {
-		set := settings()
-		spoil(&set)
-		if _, err := New(set, 1); err == nil {
-			t.Errorf("%s: taken", name)
+		cfg := settings()
+		invalidate(&cfg)
+		if _, err := New(cfg, 1); err == nil {
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// A message of no known class ends once, under the strictest rules; a weight that is no number tells nothing.
+// A message of an unknown class is handled by the strictest terms; a weight that is not a number is ignored.
 func TestUnknownClassAndWeight(t *testing.T) {
 	for _, class := range []int{-1, 99} {
-		d := newDesk(t, settings(), Listing{Route: "a", Weight: math.NaN()}, Listing{Route: "b", Kind: 77})
-		if got := goesTo(d.take(1, class)); got == "" {
+		h := newHarness(t, settings(), Listing{Route: "a", Weight: math.NaN()}, Listing{Route: "b", Kind: 77})
+		if got := sentTo(h.accept(1, class)); got == "" {
 			t.Fatalf("class %d: not sent", class)
 		}
-		if acts := d.end(1, "a", Timeout, time.Second, 0); !has(acts, Fail) || has(acts, Send) {
-			t.Errorf("class %d: %+v after a time-out", class, acts)
+		if acts := h.finish(1, "a", Timeout, time.Second, 0); !has(acts, Fail) || has(acts, Send) {
+			t.Errorf("class %d: %+v after a timeout", class, acts)
 		}
 	}
 }
 
-func TestSpanIsBounded(t *testing.T) {
-	if span(0) != time.Hour || span(1e-9) != time.Hour || span(math.Inf(1)) != 0 || span(4) != 250*ms {
-		t.Errorf("spans %v %v %v", span(0), span(1e-9), span(4))
+func TestIntervalIsBounded(t *testing.T) {
+	if interval(0) != time.Hour || interval(1e-9) != time.Hour || interval(math.Inf(1)) != 0 || interval(4) != 250*ms {
+		t.Errorf("intervals %v %v %v", interval(0), interval(1e-9), interval(4))
 	}
 }
 
-// Turns were once kept for good when their rest outlasted their last message, and destinations always.
-func TestNothingIsHeldForWhatHasGone(t *testing.T) {
-	set := settings()
-	set.Slots, set.MaxHeld = 50, 100
-	d := newDesk(t, set)
+// Key queues whose pause outlasts their last message, and destinations without routes, must not be kept for good.
+func TestRemovedDestinationsLeaveNoRecords(t *testing.T) {
+	cfg := settings()
+	cfg.Slots, cfg.MaxHeld = 50, 100
+	h := newHarness(t, cfg)
 	for i := range 300 {
 		id, name := uint32(i), fmt.Sprint("r", i)
-		d.step(Event{Kind: ListChanges, List: []Listing{{Route: name, Destination: i, InService: true}}})
-		d.step(Event{Kind: Taken, ID: id, Key: name, Class: 2, Destination: i, Left: 9 * time.Second})
-		d.end(id, name, Timeout, time.Second, 0)
-		d.step(Event{Kind: ListChanges, List: []Listing{{Route: name, Destination: i, Gone: true}}})
-	}
-	d.now += time.Minute
-	d.step(Event{Kind: Woken}, Event{Kind: ListChanges})
-	s := d.s
-	if n := len(s.turns) + len(s.dests) + len(s.order) + len(s.routes) + len(s.msgs) + len(s.active) + len(s.bare); n != 0 {
-		t.Errorf("held: %d turns, %d destinations (%d in order), %d routes, %d messages, %d active, %d bare",
-			len(s.turns), len(s.dests), len(s.order), len(s.routes), len(s.msgs), len(s.active), len(s.bare))
-	}
-}
-
-// Destinations with nothing to do are not looked at: the next dispatch once walked them all.
-func TestOnlyTouchedDestinationsAreLookedAt(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"}, Listing{Route: "b", Destination: 1})
-	d.take(1, 0)
-	d.end(1, "a", Full, ms, 5*time.Second)
-	if len(d.s.active) != 1 || d.s.active[0].opens <= d.now {
-		t.Fatalf("active %d, want the one destination that waits, closed", len(d.s.active))
-	}
-	opens := d.s.active[0].opens
-	d.step(Event{Kind: Taken, ID: 2, Destination: 1, Left: 9 * time.Second})
-	if len(d.s.active) != 1 || d.s.active[0].opens != opens {
-		t.Error("a message for another destination had the closed one looked at again")
-	}
-}
-
-// Calls that got no answer once held their slots for an aim or two, whatever a route's answers took: a time-out
-// follows the answers, and what is bound to a repeat window ends inside it.
-func TestTimeOutsFollowTheAnswers(t *testing.T) {
-	const usual = 60 * ms
-	set := settings()
-	set.Classes[1].DedupWindow = 3 * time.Second
-	for i := range set.Classes {
-		set.Classes[i].Aim, set.Classes[i].GiveUp = 4*time.Second, 12*time.Second
-	}
-	for class, c := range set.Classes {
-		d := newDesk(t, set, Listing{Route: "a"})
+		h.step(Event{Kind: ListChanges, List: []Listing{{Route: name, Destination: i, InService: true}}})
+		h.step(Event{Kind: Taken, ID: id, Key: name, Class: 2, Destination: i, Left: 9 * time.Second})
+		h.finish(id, name, Timeout, time.Second, 0)
+		h.step(Event{Kind: ListChanges, List: []Listing{{Route: name, Destination: i, Gone: true}}})
+	}
+	h.now += time.Minute
+	h.step(Event{Kind: Woken}, Event{Kind: ListChanges})
+	s := h.s
+	if n := len(s.keyQueues) + len(s.dests) + len(s.destList) + len(s.routes) + len(s.msgs) + len(s.active) + len(s.routeless); n != 0 {
+		t.Errorf("held: %d key queues, %d destinations (%d listed), %d routes, %d messages, %d active, %d without routes",
+			len(s.keyQueues), len(s.dests), len(s.destList), len(s.routes), len(s.msgs), len(s.active), len(s.routeless))
+	}
+}
+
+// A dispatch examines only destinations that are not blocked or that an event concerned.
+func TestBlockedDestinationsAreNotScanned(t *testing.T) {
+	h := newHarness(t, settings(), Listing{Route: "a"}, Listing{Route: "b", Destination: 1})
+	h.accept(1, 0)
+	h.finish(1, "a", Full, ms, 5*time.Second)
+	if len(h.s.active) != 1 || h.s.active[0].blockedUntil <= h.now {
+		t.Fatalf("active %d, want only the waiting destination, blocked", len(h.s.active))
+	}
+	blockedUntil := h.s.active[0].blockedUntil
+	h.step(Event{Kind: Taken, ID: 2, Destination: 1, Left: 9 * time.Second})
+	if len(h.s.active) != 1 || h.s.active[0].blockedUntil != blockedUntil {
+		t.Error("a message for another destination caused a recheck of the blocked one")
+	}
+}
+
+// Calls with no response must not hold their slots for a target time or two whatever the response times of the route:
+// the timeout follows these, and for keyed messages it ends inside the deduplication window.
+func TestTimeoutsFollowResponseTimes(t *testing.T) {
+	const responseTime = 60 * ms
+	cfg := settings()
+	cfg.Classes[1].DedupWindow = 3 * time.Second
+	for i := range cfg.Classes {
+		cfg.Classes[i].Aim, cfg.Classes[i].GiveUp = 4*time.Second, 12*time.Second
+	}
+	for class, c := range cfg.Classes {
+		h := newHarness(t, cfg, Listing{Route: "a"})
 		for id := range uint32(20) {
-			d.take(id, 0)
-			d.end(id, "a", OK, usual, 0)
+			h.accept(id, 0)
+			h.finish(id, "a", OK, responseTime, 0)
 		}
-		acts := d.take(100, class)
+		acts := h.accept(100, class)
 		if len(acts) != 1 || acts[0].Kind != Send {
 			t.Fatalf("class %d: %+v", class, acts)
 		}
-		if cut := acts[0].At - d.now; cut > 2*leastExpect || cut < 10*usual {
-			t.Errorf("class %d: answers take %v, cut after %v", class, usual, cut)
-		} else if c.Effect == Keyed && cut >= c.DedupWindow {
-			t.Errorf("class %d: cut after %v, no repeat is left in %v", class, cut, c.DedupWindow)
+		if timeout := acts[0].At - h.now; timeout > 2*minExpectedTime || timeout < 10*responseTime {
+			t.Errorf("class %d: responses take %v, timeout after %v", class, responseTime, timeout)
+		} else if c.Effect == Keyed && timeout >= c.DedupWindow {
+			t.Errorf("class %d: timeout after %v, no repeat is left in %v", class, timeout, c.DedupWindow)
 		}
 	}
 }
 
-// A route whose answers have always taken long may turn as slow as before: half the aim, or all of it.
-func TestLongAnswersKeepTheirTimeOut(t *testing.T) {
-	set := settings()
-	for i := range set.Classes {
-		set.Classes[i].Aim = 4 * time.Second
+// A route that always responds slowly may become slower: its timeout is half of the target time, or all of it.
+func TestSlowRoutesKeepTheirTimeout(t *testing.T) {
+	cfg := settings()
+	for i := range cfg.Classes {
+		cfg.Classes[i].Aim = 4 * time.Second
 	}
 	for class, want := range []time.Duration{2 * time.Second, 4 * time.Second, 4 * time.Second} {
-		d := newDesk(t, set, Listing{Route: "a"})
+		h := newHarness(t, cfg, Listing{Route: "a"})
 		for id := range uint32(20) {
-			d.take(id, 0)
-			d.end(id, "a", OK, 300*ms, 0)
+			h.accept(id, 0)
+			h.finish(id, "a", OK, 300*ms, 0)
 		}
-		if acts := d.take(100, class); len(acts) != 1 || acts[0].At-d.now != want {
-			t.Errorf("class %d: %+v at %v, want a cut after %v", class, acts, d.now, want)
+		if acts := h.accept(100, class); len(acts) != 1 || acts[0].At-h.now != want {
+			t.Errorf("class %d: %+v at %v, want a timeout after %v", class, acts, h.now, want)
 		}
 	}
 }
 
-// Time-outs lengthen what an answer is thought to take; where slots are short, the next call must not be given
-// the longer for them: only answers that came count.
-func TestTimeOutsLengthenNoneWhereSlotsAreShort(t *testing.T) {
-	set := settings()
-	set.Slots = 4
-	set.Classes[2].Aim, set.Classes[2].GiveUp, set.Classes[2].Ordered = 4*time.Second, 60*time.Second, false
-	d := newDesk(t, set, Listing{Route: "a"}, Listing{Route: "b", Destination: 1}, Listing{Route: "c", Destination: 2},
+// Timeouts lengthen the expected response time. Where slots are scarce, they must not lengthen the next timeout: only
+// responses count.
+func TestTimeoutsAreNotLengthenedWhereSlotsAreScarce(t *testing.T) {
+	cfg := settings()
+	cfg.Slots = 4
+	cfg.Classes[2].Aim, cfg.Classes[2].GiveUp, cfg.Classes[2].Ordered = 4*time.Second, 60*time.Second, false
+	h := newHarness(t, cfg, Listing{Route: "a"}, Listing{Route: "b", Destination: 1}, Listing{Route: "c", Destination: 2},
 		Listing{Route: "d", Destination: 3})
-	send := func(id uint32, dest int) time.Duration {
+	sendTo := func(id uint32, dest int) time.Duration {
 		t.Helper()
-		acts := d.step(Event{Kind: Taken, ID: id, Class: 2, Destination: dest, Left: 60 * time.Second})
+		acts := h.step(Event{Kind: Taken, ID: id, Class: 2, Destination: dest, Left: 60 * time.Second})
 		if len(acts) != 1 || acts[0].Kind != Send {
 			t.Fatalf("message %d: %+v", id, acts)
 		}
-		return acts[0].At - d.now
+		return acts[0].At - h.now
 	}
 	for id := range uint32(20) {
-		send(id, 0)
-		d.end(id, "a", OK, 60*ms, 0)
+		sendTo(id, 0)
+		h.finish(id, "a", OK, 60*ms, 0)
 	}
-	send(20, 0)
-	d.end(20, "a", Timeout, 3*time.Second, 0)
-	send(31, 1) // three of four slots are out when the call to a leaves
-	send(32, 2)
-	send(33, 3)
-	if cut := send(21, 0); cut > 4*slowMost*60*ms || cut < leastExpect {
-		t.Errorf("answers take 60 ms, cut after %v", cut)
+	sendTo(20, 0)
+	h.finish(20, "a", Timeout, 3*time.Second, 0)
+	sendTo(31, 1) // three of four slots are in use when the call to a is sent
+	sendTo(32, 2)
+	sendTo(33, 3)
+	if timeout := sendTo(21, 0); timeout > 4*maxSlowFactor*60*ms || timeout < minExpectedTime {
+		t.Errorf("responses take 60 ms, timeout after %v", timeout)
 	}
 }
 
-// Messages for destinations that do not exist were once held to their deadlines, and each left a record behind.
-func TestWhatHasNowhereToGoIsRefusedAtOnce(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Destination: 1})
+// Messages for destinations that do not exist must not be held to their deadlines, nor leave a record each.
+func TestMessageToUnknownDestinationIsRefusedAtOnce(t *testing.T) {
+	h := newHarness(t, settings(), Listing{Route: "a", Destination: 1})
 	for i := range 100 {
 		id := uint32(i + 1)
-		acts := d.step(Event{Kind: Taken, ID: id, Destination: 70_000 + i, Left: time.Minute})
+		acts := h.step(Event{Kind: Taken, ID: id, Destination: 70_000 + i, Left: time.Minute})
 		if len(acts) != 1 || acts[0].Kind != Refuse || acts[0].ID != id {
 			t.Fatalf("message %d: %+v", id, acts)
 		}
 	}
-	if len(d.s.dests) != 1 || len(d.s.order) != 1 || d.s.held != 0 {
-		t.Errorf("%d destinations kept, %d messages held", len(d.s.dests), d.s.held)
+	if len(h.s.dests) != 1 || len(h.s.destList) != 1 || h.s.held != 0 {
+		t.Errorf("%d destinations kept, %d messages held", len(h.s.dests), h.s.held)
 	}
-	// One whose last route has just gone may get another; and what an earlier process took on is owed its time.
-	d.step(Event{Kind: ListChanges, List: []Listing{{Route: "b", Destination: 2, InService: true}, {Route: "a", Gone: true}}})
-	if acts := d.step(Event{Kind: Taken, ID: 200, Destination: 1, Left: time.Minute}); len(acts) != 0 {
-		t.Errorf("without a route for the moment: %+v", acts)
+	// A destination whose last route was just removed may get another, and a resumed message is held to its deadline.
+	h.step(Event{Kind: ListChanges, List: []Listing{{Route: "b", Destination: 2, InService: true}, {Route: "a", Gone: true}}})
+	if acts := h.step(Event{Kind: Taken, ID: 200, Destination: 1, Left: time.Minute}); len(acts) != 0 {
+		t.Errorf("while the destination has no route: %+v", acts)
 	}
 	e := Event{Kind: Taken, ID: 201, Destination: 3, Left: time.Minute, Resumed: &Resumed{}}
-	if acts := d.step(e); len(acts) != 0 {
-		t.Errorf("taken on before: %+v", acts)
+	if acts := h.step(e); len(acts) != 0 {
+		t.Errorf("resumed: %+v", acts)
 	}
 	// With no list yet, all destinations are unknown.
-	if acts := newDesk(t, settings()).take(1, 0); len(acts) != 0 {
+	if acts := newHarness(t, settings()).accept(1, 0); len(acts) != 0 {
 		t.Errorf("before the list: %+v", acts)
 	}
 }
 
-// A connection that breaks takes the whole call with it, and unsafe messages for good: after one, calls carry a
-// single message, also where the route answers others, and one more with each delivery.
-func TestABrokenCallSplitsTheNextOnes(t *testing.T) {
-	set := settings()
-	set.Classes[2].Ordered = false
-	d := newDesk(t, set, Listing{Route: "a", Kind: 2, Weight: 1e6}) // calls are plenty: nobody waits for others
+// A connection reset loses the whole call, and unsafe messages for good: after one, calls carry a single message, even
+// if the route responds to others, and one more with each delivery.
+func TestResetReducesMessagesPerCall(t *testing.T) {
+	cfg := settings()
+	cfg.Classes[2].Ordered = false
+	h := newHarness(t, cfg, Listing{Route: "a", Kind: 2, Weight: 1e6}) // the limit is high: no message waits for others
 	next := uint32(1)
-	call := func(most int) (ids []uint32) {
+	call := func(atLeast int) (ids []uint32) {
 		t.Helper()
 		var evs []Event
 		for range 4 { // more than a call carries
 			evs = append(evs, Event{Kind: Taken, ID: next, Class: 2, Left: 60 * time.Second})
 			next++
 		}
-		acts := d.step(evs...)
-		d.now += ms
-		for _, a := range append(acts, d.step(Event{Kind: Woken})...) {
+		acts := h.step(evs...)
+		h.now += ms
+		for _, a := range append(acts, h.step(Event{Kind: Woken})...) {
 			if a.Kind == Send {
 				ids = append(ids, a.ID)
 			}
 		}
-		if len(ids) < most {
-			t.Fatalf("%d messages sent, want at least %d", len(ids), most)
+		if len(ids) < atLeast {
+			t.Fatalf("%d messages sent, want at least %d", len(ids), atLeast)
 		}
 		return ids
 	}
 	end := func(o Outcome, ids ...uint32) (sent int) {
-		d.now += 50 * ms
+		h.now += 50 * ms
 		var evs []Event
 		for _, id := range ids {
 			evs = append(evs, Event{Kind: Finished, ID: id, Route: "a", Outcome: o, Took: 50 * ms, Ended: o == OK})
 		}
-		for _, a := range d.step(evs...) {
+		for _, a := range h.step(evs...) {
 			if a.Kind == Send {
 				sent++
 			}
@@ -974,29 +978,29 @@
 		return sent
 	}
 	first := call(3)
-	if n := len(first); n != 4 { // three together, and one alone
+	if n := len(first); n != 4 { // three in one call, and one in another
 		t.Fatalf("%d sent", n)
 	}
-	end(OK, first...) // the route lives
-	r := d.s.routes["a"]
-	if n := d.s.together(r); n != 3 {
-		t.Fatalf("%d go together before any loss", n)
+	end(OK, first...) // the route is alive
+	r := h.s.routes["a"]
+	if n := h.s.callCapacity(r); n != 3 {
+		t.Fatalf("%d messages per call before any loss", n)
 	}
 	broken := call(3)
 	end(Reset, broken[:3]...)
-	if n := d.s.together(r); n != 1 {
-		t.Errorf("%d go together after a reset", n)
+	if n := h.s.callCapacity(r); n != 1 {
+		t.Errorf("%d messages per call after a reset", n)
 	}
 	end(OK, broken[3])
-	if n := d.s.together(r); n != 2 {
-		t.Errorf("%d go together after a delivery", n)
+	if n := h.s.callCapacity(r); n != 2 {
+		t.Errorf("%d messages per call after a delivery", n)
 	}
 	end(OK, call(2)[:2]...)
-	if n := d.s.together(r); n != 3 {
-		t.Errorf("%d go together after two", n)
+	if n := h.s.callCapacity(r); n != 3 {
+		t.Errorf("%d messages per call after two deliveries", n)
 	}
 	end(Timeout, call(3)[:3]...)
-	if n := d.s.together(r); n != 3 {
-		t.Errorf("%d go together after a time-out, which tells of the route", n)
+	if n := h.s.callCapacity(r); n != 3 {
+		t.Errorf("%d messages per call after a timeout, which concerns the route", n)
 	}
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -9,81 +9,81 @@
 	"time"
 )
 
-// The property test plays long random but legal event sequences against a Sender and judges its actions
-// by the six rules. The checker keeps its own books and shares nothing with the module's guards. To show
-// that it can fail, TestCheckerSeesMissingGuards blinds a Sender for one guard at a time.
+// The property test runs long random but valid sequences of events against a Sender and checks its actions against the
+// six sending rules. The checker keeps its own records and shares no code with the checks of the Sender.
+// TestCheckerDetectsMissingChecks shows that it can fail: it hides from a Sender what one of the rules depends on.
 
-// blind changes what the Sender is told, as if one of its guards were taken out.
-type blind struct {
-	name     string
-	rule     int
-	settings func(*Settings)
-	event    func(*Event)
-	drawn    bool // not that, but settings of any customer
+// injectedFault changes what the Sender is told, as if one of its checks were missing.
+type injectedFault struct {
+	name        string
+	rule        int
+	settings    func(*Settings)
+	event       func(*Event)
+	anySettings bool // no fault, but arbitrary settings
 }
 
-type trial struct {
-	route string
-	sent  time.Duration
-	out   bool // no outcome yet
-	ran   bool // may have run
+type attemptRecord struct {
+	route      string
+	sentAt     time.Duration
+	inFlight   bool // without an outcome
+	mayHaveRun bool // it may have taken effect
 }
 
-type held struct {
+type heldMessage struct {
 	id       uint32
 	class    Class
 	key      string
 	dest     int
 	deadline time.Duration
-	tries    []trial
+	attempts []attemptRecord
 	ended    bool
 }
 
-type due struct {
-	at time.Duration
-	ev Event
-	c  *callOut
+type pendingEvent struct {
+	at    time.Duration
+	event Event
+	call  *openCall
 }
 
-// callOut is one call of the world: messages to one route in one reply.
-type callOut struct{ left int }
+// openCall is one call of the simulation: messages sent to one route in one step.
+type openCall struct{ pending int }
 
-// world is the clients, the routes and the checker.
-type world struct {
-	rng      *rand.Rand
-	set      Settings
-	now      time.Duration
-	routes   []Listing
-	listed   map[string]Listing // as told
-	msgs     map[uint32]*held
-	keys     map[string][]*held
-	rest     map[string]time.Duration
-	waits    map[string]time.Duration   // by scope
-	outage   map[int][2]time.Duration   // by destination: from, to
-	told     map[string]int             // failures told in a row, by scope
-	sends    map[string][]time.Duration // by scope, since the return
-	pending  []due
-	nextID   uint32
-	slots    int
-	broken   map[int]string
-	answered int
-	ends     [3]int // sends, refusals, failures
+// simulation is the clients, the routes and the checker.
+type simulation struct {
+	rng              *rand.Rand
+	cfg              Settings
+	now              time.Duration
+	routes           []Listing
+	listed           map[string]Listing // as the Sender knows it
+	msgs             map[uint32]*heldMessage
+	keys             map[string][]*heldMessage
+	keyPauses        map[string]time.Duration
+	blockedUntil     map[string]time.Duration   // by scope
+	outage           map[int][2]time.Duration   // by destination: from, to
+	reportedFailures map[string]int             // consecutive failures reported to the Sender, by scope
+	recoverySends    map[string][]time.Duration // by scope, since the end of the outage
+	pending          []pendingEvent
+	nextID           uint32
+	slots            int
+	violations       map[int]string
+	delivered        int
+	actionCounts     [3]int // sends, refusals, failures
 }
 
-func (w *world) fail(rule int, format string, args ...any) {
-	if w.broken[rule] == "" {
-		w.broken[rule] = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, args...)
+func (sim *simulation) recordViolation(rule int, format string, args ...any) {
+	if sim.violations[rule] == "" {
+		sim.violations[rule] = fmt.Sprintf("at %v: ", sim.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *world) scope(l Listing) string {
-	if w.set.Kinds[l.Kind].Separate {
+func (sim *simulation) scope(l Listing) string {
+	if sim.cfg.Kinds[l.Kind].Separate {
 		return l.Route
 	}
 	return fmt.Sprint(l.Destination)
 }
 
-func randomSettings(rng *rand.Rand) Settings {
+func fixedClassSettings(rng *rand.Rand) Settings {
 	return Settings{
 		Classes: []Class{
 			{Effect: Safe, Aim: 2 * time.Second, GiveUp: 8 * time.Second, Value: 1},
@@ -101,12 +101,12 @@
 	}
 }
 
-// anySettings are those that any customer may have.
-func anySettings(rng *rand.Rand) Settings {
-	span := func(least, most time.Duration) time.Duration { // more of the short ones
+// arbitrarySettings are random settings within the range of any customer.
+func arbitrarySettings(rng *rand.Rand) Settings {
+	span := func(least, most time.Duration) time.Duration { // short ones are more frequent
 		return least + time.Duration(float64(most-least)*rng.Float64()*rng.Float64())
 	}
-	set := Settings{
+	cfg := Settings{
 		Kinds: []Kind{{Separate: rng.IntN(2) == 0, PerCall: 1 + rng.IntN(10)}, {Separate: rng.IntN(2) == 0, PerCall: 1 + 4*rng.IntN(2)}},
 		Slots: 2 + rng.IntN(20), MaxHeld: 16 + rng.IntN(300), MaxAttempts: 2 + rng.IntN(12),
 		Senders:   []int{1, 2, 3, 7, 30, 300}[rng.IntN(6)],
@@ -119,354 +119,354 @@
 		c := Class{Effect: []Effect{Safe, Keyed, Unsafe}[rng.IntN(3)], GroupAll: rng.IntN(2) == 0, Ordered: rng.IntN(4) == 0,
 			DedupWindow: time.Second + span(0, 9*time.Second), GiveUp: span(300*time.Millisecond, time.Minute), Value: 4 * rng.Float64()}
 		c.Aim = max(100*time.Millisecond, time.Duration(rng.Float64()*float64(c.GiveUp)))
-		set.Classes = append(set.Classes, c)
+		cfg.Classes = append(cfg.Classes, c)
 	}
 	for range rng.IntN(4) {
-		set.Customers = append(set.Customers, Customer{Quota: 8 * rng.Float64()})
+		cfg.Customers = append(cfg.Customers, Customer{Quota: 8 * rng.Float64()})
 	}
-	return set
+	return cfg
 }
 
-func newWorld(seed uint64, drawn bool) *world {
+func newSimulation(seed uint64, anySettings bool) *simulation {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	w := &world{rng: rng, set: randomSettings(rng), now: time.Minute, broken: map[int]string{}, nextID: 1}
-	if drawn {
-		w.set = anySettings(rng)
+	sim := &simulation{rng: rng, cfg: fixedClassSettings(rng), now: time.Minute, violations: map[int]string{}, nextID: 1}
+	if anySettings {
+		sim.cfg = arbitrarySettings(rng)
 	}
-	w.outage = map[int][2]time.Duration{}
+	sim.outage = map[int][2]time.Duration{}
 	for d := range 4 {
 		for i := range 1 + rng.IntN(3) {
-			w.routes = append(w.routes, Listing{
+			sim.routes = append(sim.routes, Listing{
 				Route: fmt.Sprintf("r%d-%d", d, i), Destination: d, Kind: d % 2, Zone: i % 2, Weight: 6, InService: true,
 			})
 		}
-		from := w.now + time.Duration(5+rng.IntN(20))*time.Second
-		w.outage[d] = [2]time.Duration{from, from + time.Duration(6+rng.IntN(8))*time.Second}
+		from := sim.now + time.Duration(5+rng.IntN(20))*time.Second
+		sim.outage[d] = [2]time.Duration{from, from + time.Duration(6+rng.IntN(8))*time.Second}
 	}
-	w.forget()
-	return w
+	sim.reset()
+	return sim
 }
 
-// forget starts the books anew, as for a fresh Sender.
-func (w *world) forget() {
-	w.listed, w.msgs, w.keys = map[string]Listing{}, map[uint32]*held{}, map[string][]*held{}
-	w.rest, w.waits, w.told = map[string]time.Duration{}, map[string]time.Duration{}, map[string]int{}
-	w.sends, w.pending, w.slots = map[string][]time.Duration{}, nil, 0
+// reset clears the records, as for a new Sender.
+func (sim *simulation) reset() {
+	sim.listed, sim.msgs, sim.keys = map[string]Listing{}, map[uint32]*heldMessage{}, map[string][]*heldMessage{}
+	sim.keyPauses, sim.blockedUntil, sim.reportedFailures = map[string]time.Duration{}, map[string]time.Duration{}, map[string]int{}
+	sim.recoverySends, sim.pending, sim.slots = map[string][]time.Duration{}, nil, 0
 }
 
-// due events up to now, and new ones by chance.
-func (w *world) events(quiet bool) []Event {
+// events returns the pending events that are due, and new random ones unless quiet.
+func (sim *simulation) events(quiet bool) []Event {
 	var evs []Event
-	slices.SortStableFunc(w.pending, func(a, b due) int { return int(a.at - b.at) })
-	for len(w.pending) > 0 && w.pending[0].at <= w.now {
-		p := w.pending[0]
-		w.pending = w.pending[1:]
-		if p.c != nil {
-			if p.c.left--; p.c.left == 0 {
-				w.slots--
+	slices.SortStableFunc(sim.pending, func(a, b pendingEvent) int { return int(a.at - b.at) })
+	for len(sim.pending) > 0 && sim.pending[0].at <= sim.now {
+		p := sim.pending[0]
+		sim.pending = sim.pending[1:]
+		if p.call != nil {
+			if p.call.pending--; p.call.pending == 0 {
+				sim.slots--
 			}
 		}
-		if p.ev.Kind == Finished {
-			w.note(&p.ev)
+		if p.event.Kind == Finished {
+			sim.recordOutcome(&p.event)
 		}
-		evs = append(evs, p.ev)
+		evs = append(evs, p.event)
 	}
 	if quiet {
 		return evs
 	}
-	for w.rng.IntN(4) == 0 {
-		c := w.rng.IntN(len(w.set.Classes))
+	for sim.rng.IntN(4) == 0 {
+		c := sim.rng.IntN(len(sim.cfg.Classes))
 		key := ""
-		if w.set.Classes[c].Ordered {
-			key = fmt.Sprint("k", w.rng.IntN(5))
+		if sim.cfg.Classes[c].Ordered {
+			key = fmt.Sprint("k", sim.rng.IntN(5))
 		}
-		m := &held{id: w.nextID, class: w.set.Classes[c], key: key, dest: w.rng.IntN(5)}
-		left := m.class.GiveUp - time.Duration(w.rng.IntN(2000))*time.Millisecond
-		m.deadline = w.now + left
-		w.nextID++
-		w.msgs[m.id] = m
+		m := &heldMessage{id: sim.nextID, class: sim.cfg.Classes[c], key: key, dest: sim.rng.IntN(5)}
+		left := m.class.GiveUp - time.Duration(sim.rng.IntN(2000))*time.Millisecond
+		m.deadline = sim.now + left
+		sim.nextID++
+		sim.msgs[m.id] = m
 		if key != "" {
-			w.keys[key] = append(w.keys[key], m)
+			sim.keys[key] = append(sim.keys[key], m)
 		}
-		evs = append(evs, Event{Kind: Taken, ID: m.id, Key: key, Class: c, Customer: w.rng.IntN(2),
+		evs = append(evs, Event{Kind: Taken, ID: m.id, Key: key, Class: c, Customer: sim.rng.IntN(2),
 			Destination: m.dest, Left: left})
 	}
-	switch w.rng.IntN(400) {
-	case 0: // a route drains, or comes back
-		l := &w.routes[w.rng.IntN(len(w.routes))]
+	switch sim.rng.IntN(400) {
+	case 0: // a route drains, or returns to service
+		l := &sim.routes[sim.rng.IntN(len(sim.routes))]
 		l.InService = !l.InService
-		w.listed[l.Route] = *l
+		sim.listed[l.Route] = *l
 		evs = append(evs, Event{Kind: ListChanges, List: []Listing{*l}})
-	case 1: // a route goes for good and another takes its place
-		i := w.rng.IntN(len(w.routes))
-		old := w.routes[i]
+	case 1: // a route is removed and replaced by another
+		i := sim.rng.IntN(len(sim.routes))
+		old := sim.routes[i]
 		old.Gone, old.InService = true, false
-		w.listed[old.Route] = old
-		w.routes[i].Route += "n"
-		w.routes[i].InService = true
-		w.listed[w.routes[i].Route] = w.routes[i]
-		evs = append(evs, Event{Kind: ListChanges, List: []Listing{old, w.routes[i]}})
-	case 2: // a client goes
-		for id := uint32(1); id < w.nextID; id++ {
-			if m := w.msgs[id]; m != nil && !m.ended {
+		sim.listed[old.Route] = old
+		sim.routes[i].Route += "n"
+		sim.routes[i].InService = true
+		sim.listed[sim.routes[i].Route] = sim.routes[i]
+		evs = append(evs, Event{Kind: ListChanges, List: []Listing{old, sim.routes[i]}})
+	case 2: // a client disconnects
+		for id := uint32(1); id < sim.nextID; id++ {
+			if m := sim.msgs[id]; m != nil && !m.ended {
 				m.ended = true
 				evs = append(evs, Event{Kind: Withdrawn, ID: id})
 				break
 			}
 		}
-	case 3: // events of messages never held
+	case 3: // events of unknown messages
 		evs = append(evs, Event{Kind: Finished, ID: 4e9, Route: "nowhere", Outcome: Timeout},
 			Event{Kind: Withdrawn, ID: 4e9 + 1}, Event{Kind: Woken})
 	}
 	return evs
 }
 
-// note books an outcome before the Sender hears of it.
-func (w *world) note(e *Event) {
-	m := w.msgs[e.ID]
+// recordOutcome records an outcome before the Sender receives it.
+func (sim *simulation) recordOutcome(e *Event) {
+	m := sim.msgs[e.ID]
 	if m == nil {
 		return
 	}
-	t := &m.tries[e.Attempt]
-	t.out = false
-	t.ran = e.Outcome != Full && e.Outcome != ConnectFailed && e.Outcome != Moot
+	t := &m.attempts[e.Attempt]
+	t.inFlight = false
+	t.mayHaveRun = e.Outcome != Full && e.Outcome != ConnectFailed && e.Outcome != Moot
 	if e.Outcome == OK {
 		m.ended = true
-		w.answered++
+		sim.delivered++
 	}
 	e.Ended = m.ended
 	if e.Outcome == Timeout || e.Outcome == Reset || e.Outcome == Cancelled {
-		w.rest[m.key] = max(w.rest[m.key], w.now+w.set.OrderPause)
+		sim.keyPauses[m.key] = max(sim.keyPauses[m.key], sim.now+sim.cfg.OrderPause)
 	}
-	l := w.listed[e.Route]
+	l := sim.listed[e.Route]
 	if e.Wait > 0 {
-		w.waits[w.scope(l)] = max(w.waits[w.scope(l)], w.now+e.Wait)
+		sim.blockedUntil[sim.scope(l)] = max(sim.blockedUntil[sim.scope(l)], sim.now+e.Wait)
 	}
 	switch e.Outcome {
 	case OK:
-		w.told[w.scope(l)] = 0
+		sim.reportedFailures[sim.scope(l)] = 0
 	case Timeout, ConnectFailed, Error, Reset:
-		if span := w.outage[m.dest]; w.now-e.Took >= span[0] && w.now < span[1] {
-			w.told[w.scope(l)]++
+		if span := sim.outage[m.dest]; sim.now-e.Took >= span[0] && sim.now < span[1] {
+			sim.reportedFailures[sim.scope(l)]++
 		}
 	}
 }
 
-func (w *world) act(acts []Action) {
-	calls := map[string]*callOut{}
+func (sim *simulation) applyActions(acts []Action) {
+	calls := map[string]*openCall{}
 	for _, a := range acts {
-		m := w.msgs[a.ID]
+		m := sim.msgs[a.ID]
 		if (a.Kind == Send || a.Kind == Refuse || a.Kind == Fail) && m == nil {
-			w.fail(1, "an action for unknown message %d", a.ID)
+			sim.recordViolation(1, "an action for unknown message %d", a.ID)
 			continue
 		}
 		switch a.Kind {
 		case Send:
-			w.ends[0]++
-			w.judgeSend(m, a)
-			w.call(m, a, calls)
+			sim.actionCounts[0]++
+			sim.checkSend(m, a)
+			sim.startCall(m, a, calls)
 		case Refuse:
-			w.ends[1]++
-			free := m.class.Effect == Safe || m.class.Effect == Keyed && m.class.GroupAll
-			for _, t := range m.tries {
-				if (t.ran || t.out) && !free {
-					w.fail(2, "message %d refused though it may have run", m.id)
+			sim.actionCounts[1]++
+			repeatable := m.class.Effect == Safe || m.class.Effect == Keyed && m.class.GroupAll
+			for _, t := range m.attempts {
+				if (t.mayHaveRun || t.inFlight) && !repeatable {
+					sim.recordViolation(2, "message %d refused though it may have run", m.id)
 				}
 			}
 			m.ended = true
 		case Fail:
-			w.ends[2]++
+			sim.actionCounts[2]++
 			m.ended = true
 		case Wake:
-			w.pending = append(w.pending, due{at: w.now + a.Delay, ev: Event{Kind: Woken}})
+			sim.pending = append(sim.pending, pendingEvent{at: sim.now + a.Delay, event: Event{Kind: Woken}})
 		}
 	}
 }
 
-func (w *world) judgeSend(m *held, a Action) {
-	l, known := w.listed[a.Route]
-	if m.ended || w.now >= m.deadline || len(m.tries) >= w.set.MaxAttempts {
-		w.fail(1, "message %d sent after its end", m.id)
-	}
-	for _, t := range m.tries {
-		if t.out {
-			w.fail(2, "message %d sent twice at once", m.id)
+func (sim *simulation) checkSend(m *heldMessage, a Action) {
+	l, known := sim.listed[a.Route]
+	if m.ended || sim.now >= m.deadline || len(m.attempts) >= sim.cfg.MaxAttempts {
+		sim.recordViolation(1, "message %d sent after its end", m.id)
+	}
+	for _, t := range m.attempts {
+		if t.inFlight {
+			sim.recordViolation(2, "message %d sent while an attempt is in flight", m.id)
 		}
 	}
-	if i := slices.IndexFunc(m.tries, func(t trial) bool { return t.ran }); i >= 0 {
-		first := m.tries[i]
+	if i := slices.IndexFunc(m.attempts, func(t attemptRecord) bool { return t.mayHaveRun }); i >= 0 {
+		first := m.attempts[i]
 		switch {
 		case m.class.Effect == Unsafe:
-			w.fail(2, "unsafe message %d sent again", m.id)
-		case m.class.Effect == Keyed && w.now >= first.sent+m.class.DedupWindow:
-			w.fail(2, "keyed message %d sent after its window", m.id)
-		case m.class.Effect == Keyed && !m.class.GroupAll && w.listed[first.route].Zone != l.Zone:
-			w.fail(2, "keyed message %d sent outside its group", m.id)
+			sim.recordViolation(2, "unsafe message %d sent again", m.id)
+		case m.class.Effect == Keyed && sim.now >= first.sentAt+m.class.DedupWindow:
+			sim.recordViolation(2, "keyed message %d sent after its window", m.id)
+		case m.class.Effect == Keyed && !m.class.GroupAll && sim.listed[first.route].Zone != l.Zone:
+			sim.recordViolation(2, "keyed message %d sent outside its group", m.id)
 		}
 	}
 	if !known || !l.InService || l.Gone || l.Destination != m.dest {
-		w.fail(3, "message %d sent to %s, which is not in service", m.id, a.Route)
+		sim.recordViolation(3, "message %d sent to %s, which is not in service", m.id, a.Route)
 	}
-	if w.waits[w.scope(l)] > w.now {
-		w.fail(5, "message %d sent to %s during a wait", m.id, a.Route)
+	if sim.blockedUntil[sim.scope(l)] > sim.now {
+		sim.recordViolation(5, "message %d sent to %s before its retry-after ended", m.id, a.Route)
 	}
 	if m.key != "" {
-		for _, o := range w.keys[m.key] {
+		for _, o := range sim.keys[m.key] {
 			if o == m {
 				break
 			}
-			if !o.ended || slices.ContainsFunc(o.tries, func(t trial) bool { return t.out }) {
-				w.fail(6, "message %d sent before %d", m.id, o.id)
+			if !o.ended || slices.ContainsFunc(o.attempts, func(t attemptRecord) bool { return t.inFlight }) {
+				sim.recordViolation(6, "message %d sent before %d", m.id, o.id)
 			}
 		}
-		if len(m.tries) == 0 && w.rest[m.key] > w.now {
-			w.fail(6, "message %d sent while its key rests", m.id)
+		if len(m.attempts) == 0 && sim.keyPauses[m.key] > sim.now {
+			sim.recordViolation(6, "message %d sent while its key is paused", m.id)
 		}
 	}
 }
 
-// judgeReturn checks the budget of a destination that came back cold: calls of any window since the
-// return, for a Sender told of its failures.
-func (w *world) judgeReturn(d string, back time.Duration) {
-	w.sends[d] = append(w.sends[d], w.now)
+// checkRecovery checks the recovery budget of a destination that returned cold: the calls of any window since the
+// return, from a Sender that received its failures.
+func (sim *simulation) checkRecovery(d string, recoveredAt time.Duration) {
+	sim.recoverySends[d] = append(sim.recoverySends[d], sim.now)
 	n := 0
-	for _, at := range w.sends[d] {
-		if at > w.now-w.set.OverloadWindow {
+	for _, at := range sim.recoverySends[d] {
+		if at > sim.now-sim.cfg.OverloadWindow {
 			n++
 		}
 	}
-	share := w.set.ColdShare + (1-w.set.ColdShare)*float64(w.now-back)/float64(w.set.WarmWithin)
+	share := sim.cfg.ColdShare + (1-sim.cfg.ColdShare)*float64(sim.now-recoveredAt)/float64(sim.cfg.WarmWithin)
 	if share >= 1 {
 		return
 	}
-	most := w.set.OverloadFactor*share*6*w.set.OverloadWindow.Seconds() + 1.5 // 6: the listed weight
-	if float64(n) > most {
-		w.fail(4, "%d calls to %s in %v, %.1f at most", n, d, w.set.OverloadWindow, most)
+	limit := sim.cfg.OverloadFactor*share*6*sim.cfg.OverloadWindow.Seconds() + 1.5 // 6: the listed weight
+	if float64(n) > limit {
+		sim.recordViolation(4, "%d calls to %s in %v, want at most %.1f", n, d, sim.cfg.OverloadWindow, limit)
 	}
 }
 
-// call plays an attempt: its outcome comes later, at its cut at the latest.
-func (w *world) call(m *held, a Action, calls map[string]*callOut) {
-	l := w.listed[a.Route]
-	e := Event{Kind: Finished, ID: m.id, Attempt: len(m.tries), Route: a.Route}
-	m.tries = append(m.tries, trial{route: a.Route, sent: w.now, out: true})
+// startCall simulates an attempt: its outcome follows later, at its timeout at the latest.
+func (sim *simulation) startCall(m *heldMessage, a Action, calls map[string]*openCall) {
+	l := sim.listed[a.Route]
+	e := Event{Kind: Finished, ID: m.id, Attempt: len(m.attempts), Route: a.Route}
+	m.attempts = append(m.attempts, attemptRecord{route: a.Route, sentAt: sim.now, inFlight: true})
 	c := calls[a.Route]
-	if c == nil || c.left >= w.set.Kinds[l.Kind].PerCall {
-		c = &callOut{}
+	if c == nil || c.pending >= sim.cfg.Kinds[l.Kind].PerCall {
+		c = &openCall{}
 		calls[a.Route] = c
-		if w.slots++; w.slots > w.set.Slots {
-			w.fail(1, "%d calls out, %d at most", w.slots, w.set.Slots)
+		if sim.slots++; sim.slots > sim.cfg.Slots {
+			sim.recordViolation(1, "%d calls in flight, want at most %d", sim.slots, sim.cfg.Slots)
 		}
-		span := w.outage[m.dest]
-		sc := w.scope(l)
-		if w.now >= span[1] && w.now < span[1]+w.set.WarmWithin && (w.told[sc] >= 3 || w.sends[sc] != nil) {
-			w.judgeReturn(sc, span[1])
+		span := sim.outage[m.dest]
+		sc := sim.scope(l)
+		if sim.now >= span[1] && sim.now < span[1]+sim.cfg.WarmWithin && (sim.reportedFailures[sc] >= 3 || sim.recoverySends[sc] != nil) {
+			sim.checkRecovery(sc, span[1])
 		}
 	}
-	c.left++
-	took := time.Duration(20+w.rng.IntN(400)) * time.Millisecond
-	down := w.now >= w.outage[m.dest][0] && w.now < w.outage[m.dest][1]
-	switch n := w.rng.IntN(40); {
-	case down && m.dest%3 == 0:
-		took = time.Hour // silent
-	case down && m.dest%3 == 1:
+	c.pending++
+	took := time.Duration(20+sim.rng.IntN(400)) * time.Millisecond
+	failing := sim.now >= sim.outage[m.dest][0] && sim.now < sim.outage[m.dest][1]
+	switch n := sim.rng.IntN(40); {
+	case failing && m.dest%3 == 0:
+		took = time.Hour // no response
+	case failing && m.dest%3 == 1:
 		e.Outcome = ConnectFailed
-	case down:
+	case failing:
 		e.Outcome = Error
 	case n < 4:
 		e.Outcome = Full
 		if n < 2 {
-			e.Wait = time.Duration(200+w.rng.IntN(900)) * time.Millisecond
+			e.Wait = time.Duration(200+sim.rng.IntN(900)) * time.Millisecond
 		}
 	case n == 4:
-		e.Outcome = []Outcome{Error, Reset, Cancelled, Moot}[w.rng.IntN(4)]
+		e.Outcome = []Outcome{Error, Reset, Cancelled, Moot}[sim.rng.IntN(4)]
 	case n == 5:
 		took = time.Hour
 	}
-	if m.dest%3 == 2 && w.now >= w.outage[m.dest][0]-time.Second {
+	if m.dest%3 == 2 && sim.now >= sim.outage[m.dest][0]-time.Second {
 		took = min(took, 300*time.Millisecond)
 	}
-	at := w.now + took
-	if cut := min(a.At, m.deadline); at > cut {
-		at, e.Outcome, e.Wait = max(cut, w.now+time.Millisecond), Timeout, 0
+	at := sim.now + took
+	if timeoutAt := min(a.At, m.deadline); at > timeoutAt {
+		at, e.Outcome, e.Wait = max(timeoutAt, sim.now+time.Millisecond), Timeout, 0
 	}
-	e.Took = at - w.now
-	w.pending = append(w.pending, due{at: at, ev: e, c: c})
+	e.Took = at - sim.now
+	sim.pending = append(sim.pending, pendingEvent{at: at, event: e, call: c})
 }
 
-// play runs one world and returns the rules broken.
-func play(t *testing.T, seed uint64, b blind) *world {
+// simulate runs one simulation; violations holds the rules that were broken.
+func simulate(t *testing.T, seed uint64, fault injectedFault) *simulation {
 	t.Helper()
-	w := newWorld(seed, b.drawn)
+	sim := newSimulation(seed, fault.anySettings)
 	start := func() (*Sender, []Event) {
-		set := w.set
-		set.Classes = slices.Clone(set.Classes)
-		if b.settings != nil {
-			b.settings(&set)
+		cfg := sim.cfg
+		cfg.Classes = slices.Clone(cfg.Classes)
+		if fault.settings != nil {
+			fault.settings(&cfg)
 		}
-		s, err := New(set, seed)
+		s, err := New(cfg, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.forget()
-		for _, l := range w.routes {
-			w.listed[l.Route] = l
+		sim.reset()
+		for _, l := range sim.routes {
+			sim.listed[l.Route] = l
 		}
-		return s, []Event{{Kind: ListWhole, List: slices.Clone(w.routes)}}
+		return s, []Event{{Kind: ListWhole, List: slices.Clone(sim.routes)}}
 	}
 	s, first := start()
-	restart := w.now + time.Duration(30+w.rng.IntN(10))*time.Second
-	end := w.now + time.Minute
-	for w.now < end {
-		w.now += 5 * time.Millisecond
-		if restart > 0 && w.now >= restart {
+	restart := sim.now + time.Duration(30+sim.rng.IntN(10))*time.Second
+	end := sim.now + time.Minute
+	for sim.now < end {
+		sim.now += 5 * time.Millisecond
+		if restart > 0 && sim.now >= restart {
 			s, first = start()
 			restart = 0
 		}
-		evs := append(first, w.events(w.now > end-15*time.Second)...)
+		evs := append(first, sim.events(sim.now > end-15*time.Second)...)
 		first = nil
-		if b.event != nil {
+		if fault.event != nil {
 			for i := range evs {
-				b.event(&evs[i])
+				fault.event(&evs[i])
 			}
 		}
 		if len(evs) > 0 {
-			w.act(s.Step(w.now, evs))
+			sim.applyActions(s.Step(sim.now, evs))
 		}
-		for id, m := range w.msgs {
-			over := m.ended && !slices.ContainsFunc(m.tries, func(t trial) bool { return t.out })
-			if !m.ended && w.now > m.deadline+20*time.Millisecond {
-				w.fail(1, "message %d has no answer at its deadline", id)
+		for id, m := range sim.msgs {
+			done := m.ended && !slices.ContainsFunc(m.attempts, func(t attemptRecord) bool { return t.inFlight })
+			if !m.ended && sim.now > m.deadline+20*time.Millisecond {
+				sim.recordViolation(1, "message %d has no final answer at its deadline", id)
 				m.ended = true
 			}
-			if over && m.key == "" {
-				delete(w.msgs, id)
+			if done && m.key == "" {
+				delete(sim.msgs, id)
 			}
 		}
 	}
-	return w
+	return sim
 }
 
-func TestSixRules(t *testing.T) {
+func TestSixSendingRules(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := play(t, seed, blind{})
+			sim := simulate(t, seed, injectedFault{})
 			for rule := 1; rule <= 6; rule++ {
-				if w.broken[rule] != "" {
-					t.Errorf("seed %d, rule %d: %s", seed, rule, w.broken[rule])
+				if sim.violations[rule] != "" {
+					t.Errorf("seed %d, rule %d: %s", seed, rule, sim.violations[rule])
 				}
 			}
-			if w.answered < 150 || w.ends[1] == 0 || w.ends[2] == 0 {
-				t.Errorf("seed %d: %d answered, %v sends, refusals, failures: the run shows too little",
-					seed, w.answered, w.ends)
+			if sim.delivered < 150 || sim.actionCounts[1] == 0 || sim.actionCounts[2] == 0 {
+				t.Errorf("seed %d: %d delivered, %v sends, refusals, failures: the run is too short to be conclusive",
+					seed, sim.delivered, sim.actionCounts)
 			}
 		})
 	}
 }
 
-func TestCheckerSeesMissingGuards(t *testing.T) {
-	for _, b := range []blind{
+func TestCheckerDetectsMissingChecks(t *testing.T) {
+	for _, fault := range []injectedFault{
 		{name: "deadline", rule: 1, event: func(e *Event) { e.Left += time.Second }},
 		{name: "unsafe", rule: 2, settings: func(s *Settings) { s.Classes[3].Effect = Safe }},
 		{name: "group", rule: 2, settings: func(s *Settings) { s.Classes[1].GroupAll = true }},
@@ -477,49 +477,49 @@
 			}
 		}},
 		{name: "recovery", rule: 4, settings: func(s *Settings) { s.OverloadFactor = 1000 }},
-		{name: "wait", rule: 5, event: func(e *Event) { e.Wait = 0 }},
-		{name: "turn", rule: 6, settings: func(s *Settings) { s.Classes[3].Ordered, s.Classes[4].Ordered = false, false }},
-		{name: "rest", rule: 6, settings: func(s *Settings) { s.OrderPause = 0 }},
+		{name: "retry-after", rule: 5, event: func(e *Event) { e.Wait = 0 }},
+		{name: "order", rule: 6, settings: func(s *Settings) { s.Classes[3].Ordered, s.Classes[4].Ordered = false, false }},
+		{name: "pause", rule: 6, settings: func(s *Settings) { s.OrderPause = 0 }},
 	} {
-		t.Run(b.name, func(t *testing.T) {
+		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(12) {
-				if play(t, seed, b).broken[b.rule] != "" {
+				if simulate(t, seed, fault).violations[fault.rule] != "" {
 					return
 				}
 			}
-			t.Errorf("rule %d was broken by no run without its guard", b.rule)
+			t.Errorf("no run without its check broke rule %d", fault.rule)
 		})
 	}
 }
 
-// The rules hold under the settings of any customer: any classes and effects, windows of a second and more, shares or none, limits,
-// costs and deadlines, one sender or hundreds.
-func TestSixRulesUnderAnySettings(t *testing.T) {
+// The sending rules hold under the settings of any customer: all classes and effects, windows of a second and more,
+// with or without shares, any limits, fees and deadlines, one sender or hundreds.
+func TestSixSendingRulesUnderAnySettings(t *testing.T) {
 	var answered atomic.Int64
 	t.Run("seeds", func(t *testing.T) {
 		for seed := range uint64(60) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				w := play(t, 1000+seed, blind{drawn: true})
+				sim := simulate(t, 1000+seed, injectedFault{anySettings: true})
 				for rule := 1; rule <= 6; rule++ {
-					if w.broken[rule] != "" {
-						t.Errorf("seed %d, rule %d: %s; %+v", seed, rule, w.broken[rule], w.set)
+					if sim.violations[rule] != "" {
+						t.Errorf("seed %d, rule %d: %s; %+v", seed, rule, sim.violations[rule], sim.cfg)
 					}
 				}
-				answered.Add(int64(w.answered))
+				answered.Add(int64(sim.delivered))
 			})
 		}
 	})
 	if answered.Load() < 60*100 {
-		t.Errorf("%d answered in all: the runs show too little", answered.Load())
+		t.Errorf("%d delivered in all: the runs are too short to be conclusive", answered.Load())
 	}
 }
 
 // Equal events give equal actions.
 func TestDeterminism(t *testing.T) {
-	a, b := play(t, 3, blind{}), play(t, 3, blind{})
-	if a.ends != b.ends || a.answered != b.answered || a.nextID != b.nextID {
-		t.Errorf("two runs differ: %v %d, %v %d", a.ends, a.answered, b.ends, b.answered)
+	a, b := simulate(t, 3, injectedFault{}), simulate(t, 3, injectedFault{})
+	if a.actionCounts != b.actionCounts || a.delivered != b.delivered || a.nextID != b.nextID {
+		t.Errorf("two runs differ: %v %d, %v %d", a.actionCounts, a.delivered, b.actionCounts, b.delivered)
 	}
 }
--- a/policy/resume.go
+++ b/policy/resume.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// What a real relay needs beyond the simulator's events: messages that outlast a process, and calls that take
-// time to leave.
+// What a real relay needs beyond the simulator's events: messages that outlive a process, and calls whose sending is delayed.
 
-const owedFrom, owedUntil = 0.25, 0.75 // of its time left: when a message of the journal is called at the latest
+const resumeEarliest, resumeLatest = 0.25, 0.75 // range of the latest send of a journaled message, as fractions of its time left
 
-// resume gives a message what an earlier process knew of it, so that the guards hold across a restart. Guards
-// also against a backlog that a fresh Sender, free of any pace, would pour onto hosts as one: the pace of its
-// destination starts at this sender's part.
-func (s *Sender) resume(m *message, e *Resumed) {
+// restoreMessageState applies what a previous process knew of a message, so that the sending rules hold across a
+// restart. It also prevents a backlog from reaching hosts in one burst from a new Sender without pacing rates: the
+// pacing of its destination starts at this sender's share.
+func (s *Sender) restoreMessageState(m *message, e *Resumed) {
 	if e == nil {
 		return
 	}
 	m.sends = e.Attempts
 	if e.Ran {
-		s.mark(m, s.now-e.RanAgo, e.RanZone)
+		s.markMayHaveRun(m, s.now-e.RanAgo, e.RanZone)
 	}
-	if s.spent(m) {
-		heap.Push(&s.ends, end{s.now, m}) // ends in this step
+	if s.exhausted(m) {
+		heap.Push(&s.timers, timer{s.now, m}) // handled in this step
 	}
-	if m.turn != nil && e.Ran {
-		m.turn.rest = max(m.turn.rest, s.now+s.set.OrderPause) // a call out when the process ended may still run
+	if m.keyQueue != nil && e.Ran {
+		m.keyQueue.pausedUntil = max(m.keyQueue.pausedUntil, s.now+s.cfg.OrderPause) // a call in flight at the end of the process may run
 	}
-	for _, g := range m.dest.gates {
-		if g.pace == 0 {
-			s.paced(g)
+	for _, sc := range m.dest.scopes {
+		if sc.pacingRate == 0 {
+			s.startAtFairShare(sc)
 		}
 	}
-	// What the journal holds and has surely not run is called whatever the pace: at a time drawn for each, so that a fleet
-	// that comes back as one does not pour its journals out as one.
-	if left := m.deadline - s.now; !m.ran && left > 0 {
-		m.tryAt = s.now + time.Duration((owedFrom+(owedUntil-owedFrom)*s.rng.Float64())*float64(left))
+	// A journaled message that has certainly not run is sent whatever the pacing rate, at a random time, so that a fleet
+	// that restarts as one does not send its journals in one burst.
+	if left := m.deadline - s.now; !m.mayHaveRun && left > 0 {
+		m.unpacedAt = s.now + time.Duration((resumeEarliest+(resumeLatest-resumeEarliest)*s.rng.Float64())*float64(left))
 	}
 }
 
-// MayStill tells whether a message may leave for a route at now, though its call was decided earlier. Guards against
-// one that was held up, by a slow connection say, while a drain or a wait was told or repeats stopped being dropped.
+// MayStill reports whether a message may still be sent to a route at now, though its call was decided earlier. Prevents
+// a call delayed by a slow connection, for example, from leaving after a drain or a retry-after was announced, or after
+// the destination stopped dropping duplicates.
 func (s *Sender) MayStill(id uint32, route string, now time.Duration) bool {
 	r, m := s.routes[route], s.msgs[id]
-	if r == nil || !r.InService || now < r.gate.wait || !s.duty.told.Send || m == nil || m.ended {
+	if r == nil || !r.InService || now < r.scope.waitUntil || !s.lifecycle.state.Send || m == nil || m.ended {
 		return false
 	}
-	return !m.ran || m.class.Effect == Safe || now < m.windowEnd()
+	return !m.mayHaveRun || m.class.Effect == Safe || now < m.dedupEnd()
 }
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// resumeSettings have one keyed class whose repeats are dropped in a zone for 10 s.
+// resumeSettings has one keyed class; destinations drop repeats within a zone for 10 s.
 func resumeSettings() Settings {
 	return Settings{
 		Classes: []Class{{
@@ -15,7 +15,7 @@
 	}
 }
 
-// twoZones is a list of a better route in zone 1 and another in zone 0.
+// twoZones lists a preferred route in zone 1 and another in zone 0.
 func twoZones() Event {
 	return Event{Kind: ListWhole, List: []Listing{
 		{Route: "best", Destination: 5, Zone: 1, Weight: 50, InService: true},
@@ -23,7 +23,7 @@
 	}}
 }
 
-func resumeStep(t *testing.T, r *Resumed) []Action {
+func stepWithResumed(t *testing.T, r *Resumed) []Action {
 	t.Helper()
 	s, err := New(resumeSettings(), 1)
 	if err != nil {
@@ -38,7 +38,7 @@
 	for _, c := range []struct {
 		name    string
 		resumed Resumed
-		route   string // "" if none may be tried
+		route   string // "" if no route may be tried
 	}{
 		{"nothing ran", Resumed{Attempts: 1}, "best"},
 		{"one may have run in zone 0", Resumed{Attempts: 1, Ran: true, RanAgo: 5 * time.Second}, "other"},
@@ -46,7 +46,7 @@
 		{"no attempts left", Resumed{Attempts: 8}, ""},
 	} {
 		route := ""
-		for _, a := range resumeStep(t, &c.resumed) {
+		for _, a := range stepWithResumed(t, &c.resumed) {
 			if a.Kind == Send {
 				route = a.Route
 			}
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestOverdueMessagesEndAtOnce(t *testing.T) {
+func TestExpiredResumedMessagesEndAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		resumed Resumed
 		want    ActionKind
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestABacklogIsNotPouredOut(t *testing.T) {
+func TestResumedBacklogIsPaced(t *testing.T) {
 	s, err := New(resumeSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
@@ -88,12 +88,12 @@
 			sends++
 		}
 	}
-	if sends == 0 || sends > 4 { // one for each route, and what rounding adds
+	if sends == 0 || sends > 4 { // one for each route, and rounding
 		t.Errorf("%d sends at once", sends)
 	}
 }
 
-func TestACallMayNoLongerLeave(t *testing.T) {
+func TestMayStillReportsBlockedCalls(t *testing.T) {
 	s, err := New(resumeSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
@@ -102,21 +102,22 @@
 	if !s.MayStill(1, "best", time.Second) || !s.MayStill(1, "other", time.Second) || s.MayStill(1, "none", time.Second) {
 		t.Error("routes in service may be called, others not")
 	}
-	// A wait that comes with a delivery, as in a bundle's answer, binds too.
+	// A retry-after that comes with a delivery, as in the response to a batch, applies too.
 	s.Step(2*time.Second, []Event{{Kind: Finished, ID: 9, Route: "best", Outcome: OK, Ended: true, Wait: time.Second}})
 	if s.MayStill(1, "best", 2900*time.Millisecond) || !s.MayStill(1, "best", 3*time.Second) {
-		t.Error("the wait ends at 3 s")
+		t.Error("the retry-after ends at 3 s")
 	}
 	s.Step(4*time.Second, []Event{{Kind: ListChanges, List: []Listing{
 		{Route: "best", Destination: 5, Zone: 1, Weight: 50}, {Route: "other", Gone: true},
 	}}})
 	if s.MayStill(1, "best", 4*time.Second) || s.MayStill(1, "other", 4*time.Second) {
-		t.Error("one drains, one is gone")
+		t.Error("one route drains and one is removed: neither may be called")
 	}
 }
 
-// A repeat whose connection came up late must not leave once hosts have stopped dropping repeats, nor what is over.
-func TestARepeatHeldUpLeavesInsideItsWindowOnly(t *testing.T) {
+// A repeat delayed by a slow connection must not be sent once hosts no longer drop repeats, nor a message that has
+// ended.
+func TestDelayedRepeatIsSentOnlyInsideItsWindow(t *testing.T) {
 	s, err := New(resumeSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
@@ -128,22 +129,22 @@
 		{Kind: Taken, ID: 2, Destination: 5, Left: 14 * time.Second},
 	})
 	if !s.MayStill(1, "other", 5900*time.Millisecond) {
-		t.Error("a repeat inside the window was held back")
+		t.Error("a repeat inside the window may not be sent")
 	}
 	if s.MayStill(1, "other", 6*time.Second) {
-		t.Error("a repeat may leave when repeats are dropped no longer")
+		t.Error("a repeat may be sent after the window")
 	}
 	if !s.MayStill(2, "other", 6*time.Second) {
-		t.Error("a first try has no window")
+		t.Error("a first attempt has no window")
 	}
 	s.Step(7*time.Second, []Event{{Kind: Withdrawn, ID: 2}})
 	if s.MayStill(2, "other", 7*time.Second) || s.MayStill(3, "other", 7*time.Second) {
-		t.Error("what is over or unknown may leave")
+		t.Error("an ended or unknown message may be sent")
 	}
 }
 
-// A message that no route may ever take again gets its answer then, not at its deadline.
-func TestSpentMessagesEndAtOnce(t *testing.T) {
+// A message that no route may ever accept again gets its final answer at once, not at its deadline.
+func TestExhaustedMessagesEndAtOnce(t *testing.T) {
 	s, err := New(resumeSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
@@ -162,7 +163,7 @@
 	); len(got) != 1 || got[0] != Fail {
 		t.Errorf("with no attempts left: %v", got)
 	}
-	// No route stands in zone 2, where the second may have run: it waits for one as long as repeats are dropped.
+	// Zone 2, where the second message may have run, has no route: it waits for one while repeats are dropped.
 	if got := ends(10900 * time.Millisecond); len(got) != 0 {
 		t.Errorf("inside the window: %v", got)
 	}
@@ -171,29 +172,29 @@
 	}
 }
 
-// A fleet of 300 found 9,180 messages in its journals, and gave 9,069 of them up at once: a sender's part of a limit was a call
-// in 100 s, and who waits for a pace that opens after its time was refused. What is found untried is called, in a time
-// drawn for each, and held until it can be where a wait, a skip, a cold route or an unknown list is in the way.
-func TestWhatARestartFindsUntriedIsTried(t *testing.T) {
+// In a fleet of 300, a sender's share of a limit may be one call in 100 s. If pacing then holds journaled messages
+// beyond their deadlines, they are refused: 9,069 of 9,180 at one restart. So messages not sent yet are sent at random
+// times after a restart, and held while a retry-after, a skip, a cold route or a missing list blocks them.
+func TestUnsentMessagesAreSentAfterARestart(t *testing.T) {
 	const found, left = 30, 12 * time.Second
 	route := Listing{Route: "a", Destination: 5, Weight: 3, InService: true}
 	for name, c := range map[string]struct {
-		listed time.Duration // the list comes so long after the start
-		wait   time.Duration // told with an answer at the start
-		fails  time.Duration // calls fail for so long
+		listed time.Duration // delay of the list after the start
+		wait   time.Duration // retry-after received at the start
+		fails  time.Duration // time during which calls fail
 	}{
-		"nothing in the way": {},
-		"no list":            {listed: 3 * time.Second},
-		"a told wait":        {wait: 3 * time.Second},
-		"an outage":          {fails: 3 * time.Second},
+		"nothing blocks them": {},
+		"no list":             {listed: 3 * time.Second},
+		"a retry-after":       {wait: 3 * time.Second},
+		"an outage":           {fails: 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			set := resumeSettings()
-			set.Senders, set.Slots, set.OverloadWindow, set.WarmWithin, set.OverloadFactor = 300, 6, 2*time.Second, 10*time.Second, 1.5
+			cfg := resumeSettings()
+			cfg.Senders, cfg.Slots, cfg.OverloadWindow, cfg.WarmWithin, cfg.OverloadFactor = 300, 6, 2*time.Second, 10*time.Second, 1.5
 			calls := make([]int, 3)
-			tried, given := 0, 0
+			sent, ended := 0, 0
 			for seed := range uint64(40) {
-				s, err := New(set, seed)
+				s, err := New(cfg, seed)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -219,7 +220,7 @@
 						switch a.Kind {
 						case Send:
 							if now < start+c.wait {
-								t.Fatalf("called %v after the start, told to wait", now-start)
+								t.Fatalf("sent %v after the start, before the retry-after ended", now-start)
 							}
 							if !called[a.ID] {
 								calls[min(2, int(3*(now-start)/left))]++
@@ -236,52 +237,53 @@
 							evs = append(evs, e)
 						case Refuse, Fail:
 							if !called[a.ID] {
-								given++
+								ended++
 							}
 						}
 					}
 				}
-				tried += len(called)
+				sent += len(called)
 			}
-			// An outage is told of by the calls that fail, and a cold route takes few: those may run out of time, held to its end.
-			least := 40 * found * 9 / 10
+			// In an outage some calls must fail first, and a cold route accepts few: the other messages may be held to their deadlines.
+			want := 40 * found * 9 / 10
 			if name == "an outage" {
-				least = 40
+				want = 40
 			}
-			if tried < least || given > 40*found-tried {
-				t.Errorf("%d of %d called, %d given up with no call", tried, 40*found, given)
+			if sent < want || ended > 40*found-sent {
+				t.Errorf("%d of %d sent, %d ended unsent", sent, 40*found, ended)
 			}
-			if sum := calls[0] + calls[1] + calls[2]; name == "nothing in the way" && (calls[0] > sum/2 || calls[1] < sum/4) {
-				t.Errorf("calls by thirds of the time left: %v", calls)
+			if sum := calls[0] + calls[1] + calls[2]; name == "nothing blocks them" && (calls[0] > sum/2 || calls[1] < sum/4) {
+				t.Errorf("first sends in each third of the time left: %v", calls)
 			}
 		})
 	}
 }
 
-// A repeat tells until when it may leave; a first try, and what may be repeated at any time, do not.
-func TestARepeatTellsItsWindowsEnd(t *testing.T) {
+// The Send of a repeat carries the time until which it may leave; a first attempt and a safe message have none.
+func TestRepeatCarriesItsWindowEnd(t *testing.T) {
 	for name, c := range map[string]struct {
 		effect Effect
 		r      Resumed
 		want   time.Duration
 	}{
-		"a first try":     {Keyed, Resumed{}, 0},
+		"a first attempt": {Keyed, Resumed{}, 0},
 		"never ran":       {Keyed, Resumed{Attempts: 1}, 0},
-		"may have run":    {Keyed, Resumed{Attempts: 1, Ran: true, RanAgo: 400 * ms}, time.Minute + 600*ms - endMargin},
+		"may have run":    {Keyed, Resumed{Attempts: 1, Ran: true, RanAgo: 400 * ms}, time.Minute + 600*ms - deadlineMargin},
 		"may be repeated": {Safe, Resumed{Attempts: 1, Ran: true, RanAgo: 400 * ms}, 0},
 	} {
-		set := resumeSettings()
-		set.Classes[0].Effect, set.Classes[0].DedupWindow = c.effect, time.Second
-		s, err := New(set, 1)
+		cfg := resumeSettings()
+		cfg.Classes[0].Effect, cfg.Classes[0].DedupWindow = c.effect, time.Second
+		s, err := New(cfg, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		sent := false
-		for _, a := range s.Step(time.Minute, []Event{twoZones(), {Kind: Taken, ID: 1, Destination: 5, Left: 8 * time.Second, Resumed: &c.r}}) {
+		for _, a := range s.Step(time.Minute, []Event{twoZones(),
+			{Kind: Taken, ID: 1, Destination: 5, Left: 8 * time.Second, Resumed: &c.r}}) {
 			if a.Kind == Send {
 				sent = true
 				if a.Leave != c.want {
-					t.Errorf("%s: until %v, wanted %v", name, a.Leave, c.want)
+					t.Errorf("%s: may leave until %v, want %v", name, a.Leave, c.want)
 				}
 			}
 		}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// New settings while messages are open. Those keep the terms that they were taken on under: their class is theirs,
-// with the number of attempts it had. All else binds from the event on.
+// New settings while messages are held. These messages keep the class under which they were accepted, with its number
+// of attempts. All other settings apply from the event on.
 
-// complete fills in the defaults.
-func (set *Settings) complete() {
-	set.Senders = max(1, set.Senders)
-	set.ColdShare = cmp.Or(max(0, set.ColdShare), 0.1)
-	set.WarmWithin = cmp.Or(max(0, set.WarmWithin), 30*time.Second)
-	set.OverloadWindow = cmp.Or(set.OverloadWindow, 3*time.Second)
-	set.SkipFirst = cmp.Or(set.SkipFirst, skipFirst)
-	set.SkipMost = max(set.SkipFirst, cmp.Or(set.SkipMost, skipMost))
-	set.OverloadFactor = cmp.Or(max(0, set.OverloadFactor), 1)
-	set.Classes = slices.Clone(set.Classes) // the caller's are not ours to change
-	for i := range set.Classes {
-		set.Classes[i].Attempts = cmp.Or(set.Classes[i].Attempts, set.MaxAttempts)
+// applyDefaults fills in the defaults.
+func (cfg *Settings) applyDefaults() {
+	cfg.Senders = max(1, cfg.Senders)
+	cfg.ColdShare = cmp.Or(max(0, cfg.ColdShare), 0.1)
+	cfg.WarmWithin = cmp.Or(max(0, cfg.WarmWithin), 30*time.Second)
+	cfg.OverloadWindow = cmp.Or(cfg.OverloadWindow, 3*time.Second)
+	cfg.SkipFirst = cmp.Or(cfg.SkipFirst, firstSkip)
+	cfg.SkipMost = max(cfg.SkipFirst, cmp.Or(cfg.SkipMost, maxSkip))
+	cfg.OverloadFactor = cmp.Or(max(0, cfg.OverloadFactor), 1)
+	cfg.Classes = slices.Clone(cfg.Classes) // the caller's slice must not change
+	for i := range cfg.Classes {
+		cfg.Classes[i].Attempts = cmp.Or(cfg.Classes[i].Attempts, cfg.MaxAttempts)
 	}
 }
 
-// configure takes new settings on. What routes have shown stays, and so does what customers used of their shares.
-func (s *Sender) configure(set Settings) {
-	set.complete()
-	shares := make([]bucket, len(set.Customers))
-	for i, c := range set.Customers {
-		if j := slices.IndexFunc(s.set.Customers, func(x Customer) bool { return x.Name == c.Name }); j >= 0 {
+// configure applies new settings. What is known of routes stays, and so does the customers' use of their shares.
+func (s *Sender) configure(cfg Settings) {
+	cfg.applyDefaults()
+	shares := make([]bucket, len(cfg.Customers))
+	for i, c := range cfg.Customers {
+		if j := slices.IndexFunc(s.cfg.Customers, func(x Customer) bool { return x.Name == c.Name }); j >= 0 {
 			shares[i] = s.shares[j]
 		}
 	}
-	s.set, s.shares = set, shares
-	for _, d := range s.order {
+	s.cfg, s.shares = cfg, shares
+	for _, d := range s.destList {
 		s.sortRoutes(d)
-		s.touch(d)
+		s.recheck(d)
 	}
 }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// The records of a Sender as one process hands them to the next. Nothing is decided here: what is told is what
-// state.go holds, in the same clock, and what follows from it is left out.
+// The state of a Sender as one process hands it to the next. This file makes no decisions: it writes the records of
+// state.go, with times of the same clock, and leaves out what follows from other fields. The field names are stored
+// data: they stay when identifiers change.
 
-// State is all that a Sender knows, but for its settings and the terms of its messages.
+// State is all that a Sender knows, except its settings and the classes of its messages.
 type State struct {
 	Now    time.Duration
 	Dests  []destState
@@ -24,11 +25,11 @@
 	Scarce map[int]time.Duration
 }
 
-// record are fields by name. Writing reads what they point to, and reading writes it; unknown names are passed over,
-// and what is not told keeps its zero, so that builds a little apart understand one another.
+// record maps field names to pointers to the fields, or to raw JSON after unmarshaling. Unknown names are ignored and
+// missing fields keep their zero values, so that slightly different builds understand each other.
 type record map[string]any
 
-func (r record) read(data map[string]json.RawMessage) error {
+func (r record) unmarshal(data map[string]json.RawMessage) error {
 	for name, field := range r {
 		if raw, ok := data[name]; ok {
 			if err := json.Unmarshal(raw, field); err != nil {
@@ -39,7 +40,7 @@
 	return nil
 }
 
-// UnmarshalJSON keeps the fields as they came, until read takes them to their places.
+// UnmarshalJSON keeps the fields as raw JSON until copyTo stores them.
 func (r *record) UnmarshalJSON(data []byte) error {
 	var raw map[string]json.RawMessage
 	if err := json.Unmarshal(data, &raw); err != nil {
@@ -52,15 +53,15 @@
 	return nil
 }
 
-// into takes fields that came to where they belong.
-func (r record) into(fields record) error {
+// copyTo stores raw fields in the variables that fields points to.
+func (r record) copyTo(fields record) error {
 	data := make(map[string]json.RawMessage, len(r))
 	for name, x := range r {
 		if raw, ok := x.(json.RawMessage); ok {
 			data[name] = raw
 		}
 	}
-	return fields.read(data)
+	return fields.unmarshal(data)
 }
 
 type destState struct {
@@ -83,7 +84,7 @@
 }
 
 type callState struct {
-	Listing Listing // of its route, which may be gone
+	Listing Listing // its route, which may have been removed
 	Fields  record
 }
 
@@ -104,39 +105,40 @@
 	Line []uint32
 }
 
-func (g *gate) fields() record {
-	return record{"wait": &g.wait, "pace": &g.pace, "ceiling": &g.ceiling, "halvedAt": &g.halvedAt,
-		"creptAt": &g.creptAt, "tokens": &g.tokens, "tokensAt": &g.tokensAt, "sent": &g.sent, "credit": &g.credit,
-		"coldAt": &g.coldAt, "coldLeft": &g.coldLeft, "limit": &g.limit, "left": &g.left, "low": &g.low, "toldAt": &g.toldAt, "got": &g.got, "gotAt": &g.gotAt,
-		"streak": &g.streak, "tights": &g.tights}
+func (sc *scope) fields() record {
+	return record{"wait": &sc.waitUntil, "pace": &sc.pacingRate, "ceiling": &sc.refusedRate, "halvedAt": &sc.halvedAt,
+		"creptAt": &sc.grownAt, "tokens": &sc.tokens, "tokensAt": &sc.tokensAt, "sent": &sc.recentSends, "credit": &sc.credit,
+		"coldAt": &sc.creditAt, "coldLeft": &sc.suspectLeftAt, "limit": &sc.reportedLimit, "left": &sc.remaining,
+		"low": &sc.lowered, "toldAt": &sc.reportedAt, "got": &sc.avgDeliveryRate, "gotAt": &sc.avgDeliveryAt,
+		"streak": &sc.failures, "tights": &sc.tableFullRun}
 }
 
 func (r *route) fields() record {
-	return record{"lot": &r.lot, "skipUntil": &r.skipUntil, "skipLen": &r.skipLen, "down": &r.down, "cold": &r.cold,
-		"slight": &r.slight, "back": &r.back, "run": &r.run, "streak": &r.streak, "recent": &r.recent,
-		"refusals": &r.refusals, "refusedAt": &r.refusedAt, "okAt": &r.okAt, "okSent": &r.okSent, "mean": &r.mean,
-		"dev": &r.dev, "group": &r.group, "usual": &r.usual}
+	return record{"lot": &r.tieBreak, "skipUntil": &r.skipUntil, "skipLen": &r.skipLen, "down": &r.skipped, "cold": &r.suspected,
+		"slight": &r.weak, "back": &r.recoveredAt, "run": &r.successes, "streak": &r.failures, "recent": &r.outcomeBits,
+		"refusals": &r.refusals, "refusedAt": &r.firstRefusedAt, "okAt": &r.deliveredAt, "okSent": &r.answeredSentAt, "mean": &r.mean,
+		"dev": &r.dev, "group": &r.perCall, "usual": &r.responseMean}
 }
 
 func (c *call) fields() record {
-	return record{"left": &c.left, "ok": &c.ok, "sent": &c.sent, "expect": &c.expect, "cut": &c.cut}
+	return record{"left": &c.pending, "ok": &c.delivered, "sent": &c.sentAt, "expect": &c.overdueAt, "cut": &c.timeoutAt}
 }
 
 func (m *message) fields() record {
-	return record{"due": &m.due, "deadline": &m.deadline, "rank": &m.rank, "sends": &m.sends, "ranAt": &m.ranAt,
-		"ran": &m.ran, "ranZone": &m.ranZone, "timeouts": &m.timeouts, "tryAt": &m.tryAt, "ended": &m.ended}
+	return record{"due": &m.targetAt, "deadline": &m.deadline, "rank": &m.rank, "sends": &m.sends, "ranAt": &m.runSentAt,
+		"ran": &m.mayHaveRun, "ranZone": &m.runZone, "timeouts": &m.timeouts, "tryAt": &m.unpacedAt, "ended": &m.ended}
 }
 
 func (b *bucket) fields() record { return record{"level": &b.level, "at": &b.at} }
 
-// State tells what the Sender knows. It points into the Sender: it is to be written out before the next step.
+// State returns what the Sender knows. It points into the Sender, so it must be encoded before the next step.
 func (s *Sender) State() State {
-	st := State{Now: s.now, Shares: map[string]record{}, Least: s.least, Scarce: s.scarce}
-	for _, d := range s.order {
-		st.Dests = append(st.Dests, destState{d.id, d.opens, d.bareAt})
-		for _, g := range d.gates {
-			x := gateState{Dest: d.id, Separate: g.separate, Kind: g.kind, Fields: g.fields()}
-			for _, r := range g.routes {
+	st := State{Now: s.now, Shares: map[string]record{}, Least: s.minLimits, Scarce: s.scarceUntil}
+	for _, d := range s.destList {
+		st.Dests = append(st.Dests, destState{d.id, d.blockedUntil, d.routelessSince})
+		for _, sc := range d.scopes {
+			x := gateState{Dest: d.id, Separate: sc.separate, Kind: sc.kind, Fields: sc.fields()}
+			for _, r := range sc.routes {
 				x.Routes = append(x.Routes, routeState{r.Listing, r.fields()})
 			}
 			st.Gates = append(st.Gates, x)
@@ -154,47 +156,47 @@
 		if m.avoid != nil {
 			x.Avoid = m.avoid.Route
 		}
-		for _, a := range m.out {
+		for _, a := range m.inFlight {
 			n, ok := calls[a.call]
 			if !ok {
 				n = len(st.Calls)
 				calls[a.call] = n
-				st.Calls = append(st.Calls, callState{a.call.r.Listing, a.call.fields()})
+				st.Calls = append(st.Calls, callState{a.call.route.Listing, a.call.fields()})
 			}
-			x.Out = append(x.Out, attemptState{a.n, n})
+			x.Out = append(x.Out, attemptState{a.number, n})
 		}
 		st.Msgs = append(st.Msgs, x)
 	}
-	for _, t := range s.turns {
-		x := turnState{Key: t.key, Rest: t.rest}
-		for _, m := range t.line {
+	for _, q := range s.keyQueues {
+		x := turnState{Key: q.key, Rest: q.pausedUntil}
+		for _, m := range q.messages {
 			x.Line = append(x.Line, m.id)
 		}
 		st.Turns = append(st.Turns, x)
 	}
 	slices.SortFunc(st.Turns, func(a, b turnState) int { return int(a.Rest - b.Rest) })
 	for i := range s.shares {
-		st.Shares[s.set.Customers[i].Name] = s.shares[i].fields()
+		st.Shares[s.cfg.Customers[i].Name] = s.shares[i].fields()
 	}
 	return st
 }
 
-// Restore returns a Sender that goes on where another stood. Settings are its own; terms tells those that a message
-// was taken on under, nil if they are lost.
-func Restore(set Settings, seed uint64, st State, terms func(id uint32) *Class) (*Sender, error) {
-	s, err := New(set, seed)
+// Restore returns a Sender that continues from the state of another one. It has its own settings; terms returns the
+// class under which a message was accepted, nil if it is lost.
+func Restore(cfg Settings, seed uint64, st State, terms func(id uint32) *Class) (*Sender, error) {
+	s, err := New(cfg, seed)
 	if err != nil {
 		return nil, err
 	}
 	s.now = st.Now
 	for kind, x := range st.Least {
-		s.least[kind] = x
+		s.minLimits[kind] = x
 	}
 	for kind, x := range st.Scarce {
-		s.scarce[kind] = x
+		s.scarceUntil[kind] = x
 	}
-	for i, c := range s.set.Customers {
-		if err := st.Shares[c.Name].into(s.shares[i].fields()); err != nil {
+	for i, c := range s.cfg.Customers {
+		if err := st.Shares[c.Name].copyTo(s.shares[i].fields()); err != nil {
 			return nil, fmt.Errorf("policy: share of %s: %w", c.Name, err)
 		}
 	}
@@ -213,19 +215,19 @@
 	for _, x := range st.Turns {
 		for _, id := range x.Line {
 			if m := s.msgs[id]; m != nil {
-				s.join(m, x.Key)
+				s.joinKeyQueue(m, x.Key)
 			}
 		}
-		t := s.turns[x.Key]
-		if t == nil {
-			t = &turn{key: x.Key, parked: true}
-			s.turns[x.Key] = t
-			s.parked = append(s.parked, t)
+		q := s.keyQueues[x.Key]
+		if q == nil {
+			q = &keyQueue{key: x.Key, idle: true}
+			s.keyQueues[x.Key] = q
+			s.idleKeys = append(s.idleKeys, q)
 		}
-		t.rest = x.Rest
+		q.pausedUntil = x.Rest
 	}
-	for _, x := range st.Dests { // looked at when it would have been
-		s.destination(x.ID).opens = x.Opens
+	for _, x := range st.Dests { // examined when it would have been
+		s.destination(x.ID).blockedUntil = x.Opens
 	}
 	return s, nil
 }
@@ -233,23 +235,23 @@
 func (s *Sender) restoreRoutes(st State) error {
 	for _, x := range st.Dests {
 		d := s.destination(x.ID)
-		if d.bareAt = x.BareAt; d.bareAt > 0 {
-			s.bare = append(s.bare, d)
+		if d.routelessSince = x.BareAt; d.routelessSince > 0 {
+			s.routeless = append(s.routeless, d)
 		}
 	}
 	for _, x := range st.Gates {
 		d := s.destination(x.Dest)
-		g := &gate{dest: d, separate: x.Separate, kind: x.Kind}
-		if err := x.Fields.into(g.fields()); err != nil {
+		sc := &scope{dest: d, separate: x.Separate, kind: x.Kind}
+		if err := x.Fields.copyTo(sc.fields()); err != nil {
 			return fmt.Errorf("destination %d: %w", x.Dest, err)
 		}
-		d.gates = append(d.gates, g)
+		d.scopes = append(d.scopes, sc)
 		for _, y := range x.Routes {
-			r := &route{Listing: y.Listing, gate: g}
-			if err := y.Fields.into(r.fields()); err != nil {
+			r := &route{Listing: y.Listing, scope: sc}
+			if err := y.Fields.copyTo(r.fields()); err != nil {
 				return fmt.Errorf("route %s: %w", r.Route, err)
 			}
-			g.routes = append(g.routes, r)
+			sc.routes = append(sc.routes, r)
 			s.routes[r.Route] = r
 		}
 	}
@@ -260,39 +262,39 @@
 	var calls []*call
 	for _, x := range st.Calls {
 		r := s.routes[x.Listing.Route]
-		if r == nil { // off the list: it takes nothing more, and its calls count until they end
+		if r == nil { // removed: it accepts no new calls, and its calls count until they end
 			r = &route{Listing: x.Listing}
 			r.Gone = true
-			r.gate = &gate{dest: s.destination(x.Listing.Destination), separate: true, kind: x.Listing.Kind}
+			r.scope = &scope{dest: s.destination(x.Listing.Destination), separate: true, kind: x.Listing.Kind}
 		}
-		c := &call{r: r}
-		if err := x.Fields.into(c.fields()); err != nil {
+		c := &call{route: r}
+		if err := x.Fields.copyTo(c.fields()); err != nil {
 			return nil, fmt.Errorf("call to %s: %w", r.Route, err)
 		}
 		calls = append(calls, c)
-		s.slots++
-		r.gate.out++
+		s.usedSlots++
+		r.scope.inFlight++
 		r.calls = append(r.calls, c)
 	}
 	for _, c := range calls {
-		slices.SortFunc(c.r.calls, func(a, b *call) int { return int(a.sent - b.sent) })
+		slices.SortFunc(c.route.calls, func(a, b *call) int { return int(a.sentAt - b.sentAt) })
 	}
 	return calls, nil
 }
 
 func (s *Sender) restoreMessage(x msgState, calls []*call, terms *Class) error {
 	if terms == nil {
-		terms = &Class{Effect: Unsafe, Ordered: true, Attempts: s.set.MaxAttempts}
+		terms = &Class{Effect: Unsafe, Ordered: true, Attempts: s.cfg.MaxAttempts}
 	}
-	m := &message{id: x.ID, class: terms, dest: s.destination(x.Dest), avoid: s.routes[x.Avoid], tryAt: never}
-	if err := x.Fields.into(m.fields()); err != nil {
+	m := &message{id: x.ID, class: terms, dest: s.destination(x.Dest), avoid: s.routes[x.Avoid], unpacedAt: never}
+	if err := x.Fields.copyTo(m.fields()); err != nil {
 		return err
 	}
 	for _, a := range x.Out {
 		if a.Call < 0 || a.Call >= len(calls) {
 			return fmt.Errorf("no call %d", a.Call)
 		}
-		m.out = append(m.out, attempt{a.N, calls[a.Call]})
+		m.inFlight = append(m.inFlight, attempt{a.N, calls[a.Call]})
 	}
 	s.msgs[m.id] = m
 	m.dest.held++
@@ -300,12 +302,12 @@
 		return nil
 	}
 	s.held++
-	heap.Push(&s.ends, end{m.deadline, m})
-	if m.due > s.now {
-		heap.Push(&s.ends, end{m.due, m})
+	heap.Push(&s.timers, timer{m.deadline, m})
+	if m.targetAt > s.now {
+		heap.Push(&s.timers, timer{m.targetAt, m})
 	}
-	if m.ran && m.class.Effect == Keyed {
-		heap.Push(&s.ends, end{m.windowEnd(), m})
+	if m.mayHaveRun && m.class.Effect == Keyed {
+		heap.Push(&s.timers, timer{m.dedupEnd(), m})
 	}
 	if x.Queued {
 		s.enqueue(m)
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// passOn writes a Sender's state out and restores it under the same settings.
-func passOn(t *testing.T, s *Sender, set Settings) *Sender {
+// handOver encodes a Sender's state and restores it under the same settings.
+func handOver(t *testing.T, s *Sender, cfg Settings) *Sender {
 	t.Helper()
 	data, err := json.Marshal(s.State())
 	if err != nil {
@@ -25,11 +25,11 @@
 	for id, m := range s.msgs {
 		terms[id] = m.class
 	}
-	next, err := Restore(set, 1, st, func(id uint32) *Class { return terms[id] })
+	next, err := Restore(cfg, 1, st, func(id uint32) *Class { return terms[id] })
 	if err != nil {
 		t.Fatal(err)
 	}
-	next.rng = s.rng // a successor draws its own lots; here they are to be the same
+	next.rng = s.rng // a successor has its own random numbers; here they must be the same
 	return next
 }
 
@@ -47,17 +47,17 @@
 	}
 }
 
-// A Sender that was handed over in the middle of a hard day decides as the one that was not: it has lost and gained
-// nothing on the way, whatever the moment.
-func TestAHandedOverSenderGoesOnAlike(t *testing.T) {
+// A Sender that is handed over at any moment of a run with failures decides as one that is not: the handover loses and
+// adds nothing.
+func TestHandedOverSenderDecidesAlike(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			set := handoverSettings()
-			a, err := New(set, seed)
+			cfg := handoverSettings()
+			a, err := New(cfg, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			b, err := New(set, seed)
+			b, err := New(cfg, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -67,16 +67,16 @@
 				list = append(list, Listing{Route: fmt.Sprint("r", i), Destination: i / 3, Kind: i / 3 % 2, Zone: i % 2,
 					Weight: float64(2 + i%3), InService: true})
 			}
-			type out struct {
+			type sentCall struct {
 				id uint32
 				n  int
 				at time.Duration
 				r  string
 			}
-			var calls []out
+			var calls []sentCall
 			sends := map[uint32]int{}
 			lastID := uint32(0)
-			handed := 0
+			handovers := 0
 			for now := time.Second; now < 40*time.Second; now += 10 * time.Millisecond {
 				var evs []Event
 				if now == time.Second {
@@ -92,7 +92,7 @@
 					evs = append(evs, Event{Kind: Taken, ID: lastID, Class: rng.IntN(2), Customer: rng.IntN(2),
 						Destination: rng.IntN(3), Left: 8 * time.Second, Key: fmt.Sprint("k", rng.IntN(20))})
 				}
-				calls = slices.DeleteFunc(calls, func(c out) bool {
+				calls = slices.DeleteFunc(calls, func(c sentCall) bool {
 					if rng.IntN(20) > 0 && now-c.at < 2*time.Second {
 						return false
 					}
@@ -114,31 +114,31 @@
 				})
 				want := slices.Clone(a.Step(now, slices.Clone(evs)))
 				got := slices.Clone(b.Step(now, slices.Clone(evs)))
-				wake := func(x Action) bool { return x.Kind == Wake } // a successor asks anew
+				wake := func(x Action) bool { return x.Kind == Wake } // a successor requests its own wakes
 				want, got = slices.DeleteFunc(want, wake), slices.DeleteFunc(got, wake)
 				if !reflect.DeepEqual(got, want) && len(got)+len(want) > 0 {
-					t.Fatalf("at %v, handed over %d times: decides\n%+v, not\n%+v", now, handed, got, want)
+					t.Fatalf("at %v, after %d handovers: decides\n%+v, not\n%+v", now, handovers, got, want)
 				}
 				for _, x := range want {
 					if x.Kind == Send {
-						calls = append(calls, out{x.ID, sends[x.ID], now, x.Route})
+						calls = append(calls, sentCall{x.ID, sends[x.ID], now, x.Route})
 						sends[x.ID]++
 					}
 				}
 				if rng.IntN(100) == 0 {
-					handed++
-					b = passOn(t, b, set)
+					handovers++
+					b = handOver(t, b, cfg)
 				}
 			}
-			if handed < 10 || lastID < 200 {
-				t.Errorf("handed over %d times, %d messages: too little to tell", handed, lastID)
+			if handovers < 10 || lastID < 200 {
+				t.Errorf("%d handovers, %d messages: too few to be conclusive", handovers, lastID)
 			}
 		})
 	}
 }
 
-// What cannot be a state is no reason to crash.
-func TestBadStateIsTurnedDown(t *testing.T) {
+// An invalid state is an error and no panic.
+func TestInvalidStateIsRejected(t *testing.T) {
 	for _, text := range []string{
 		`{"Msgs":[{"ID":1,"Out":[{"N":0,"Call":3}]}]}`,
 		`{"Gates":[{"Dest":1,"Fields":{"wait":"long"}}]}`,
@@ -150,35 +150,35 @@
 			t.Fatal(err)
 		}
 		if _, err := Restore(handoverSettings(), 1, st, func(uint32) *Class { return nil }); err == nil {
-			t.Errorf("taken: %s", text)
+			t.Errorf("accepted: %s", text)
 		}
 	}
 }
 
-// After the hand-over only the door is left to decide, and the end keeps its time.
-func TestAProcessThatHandedOverLeavesInTime(t *testing.T) {
-	s, sec := dutySender(t), time.Second
+// After a handover the Sender only decides on the client side, and the process still exits in time.
+func TestProcessExitsInTimeAfterHandover(t *testing.T) {
+	s, sec := newLifecycleSender(t), time.Second
 	for _, k := range []EventKind{HandedOver, Active, Standby} {
-		if d := doorAt(s, 2*sec, k); d.Listen || d.Send || d.Ready || d.Over {
+		if d := listenerAt(s, 2*sec, k); d.Listen || d.Send || d.Ready || d.Over {
 			t.Errorf("after %v: %+v", k, d)
 		}
 	}
-	if d := doorAt(s, 60*sec); d.Over {
-		t.Error("it ended before it was told to")
+	if d := listenerAt(s, 60*sec); d.Over {
+		t.Error("it ended before the Ending event")
 	}
-	doorAt(s, 61*sec, Ending)
-	if d := doorAt(s, 64*sec); d.Over || d.Listen {
+	listenerAt(s, 61*sec, Ending)
+	if d := listenerAt(s, 64*sec); d.Over || d.Listen {
 		t.Errorf("while it ends: %+v", d)
 	}
-	if d := doorAt(s, 64*sec+400*time.Millisecond); !d.Over {
-		t.Errorf("not over: %+v", d)
+	if d := listenerAt(s, 64*sec+400*time.Millisecond); !d.Over {
+		t.Errorf("no exit: %+v", d)
 	}
-	s = dutySender(t)
-	doorAt(s, sec, Ending)
-	if d := doorAt(s, 2*sec, HandedOver); d.Listen || d.Send {
+	s = newLifecycleSender(t)
+	listenerAt(s, sec, Ending)
+	if d := listenerAt(s, 2*sec, HandedOver); d.Listen || d.Send {
 		t.Errorf("handed over while it ends: %+v", d)
 	}
-	if d := doorAt(s, sec+3400*time.Millisecond); !d.Over {
-		t.Errorf("the hand-over put off the end: %+v", d)
+	if d := listenerAt(s, sec+3400*time.Millisecond); !d.Over {
+		t.Errorf("the handover delayed the exit: %+v", d)
 	}
 }
