--- a/policy/spent.go
+++ b/policy/spent.go
@@ -5,32 +5,31 @@
 	"time"
 )
 
-// When a message has no further try in it. It gets its final answer then, not at its deadline: the client may have
-// use for the time.
+// When a message has no attempt left. It gets its final answer at once rather than at its deadline: the client may use the time.
 
-// mark notes that an attempt of m, sent at so, may have run, and has m looked at when repeats stop being dropped.
-func (s *Sender) mark(m *message, at time.Duration, zone int) {
-	m.ran, m.ranAt, m.ranZone = true, at, zone
+// markMayHaveRun records that an attempt of m, sent at sentAt, may have run, and sets a timer for the end of its deduplication window.
+func (s *Sender) markMayHaveRun(m *message, sentAt time.Duration, zone int) {
+	m.mayHaveRun, m.runSentAt, m.runZone = true, sentAt, zone
 	if m.class.Effect == Keyed {
-		heap.Push(&s.ends, end{m.windowEnd(), m})
+		heap.Push(&s.timers, timer{m.dedupEnd(), m})
 	}
 }
 
-// windowEnd is when the last repeat of a keyed message that may have run must be sent.
-func (m *message) windowEnd() time.Duration { return m.ranAt + m.class.DedupWindow - endMargin }
+// dedupEnd is when the last repeat of a keyed message that may have run must be sent.
+func (m *message) dedupEnd() time.Duration { return m.runSentAt + m.class.DedupWindow - deadlineMargin }
 
-// spent tells whether mayAttempt can never again allow a send of m, whatever becomes of the routes.
-func (s *Sender) spent(m *message) bool {
+// exhausted reports whether mayAttempt can never again allow a send of m, whatever happens to the routes.
+func (s *Sender) exhausted(m *message) bool {
 	switch {
-	case m.ended || len(m.out) > 0:
+	case m.ended || len(m.inFlight) > 0:
 		return false
 	case m.class.Attempts > 0 && m.sends >= m.class.Attempts:
 		return true
 	}
-	return m.ran && (m.class.Effect == Unsafe || m.class.Effect == Keyed && s.now >= m.windowEnd())
+	return m.mayHaveRun && (m.class.Effect == Unsafe || m.class.Effect == Keyed && s.now >= m.dedupEnd())
 }
 
-// giveUp gives a message its final answer: a refusal where that keeps the rule of effects.
+// giveUp gives a message its final answer: a refusal if the rule of effects allows one.
 func (s *Sender) giveUp(m *message) {
 	if s.mayRefuse(m) {
 		s.refuse(m)
--- a/policy/timeout.go
+++ b/policy/timeout.go
@@ -2,48 +2,47 @@
 
 import "time"
 
-// How long a call may take before it is given up.
+// How long a call may take before it times out.
 
-const slowMost = 12 // usual answers that one of a slow route may take
+const maxSlowFactor = 12 // mean response times that a response of a slow route may take
 
-// expect is how long an answer of a route may take: its mean and so many mean deviations.
-func (s *Sender) expect(r *route, devs int) time.Duration {
+// expectedTime is how long a response of a route may take: its mean plus devs mean deviations.
+func (s *Sender) expectedTime(r *route, devs int) time.Duration {
 	if r.mean == 0 {
-		return 2 * leastExpect
+		return 2 * minExpectedTime
 	}
-	return max(leastExpect, r.mean+time.Duration(devs)*r.dev)
+	return max(minExpectedTime, r.mean+time.Duration(devs)*r.dev)
 }
 
-// slowest is how long a route that has turned slow may still take: so many answers of a mean length, or half of
-// the aim where that is less or none is known. Guards against calls that get no answer and hold slots for
-// many times as long as an answer ever took.
-func slowest(m *message, mean time.Duration) time.Duration {
+// slowTimeout is how long a route that has become slow may still take: maxSlowFactor times its mean response time, or half of the target
+// time if that is less or no mean is known. Prevents calls with no response from holding slots for many times the longest response time.
+func slowTimeout(m *message, mean time.Duration) time.Duration {
 	if mean == 0 {
 		return m.class.Aim / 2
 	}
-	return min(m.class.Aim/2, slowMost*mean)
+	return min(m.class.Aim/2, maxSlowFactor*mean)
 }
 
-// cutAt is when an attempt times out: as long as the route's answers have taken, at most half the time left.
-// An unsafe message has no second try and waits twice as long; a trial of a skipped route waits least.
-func (s *Sender) cutAt(m *message, r *route) time.Duration {
-	left, slow := m.deadline-s.now, slowest(m, r.mean)
-	usual := max(s.expect(r, devs), slow)
+// attemptTimeout is when an attempt times out: it follows the route's response times, with at most half of the time left. An unsafe
+// message has no second attempt and waits twice as long; a trial of a skipped route has the shortest timeout.
+func (s *Sender) attemptTimeout(m *message, r *route) time.Duration {
+	left, slowLimit := m.deadline-s.now, slowTimeout(m, r.mean)
+	timeout := max(s.expectedTime(r, timeoutDevs), slowLimit)
 	if m.class.Effect == Keyed && !m.class.GroupAll {
-		usual = max(usual, 2*slow) // a repeat is bound to few routes
+		timeout = max(timeout, 2*slowLimit) // its repeats are bound to the routes of one zone
 	}
-	if s.set.Slots > 0 && 2*s.slots > s.set.Slots {
-		usual = min(usual, 2*slowest(m, r.usual)) // what timed out tells nothing here
+	if s.cfg.Slots > 0 && 2*s.usedSlots > s.cfg.Slots {
+		timeout = min(timeout, 2*slowTimeout(m, r.responseMean)) // timeouts do not count here
 	}
-	if r.down {
-		usual = slow
+	if r.skipped {
+		timeout = slowLimit
 	}
 	if m.class.Effect == Unsafe {
-		return s.now + min(left, 2*usual)
+		return s.now + min(left, 2*timeout)
 	}
-	// Where half of the time is less than an answer may take, one try has all of it.
-	if left/2 >= s.expect(r, lateDevs) {
+	// If half of the time is less than a response may take, one attempt has all of it.
+	if left/2 >= s.expectedTime(r, overdueDevs) {
 		left /= 2
 	}
-	return s.now + min(left, usual)
+	return s.now + min(left, timeout)
 }
