--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -35,8 +35,8 @@
 	return &RetryBudget{options: options, services: map[string]*serviceCounters{}}
 }
 
-// Request counts a client request for a service.
-func (b *RetryBudget) Request(now time.Time, service string) {
+// CountRequest counts a client request for a service.
+func (b *RetryBudget) CountRequest(now time.Time, service string) {
 	b.countersOf(service).requests.add(b.bucketAt(now))
 }
 
@@ -56,8 +56,8 @@
 	b.countersOf(service).slack = max(0, slack)
 }
 
-// Keep drops the counts of all services for which isWanted returns false.
-func (b *RetryBudget) Keep(isWanted func(service string) bool) {
+// Retain drops the counts of all services for which isWanted returns false.
+func (b *RetryBudget) Retain(isWanted func(service string) bool) {
 	for service := range b.services {
 		if !isWanted(service) {
 			delete(b.services, service)
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -15,7 +15,7 @@
 // countRequests counts a number of requests at once.
 func countRequests(b *RetryBudget, now time.Time, count int) {
 	for range count {
-		b.Request(now, service)
+		b.CountRequest(now, service)
 	}
 }
 
@@ -74,7 +74,7 @@
 func TestRetryBudgetForgetsServices(t *testing.T) {
 	b := NewRetryBudget(Options{Ratio: 0.2, Window: 10 * time.Second})
 	b.SetSlack(service, 5)
-	b.Keep(func(string) bool { return false })
+	b.Retain(func(string) bool { return false })
 	assert.Assert(t, !b.Take(start, service))
 }
 
@@ -91,7 +91,7 @@
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
-				b.Request(now, service)
+				b.CountRequest(now, service)
 				requests = append(requests, now)
 				continue
 			}
--- a/internal/budget/example_test.go
+++ b/internal/budget/example_test.go
@@ -12,7 +12,7 @@
 	now := time.Unix(1_000_000, 0)
 	b := budget.NewRetryBudget(budget.Options{Ratio: 0.2, Window: 10 * time.Second})
 	for range 5 {
-		b.Request(now, "advisor")
+		b.CountRequest(now, "advisor")
 	}
 	fmt.Println(b.Take(now, "advisor"))
 	fmt.Println(b.Take(now, "advisor"))
--- a/internal/dataplane/feed.go
+++ b/internal/dataplane/feed.go
@@ -19,8 +19,8 @@
 	p.deliver(output.Sends)
 	if output.ConfigChanged {
 		p.takeConfig(now)
-		if output.Applied != nil {
-			p.deliver(p.home.SetConfig(now, *output.Applied).Sends)
+		if output.AppliedUpdate != nil {
+			p.deliver(p.home.SetConfig(now, *output.AppliedUpdate).Sends)
 		}
 	}
 	if len(output.InstancesChanged) > 0 {
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -19,7 +19,7 @@
 	speeds := p.selector.Speeds()
 	p.selectorLock.Unlock()
 	p.mu.Lock()
-	loads := p.loads.Figures(now)
+	loads := p.loads.Stats(now)
 	p.mu.Unlock()
 	families := requestFamilies(p.server.Stats())
 	families = append(families, endpointFamilies(&counts)...)
@@ -31,7 +31,7 @@
 
 func requestFamilies(stats proxy.Stats) []*dto.MetricFamily {
 	var late []*dto.Metric
-	for cause, count := range stats.Causes {
+	for cause, count := range stats.LateByCause {
 		late = append(late, metrics.CounterMetric(count, metrics.Label("cause", proxy.Cause(cause).String())))
 	}
 	return []*dto.MetricFamily{
@@ -81,7 +81,7 @@
 	}
 }
 
-func loadFamilies(loads workload.Figures) []*dto.MetricFamily {
+func loadFamilies(loads workload.Stats) []*dto.MetricFamily {
 	return []*dto.MetricFamily{
 		metrics.Gauge("wallflow_relay_load_hub", "1 while this relay adds up the loads of its zone", metrics.Bool(loads.Hub)),
 		metrics.Gauge("wallflow_relay_load_known", "1 while the loads of the other relays are known", metrics.Bool(loads.Known)),
--- a/internal/dataplane/metrics_test.go
+++ b/internal/dataplane/metrics_test.go
@@ -19,13 +19,13 @@
 // What a scraper reads of a relay's figures is what they are.
 func TestFiguresAreWrittenAsAScraperReadsThem(t *testing.T) {
 	stats := proxy.Stats{Requests: 7, Refused: 2}
-	stats.Causes[proxy.CauseReading] = 3
+	stats.LateByCause[proxy.CausePrefill] = 3
 	counts := selector.Counts{Warm: 5, Skipped: 1, Matched: []selector.RuleCount{{Rule: "full", Times: 4}}}
 	var families []*dto.MetricFamily
 	families = append(families, requestFamilies(stats)...)
 	families = append(families, endpointFamilies(&counts)...)
 	families = append(families, speedFamilies([]selector.Speed{{Service: "m", TokensPerMs: 37.9, Answers: 12}})...)
-	families = append(families, loadFamilies(workload.Figures{Hub: true, Zones: 2})...)
+	families = append(families, loadFamilies(workload.Stats{Hub: true, Zones: 2})...)
 	recorder := httptest.NewRecorder()
 	metrics.Write(recorder, families)
 	parser := expfmt.NewTextParser(model.UTF8Validation)
--- a/internal/dataplane/peers.go
+++ b/internal/dataplane/peers.go
@@ -119,7 +119,7 @@
 // logDarkZones says which zones the selector leaves alone, when that has changed.
 func (p *Process) logDarkZones() {
 	p.selectorLock.Lock()
-	dark := p.selector.DarkZones()
+	dark := p.selector.UnreachableZones()
 	p.selectorLock.Unlock()
 	if slices.Equal(dark, p.darkZones) {
 		return
@@ -151,7 +151,7 @@
 	p.doubted = doubted
 	p.selectorLock.Lock()
 	defer p.selectorLock.Unlock()
-	p.selector.SetDoubtedZones(doubted)
+	p.selector.SetSuspectedZones(doubted)
 }
 
 // viewPeers lists the relays that are alive.
--- a/internal/dataplane/process.go
+++ b/internal/dataplane/process.go
@@ -76,7 +76,7 @@
 	if len(disabled) > 0 {
 		log.Warn("mechanisms of the decision are switched off", "disabled", disabled)
 	}
-	p.pool = upstream.NewPool(upstream.Options{Connected: p.connected})
+	p.pool = upstream.NewPool(upstream.Options{OnConnect: p.connected})
 	p.selector = selector.New(selector.Options{
 		Zone:   set.Zone,
 		Region: set.Region,
@@ -106,9 +106,9 @@
 		ApplyPatch: config.ApplyTrustedPatch,
 	}, now)
 	p.loads = workload.New(workload.Options{
-		Self:      workload.Member{Address: set.InternalAddress(), Zone: set.Zone},
-		Life:      seed,
-		LinkBytes: set.Limits.LinkBytes(),
+		Self:               workload.Member{Address: set.InternalAddress(), Zone: set.Zone},
+		Life:               seed,
+		LinkBytesPerSecond: set.Limits.LinkBytes(),
 	})
 	p.home = distribution.NewPublisher(set.Node+now.Format(time.RFC3339Nano), now)
 	p.server = proxy.New(p.serverOptions())
@@ -130,16 +130,16 @@
 
 func (p *Process) serverOptions() proxy.Options {
 	return proxy.Options{
-		Config:     p.compiled.Load,
-		Chooser:    p.selector,
-		Lock:       &p.selectorLock,
-		Pool:       p.pool,
-		Ready:      p.ready.Load,
-		Local:      func(instance *registry.Instance) bool { return p.settings.Zones[instance.Zone] == p.settings.Region },
-		BodyMemory: int64(p.settings.Limits.MemoryMB) << 20 / bodyShare,
-		Grace:      p.settings.Bounds.Grace(),
-		MaxConns:   p.connectionShare,
-		Log:        p.log,
+		Config:      p.compiled.Load,
+		Chooser:     p.selector,
+		Lock:        &p.selectorLock,
+		Pool:        p.pool,
+		IsReady:     p.ready.Load,
+		IsLocal:     func(instance *registry.Instance) bool { return p.settings.Zones[instance.Zone] == p.settings.Region },
+		BodyMemory:  int64(p.settings.Limits.MemoryMB) << 20 / bodyShare,
+		GracePeriod: p.settings.Bounds.Grace(),
+		MaxConns:    p.connectionShare,
+		Log:         p.log,
 	}
 }
 
--- a/internal/dataplane/program.go
+++ b/internal/dataplane/program.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	platform := process.server.ReadyServer(process.figures)
+	platform := process.server.MonitoringServer(process.figures)
 	failed := make(chan error, 3)
 	if set.Listen.Directory != "" {
 		directory, err := httpapi.Listen(set.Listen.Directory, process.DirectoryHandler())
--- a/internal/dataplane/workload.go
+++ b/internal/dataplane/workload.go
@@ -11,7 +11,7 @@
 
 // shareLoads tells the other relays what this one has at endpoints, and the selector what they have, until the context ends.
 func (p *Process) shareLoads(ctx context.Context) {
-	ticker := time.NewTicker(workload.LocalEvery)
+	ticker := time.NewTicker(workload.LocalInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -31,16 +31,16 @@
 	p.mu.Lock()
 	sends := p.loads.Tick(now, own)
 	others, sums, known := p.loads.Others(now)
-	readings := p.loads.TakeReadings()
+	readings := p.loads.TakePrefills()
 	p.mu.Unlock()
 	for _, send := range sends {
 		p.mesh.Send(send.To, transport.KindWorkload, send.Message)
 	}
 	p.selectorLock.Lock()
 	defer p.selectorLock.Unlock()
-	p.selector.SetOthers(now, others, known)
-	p.selector.SetOthersSums(sums)
-	p.selector.NoteReadings(now, readings)
+	p.selector.SetOtherLoads(now, others, known)
+	p.selector.SetOtherSpeedSums(sums)
+	p.selector.RecordPrefills(now, readings)
 	proxy.WakeAll(p.selector)
 }
 
@@ -48,5 +48,5 @@
 func (p *Process) connected(instanceID string, took time.Duration) {
 	p.selectorLock.Lock()
 	defer p.selectorLock.Unlock()
-	p.selector.Connected(instanceID, took)
+	p.selector.RecordConnectTime(instanceID, took)
 }
--- a/internal/distribution/apply.go
+++ b/internal/distribution/apply.go
@@ -33,7 +33,7 @@
 		s.config.Restored = append(s.config.Restored, restoration)
 	}
 	output.ConfigChanged = true
-	output.Applied = &Update{ConfigState: s.config, Steps: steps}
+	output.AppliedUpdate = &Update{ConfigState: s.config, Steps: steps}
 	return true
 }
 
--- a/internal/distribution/simulation_test.go
+++ b/internal/distribution/simulation_test.go
@@ -95,7 +95,7 @@
 	if collected := sim.outputs[from]; collected != nil {
 		collected.merge(Output{
 			ConfigChanged:    output.ConfigChanged,
-			Applied:          output.Applied,
+			AppliedUpdate:    output.AppliedUpdate,
 			InstancesChanged: output.InstancesChanged,
 		})
 	}
@@ -114,8 +114,8 @@
 		if home.name != from {
 			continue
 		}
-		if output.Applied != nil {
-			sim.handleOutput("", Output{Sends: home.publisher.SetConfig(sim.now, *output.Applied).Sends})
+		if output.AppliedUpdate != nil {
+			sim.handleOutput("", Output{Sends: home.publisher.SetConfig(sim.now, *output.AppliedUpdate).Sends})
 		}
 		if len(output.InstancesChanged) > 0 {
 			sends := home.publisher.SetInstances(sim.now, output.InstancesChanged).Sends
--- a/internal/distribution/state.go
+++ b/internal/distribution/state.go
@@ -57,7 +57,7 @@
 type Output struct {
 	Sends            []Send
 	ConfigChanged    bool
-	Applied          *Update             // with ConfigChanged: the update, for the publisher of a home relay to forward
+	AppliedUpdate    *Update             // with ConfigChanged: the update, for the publisher of a home relay to forward
 	InstancesChanged []registry.Instance // in their current state
 }
 
@@ -67,7 +67,7 @@
 	o.InstancesChanged = append(o.InstancesChanged, other.InstancesChanged...)
 	if other.ConfigChanged {
 		o.ConfigChanged = true
-		o.Applied = other.Applied
+		o.AppliedUpdate = other.AppliedUpdate
 	}
 }
 
--- a/internal/experiment/sharing.go
+++ b/internal/experiment/sharing.go
@@ -46,11 +46,11 @@
 			})
 		}
 		loads, sums, known := node.Others(now)
-		s.selectors[relay].SetOthers(now, loads, known)
-		s.selectors[relay].SetOthersSums(sums)
-		s.selectors[relay].NoteReadings(now, node.TakeReadings())
+		s.selectors[relay].SetOtherLoads(now, loads, known)
+		s.selectors[relay].SetOtherSpeedSums(sums)
+		s.selectors[relay].RecordPrefills(now, node.TakePrefills())
 	}
 	if now.Before(s.until) {
-		s.world.at(now.Add(workload.LocalEvery), s.tick)
+		s.world.at(now.Add(workload.LocalInterval), s.tick)
 	}
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -76,7 +76,7 @@
 // upstreamTarget returns where and within which limits to connect to an instance.
 func (e *exchange) upstreamTarget(instance *registry.Instance, now time.Time) upstream.Target {
 	maxTimeout := maxRemoteDialTimeout
-	if e.server.options.Local(instance) {
+	if e.server.options.IsLocal(instance) {
 		maxTimeout = maxLocalDialTimeout
 	}
 	target := upstream.Target{
@@ -165,7 +165,7 @@
 // handleDeclined tries the next endpoint after a response that proves that the request did not run.
 func (e *exchange) handleDeclined(attempt *selector.Attempt, response *upstream.Response, kind selector.OutcomeKind) stepResult {
 	e.readBuffered(response) // so that the connection can be reused
-	return e.finishAttempt(attempt, selector.Outcome{Kind: kind, ToldWait: parseSeconds(response.Header.Get(headerRetryAfter))})
+	return e.finishAttempt(attempt, selector.Outcome{Kind: kind, RetryAfter: parseSeconds(response.Header.Get(headerRetryAfter))})
 }
 
 // handleOtherDecline handles a response that proves that the request did not run, but whose status is neither 429 nor 503. A
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -27,16 +27,16 @@
 	if s.draining.Swap(true) {
 		return true
 	}
-	drainDuration := s.options.Grace - drainMargin
+	drainDuration := s.options.GracePeriod - drainMargin
 	deadline := time.Now().Add(drainDuration)
 	requestDeadline := deadline.Add(-maxResponseMargin)
 	s.drainDeadline.Store(&requestDeadline)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	refuseTimer := time.AfterFunc(s.options.Grace-refuseWaitingMargin, func() { close(s.refuseWaiting) })
+	refuseTimer := time.AfterFunc(s.options.GracePeriod-refuseWaitingMargin, func() { close(s.refuseWaiting) })
 	defer refuseTimer.Stop()
 
-	s.options.Log.Info("draining", "grace", s.options.Grace)
+	s.options.Log.Info("draining", "grace", s.options.GracePeriod)
 	sleep(ctx, min(drainAcceptDuration, drainDuration/acceptGraceDivisor))
 	s.acceptor.stopAccepting()
 	complete := s.acceptor.waitForClients(ctx)
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -142,7 +142,7 @@
 func TestWaitingRequestIsRefusedNearEndOfDrain(t *testing.T) {
 	chooser := newFakeChooser()
 	chooser.waitCalls = make(chan bool, 64)
-	relay := newTestRelay(t, compiledConfig(config.KindUnsafe, nil), chooser, func(o *Options) { o.Grace = 1500 * time.Millisecond })
+	relay := newTestRelay(t, compiledConfig(config.KindUnsafe, nil), chooser, func(o *Options) { o.GracePeriod = 1500 * time.Millisecond })
 	client := relay.connect()
 	client.sendRequest("POST", "/x", "id1", "", "")
 	<-chooser.waitCalls
@@ -154,7 +154,7 @@
 func TestDrainEndsWithGracePeriod(t *testing.T) {
 	endpoint := newFakeEndpoint(t, "i-1", neverRespond)
 	relay := newTestRelay(t, compiledConfig(config.KindUnsafe, nil), newFakeChooser(endpoint),
-		func(o *Options) { o.Grace = 700 * time.Millisecond })
+		func(o *Options) { o.GracePeriod = 700 * time.Millisecond })
 	client := relay.connect()
 	client.sendRequest("POST", "/x", "id1", "", "")
 	<-endpoint.requests
@@ -165,7 +165,7 @@
 
 func TestSecondDrainReturnsAtOnce(t *testing.T) {
 	relay := newTestRelay(t, compiledConfig(config.KindUnsafe, nil), newFakeChooser(),
-		func(o *Options) { o.Grace = 600 * time.Millisecond })
+		func(o *Options) { o.GracePeriod = 600 * time.Millisecond })
 	relay.drainAll(t)
 	assert.Assert(t, relay.server.Drain(context.Background()))
 }
--- a/internal/proxy/failure_test.go
+++ b/internal/proxy/failure_test.go
@@ -109,7 +109,7 @@
 	endpoint := newFakeEndpoint(t, "i-1", respondWith(503, "", "X-Not-Executed: 1\r\nRetry-After: 1.5\r\n"))
 	relay := newTestRelay(t, compiledConfig(config.KindUnsafe, nil), newFakeChooser(endpoint), nil)
 	wantRefusal(t, relay.requestOnce("", ""))
-	assert.Equal(t, relay.outcome(0).ToldWait, 1500*time.Millisecond)
+	assert.Equal(t, relay.outcome(0).RetryAfter, 1500*time.Millisecond)
 }
 
 // An error response of an endpoint is kept, and forwarded if the other endpoints give no complete response.
--- a/internal/proxy/fake_test.go
+++ b/internal/proxy/fake_test.go
@@ -152,9 +152,9 @@
 		c.waitCalls <- true
 		return selector.Decision{Kind: selector.Wait, Until: now.Add(testTime)}
 	case c.mayHaveRun[request] > 0 && (!request.Route.Idempotent() || next >= len(c.endpoints)):
-		return selector.Decision{Kind: selector.Fail, Reason: selector.ReasonRan}
+		return selector.Decision{Kind: selector.Fail, Reason: selector.ReasonMayHaveRun}
 	case next >= len(c.endpoints):
-		return selector.Decision{Kind: selector.Refuse, RetryAfter: 250 * time.Millisecond, Reason: selector.ReasonNone}
+		return selector.Decision{Kind: selector.Refuse, RetryAfter: 250 * time.Millisecond, Reason: selector.ReasonNoEndpoint}
 	}
 	c.nextIndex[request]++
 	attempt := new(selector.Attempt)
@@ -222,7 +222,7 @@
 	relay := &testRelay{t: t, chooser: chooser, serveDone: make(chan bool)}
 	options := Options{
 		Config: func() *config.Compiled { return compiled }, Chooser: chooser, Lock: &relay.lock,
-		Pool: upstream.NewPool(upstream.Options{}), Grace: 3 * time.Second,
+		Pool: upstream.NewPool(upstream.Options{}), GracePeriod: 3 * time.Second,
 	}
 	if change != nil {
 		change(&options)
--- a/internal/proxy/ready.go
+++ b/internal/proxy/ready.go
@@ -12,8 +12,8 @@
 
 const readyTimeout = 2 * time.Second
 
-// ReadyServer returns the server for the platform's readiness probes, GET /readyz, and for metrics, GET /metrics.
-func (s *Server) ReadyServer(gatherMetrics func() []*dto.MetricFamily) *http.Server {
+// MonitoringServer returns the server for the platform's readiness probes, GET /readyz, and for metrics, GET /metrics.
+func (s *Server) MonitoringServer(gatherMetrics func() []*dto.MetricFamily) *http.Server {
 	router := httprouter.New()
 	router.GET("/metrics", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) { metrics.Write(w, gatherMetrics()) })
 	router.GET("/readyz", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) { s.writeReady(w) })
@@ -22,7 +22,7 @@
 
 // IsReady reports whether clients should send requests to this relay.
 func (s *Server) IsReady() bool {
-	return !s.draining.Load() && s.options.Config() != nil && (s.options.Ready == nil || s.options.Ready())
+	return !s.draining.Load() && s.options.Config() != nil && (s.options.IsReady == nil || s.options.IsReady())
 }
 
 // writeReady responds to a readiness probe.
--- a/internal/proxy/ready_test.go
+++ b/internal/proxy/ready_test.go
@@ -19,7 +19,7 @@
 // readyStatus returns the status of a readiness probe.
 func readyStatus(s *Server) int {
 	recorder := httptest.NewRecorder()
-	s.ReadyServer(func() []*dto.MetricFamily { return nil }).Handler.ServeHTTP(recorder,
+	s.MonitoringServer(func() []*dto.MetricFamily { return nil }).Handler.ServeHTTP(recorder,
 		httptest.NewRequest(http.MethodGet, "/readyz", nil))
 	return recorder.Code
 }
@@ -27,8 +27,8 @@
 func TestReady(t *testing.T) {
 	ready := false
 	relay := newTestRelay(t, compiledConfig(config.KindSafe, nil), newFakeChooser(), func(o *Options) {
-		o.Ready = func() bool { return ready }
-		o.Grace = 600 * time.Millisecond
+		o.IsReady = func() bool { return ready }
+		o.GracePeriod = 600 * time.Millisecond
 	})
 	assert.Equal(t, readyStatus(relay.server), http.StatusServiceUnavailable)
 	ready = true
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -20,7 +20,7 @@
 	CauseClientGone              // the client disconnected before the response was complete
 	CauseRetried                 // an attempt before the last one failed
 	CauseHeld                    // the relay held the request for over a quarter of its target latency, or never sent it
-	CauseReading                 // the expected prefill time at the endpoint was more than half of the target latency
+	CausePrefill                 // the expected prefill time at the endpoint was more than half of the target latency
 	CauseQueued                  // none of the above: the endpoint began to work on the request late
 	CauseEventGap                // the first byte was in time, but a pause between two events was too long
 	causeCount                   // number of causes
@@ -134,8 +134,8 @@
 	switch {
 	case record.attempts == 0, record.lastAttempt.SentAt.Sub(e.arrived) > targetLatency/heldDivisor:
 		return CauseHeld
-	case record.lastAttempt.Own > targetLatency/prefillDivisor:
-		return CauseReading
+	case record.lastAttempt.Processing > targetLatency/prefillDivisor:
+		return CausePrefill
 	}
 	return CauseQueued
 }
@@ -175,8 +175,8 @@
 func (e *exchange) attemptFields(attempt *sentAttempt) []any {
 	fields := []any{
 		"instance", attempt.Instance, "zone", attempt.Zone, "held", attempt.SentAt.Sub(e.arrived),
-		"expected", attempt.First(), "wait", attempt.Wait, "late", attempt.Late,
-		"own", attempt.Own, "travel", attempt.Travel, "unread", attempt.Reading, "kept", attempt.Kept,
+		"expected", attempt.First(), "wait", attempt.Wait, "late", attempt.Lateness,
+		"own", attempt.Processing, "travel", attempt.Network, "unread", attempt.PrefillTokens, "kept", attempt.CachedParts,
 		"ranked", attempt.Ranked, "requests", attempt.Requests,
 		"forced", attempt.Forced,
 	}
@@ -190,7 +190,7 @@
 func (s *Server) logSummary() {
 	stats := s.Stats()
 	fields := []any{"requests", stats.Requests, "answered", stats.Answered, "attempts", stats.Attempts}
-	for cause, count := range stats.Causes {
+	for cause, count := range stats.LateByCause {
 		if count > 0 {
 			fields = append(fields, Cause(cause).String(), count)
 		}
--- a/internal/proxy/record_test.go
+++ b/internal/proxy/record_test.go
@@ -18,7 +18,7 @@
 	const targetLatency = time.Second
 	arrived := time.Unix(100, 0)
 	attempt := func(held, own time.Duration) sentAttempt {
-		return sentAttempt{new(selector.Attempt), selector.Forecast{SentAt: arrived.Add(held), Own: own}}
+		return sentAttempt{new(selector.Attempt), selector.Forecast{SentAt: arrived.Add(held), Processing: own}}
 	}
 	for _, c := range []struct {
 		name   string
@@ -27,7 +27,7 @@
 	}{
 		{"nothing was sent", requestRecord{}, CauseHeld},
 		{"sent late", requestRecord{attempts: 1, lastAttempt: attempt(300*time.Millisecond, 0)}, CauseHeld},
-		{"long prefill", requestRecord{attempts: 1, lastAttempt: attempt(0, 600*time.Millisecond)}, CauseReading},
+		{"long prefill", requestRecord{attempts: 1, lastAttempt: attempt(0, 600*time.Millisecond)}, CausePrefill},
 		{"queued at the endpoint", requestRecord{attempts: 1, lastAttempt: attempt(0, 50*time.Millisecond)}, CauseQueued},
 		{"sent twice", requestRecord{attempts: 2, lastAttempt: attempt(0, 600*time.Millisecond)}, CauseRetried},
 	} {
@@ -51,7 +51,7 @@
 		got := relay.requestOnce("", "")
 		assert.Equal(t, got.StatusCode, 502)
 		assert.Assert(t, <-relay.drain())
-		assert.Equal(t, relay.server.Stats().Causes[CauseFailed], uint64(1))
+		assert.Equal(t, relay.server.Stats().LateByCause[CauseFailed], uint64(1))
 		text := log.String()
 		assert.Equal(t, strings.Contains(text, "request late or failed"), level == slog.LevelDebug, text)
 		assert.Assert(t, strings.Contains(text, "request summary") && strings.Contains(text, "failed=1"), text)
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -38,15 +38,15 @@
 	Chooser  Chooser
 	Lock     sync.Locker                       // guards the Chooser, in this package and in its other users
 	Pool     *upstream.Pool                    // connections to endpoints; closed by Server.Close
-	Ready    func() bool                       // whether clients should use this relay; nil: always
-	Local    func(*registry.Instance) bool     // whether an instance is in this relay's region; nil: all are
+	IsReady  func() bool                       // whether clients should use this relay; nil: always
+	IsLocal  func(*registry.Instance) bool     // whether an instance is in this relay's region; nil: all are
 	MaxConns func(service *config.Backend) int // this relay's share of the connections to an endpoint; nil: service.MaxConns
 
-	BodyMemory int64            // bytes for all request bodies that exceed 16 KiB or have no length; 0: 64 MiB
-	MaxClients int              // maximum number of client connections; 0: 2,400
-	Grace      time.Duration    // time from the stop signal to the end of the process; 0: 8 s
-	Now        func() time.Time // nil: time.Now
-	Log        *slog.Logger     // nil: no log
+	BodyMemory  int64            // bytes for all request bodies that exceed 16 KiB or have no length; 0: 64 MiB
+	MaxClients  int              // maximum number of client connections; 0: 2,400
+	GracePeriod time.Duration    // time from the stop signal to the end of the process; 0: 8 s
+	Now         func() time.Time // nil: time.Now
+	Log         *slog.Logger     // nil: no log
 }
 
 // withDefaults returns the options with defaults for those that are not set.
@@ -57,8 +57,8 @@
 	if o.MaxClients <= 0 {
 		o.MaxClients = defaultMaxClients
 	}
-	if o.Grace <= 0 {
-		o.Grace = defaultGrace
+	if o.GracePeriod <= 0 {
+		o.GracePeriod = defaultGrace
 	}
 	if o.Now == nil {
 		o.Now = time.Now
@@ -66,8 +66,8 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.Local == nil {
-		o.Local = func(*registry.Instance) bool { return true }
+	if o.IsLocal == nil {
+		o.IsLocal = func(*registry.Instance) bool { return true }
 	}
 	if o.MaxConns == nil {
 		o.MaxConns = func(service *config.Backend) int { return service.MaxConns }
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -24,7 +24,7 @@
 	OutOfOrder     uint64 // streams with event ids that did not increase as expected
 	Shed           uint64 // idle client connections closed to make room
 
-	Causes [causeCount]uint64 // late and unanswered requests, by Cause
+	LateByCause [causeCount]uint64 // late and unanswered requests, by Cause
 
 	Clients   int   // open client connections
 	BodyBytes int64 // memory reserved for request bodies, without pooled buffers
@@ -48,8 +48,8 @@
 		NoStamp: counts.noStamp.Load(), OutOfOrder: counts.outOfOrder.Load(),
 		BodyBytes: s.bodies.used.Load(), Upstream: s.options.Pool.Stats(),
 	}
-	for cause := range stats.Causes {
-		stats.Causes[cause] = s.causeCounts[cause].Load()
+	for cause := range stats.LateByCause {
+		stats.LateByCause[cause] = s.causeCounts[cause].Load()
 	}
 	stats.Clients, stats.Shed = s.acceptor.count()
 	return stats
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -59,7 +59,7 @@
 
 // mayKeep says with an answer that its connection ends, where it is to.
 func (r *Relay) mayKeep(w http.ResponseWriter) {
-	if !r.does.Load().Keep {
+	if !r.does.Load().KeepAlive {
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/internal/relay/door.go
+++ b/internal/relay/door.go
@@ -53,10 +53,10 @@
 	mu       sync.Mutex
 	most     int
 	visits   map[net.Conn]visit
-	does     policy.Door   // what the module has it do
-	sweeping bool          // a sweep is to come
-	left     chan struct{} // closed and made anew when a connection ends or changes its state
-	shed     int           // closed at the cap since the last line that told so
+	does     policy.ListenerState // what the module has it do
+	sweeping bool                 // a sweep is to come
+	left     chan struct{}        // closed and made anew when a connection ends or changes its state
+	shed     int                  // closed at the cap since the last line that told so
 	loggedAt time.Time
 
 	stopsBy time.Time // the listener closes then at the latest; zero: it does not
@@ -240,7 +240,7 @@
 func newDoor(l net.Listener, log *slog.Logger, most int) *door {
 	return &door{
 		Listener: l, log: log, most: most, closed: make(chan struct{}),
-		visits: map[net.Conn]visit{}, left: make(chan struct{}), does: policy.Door{Listen: true, IdleFor: -1},
+		visits: map[net.Conn]visit{}, left: make(chan struct{}), does: policy.ListenerState{Listen: true, IdleTimeout: -1},
 	}
 }
 
@@ -390,7 +390,7 @@
 
 // attend does what the module decided: it ends idle connections, now or as they get older, and stops listening. It
 // never waits.
-func (d *door) attend(does policy.Door) {
+func (d *door) attend(does policy.ListenerState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	closing := d.does.Listen && !does.Listen
@@ -399,7 +399,7 @@
 		go d.stopListening()
 	}
 	d.sweep1()
-	if !d.sweeping && does.IdleFor >= 0 {
+	if !d.sweeping && does.IdleTimeout >= 0 {
 		d.sweeping = true
 		time.AfterFunc(sweepEvery, d.sweep)
 	}
@@ -410,7 +410,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.sweep1()
-	if d.sweeping = d.does.IdleFor >= 0 && len(d.visits) > 0; d.sweeping {
+	if d.sweeping = d.does.IdleTimeout >= 0 && len(d.visits) > 0; d.sweeping {
 		time.AfterFunc(sweepEvery, d.sweep)
 	}
 }
@@ -418,18 +418,18 @@
 // sweep1 is one look at all connections. One on which part of a request has come is never idle, whatever the server has told
 // of it: it tells once it has read a whole head.
 func (d *door) sweep1() {
-	if d.does.IdleFor < 0 {
+	if d.does.IdleTimeout < 0 {
 		return
 	}
 	now := time.Now()
 	for conn, v := range d.visits {
-		least := max(silentFor, d.does.IdleFor)
+		least := max(silentFor, d.does.IdleTimeout)
 		g, ok := conn.(*guest)
 		switch {
 		case !ok:
 			continue
 		case v.state == http.StateIdle:
-			least = d.does.IdleFor
+			least = d.does.IdleTimeout
 		case v.state != http.StateNew:
 			continue
 		}
--- a/internal/relay/door_crossings_test.go
+++ b/internal/relay/door_crossings_test.go
@@ -51,7 +51,7 @@
 	for name, later := range map[string]time.Duration{"before": 0, "with it": 2 * time.Millisecond, "after": 50 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			r, _, dial := tcpRelay(t, 16)
-			r.does.Store(&policy.Door{Ready: true, Listen: true, Send: true}) // keeps none
+			r.does.Store(&policy.ListenerState{Ready: true, Listen: true, Send: true}) // keeps none
 			conn := dial()
 			next := strings.Replace(handInHead("m2"), "Host:", "X-Pad: "+strings.Repeat("x", 12<<10)+"\r\nHost:", 1) + "Content-Length: 60000\r\n\r\n" + strings.Repeat("y", 60000)
 			if _, err := io.WriteString(conn, request("m1")); err != nil {
@@ -171,9 +171,9 @@
 // the right to be closed by then.
 func playArrivalsAtAClosingListener(t *testing.T) (played bool) {
 	r, d, _ := tcpRelay(t, 64)
-	d.attend(policy.Door{IdleFor: -1, Send: true})
+	d.attend(policy.ListenerState{IdleTimeout: -1, Send: true})
 	last := time.Now() // the listener has waited anew since then, at the latest
-	r.does.Store(&policy.Door{Send: true})
+	r.does.Store(&policy.ListenerState{Send: true})
 	for i := range 8 {
 		begun := time.Now()
 		err := handInOnce(t, d.Addr().String(), fmt.Sprint("m", i))
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -11,8 +11,8 @@
 )
 
 // attend has the client side do what the module decided.
-func (r *Relay) attend(does policy.Door) {
-	r.log.Info("door", "ready", does.Ready, "keep", does.Keep, "listen", does.Listen, "send", does.Send, "over", does.Over)
+func (r *Relay) attend(does policy.ListenerState) {
+	r.log.Info("door", "ready", does.Ready, "keep", does.KeepAlive, "listen", does.Listen, "send", does.Send, "over", does.Exit)
 	r.does.Store(&does)
 	if r.entry != nil {
 		r.entry.attend(does)
@@ -148,7 +148,7 @@
 	r.retire(m)
 	return append(evs, policy.Event{
 		Kind: policy.Finished, ID: m.ID, Attempt: a.n, Route: a.route, Outcome: res.outcome, Took: time.Since(a.sent),
-		Ended: ok || res.gone, Wait: res.wait, Report: res.report,
+		Ended: ok || res.gone, RetryAfter: res.wait, Report: res.report,
 	})
 }
 
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -342,7 +342,7 @@
 		c.Settings.Order[n] = order.Routes
 	}
 	if doc.Skip != nil {
-		c.Settings.SkipFirst, c.Settings.SkipMost = millis(float64(doc.Skip.FirstMS)), millis(float64(doc.Skip.MostMS))
+		c.Settings.FirstSkip, c.Settings.MaxSkip = millis(float64(doc.Skip.FirstMS)), millis(float64(doc.Skip.MostMS))
 	}
 	return c, c.Settings.Check()
 }
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -139,7 +139,7 @@
 	}
 	r.figures.active.Store(int64(r.held))
 	r.figures.poolSize.Store(int64(len(r.routes)))
-	r.figures.poolEjected.Store(int64(r.sender.Avoided()))
+	r.figures.poolEjected.Store(int64(r.sender.SkippedRoutes()))
 	r.endIfIdle()
 	if successor != nil {
 		r.handRelayOver(successor)
@@ -149,14 +149,14 @@
 // endIfIdle tells Run where the module has ended the relay, or has closed its door and nothing is left to wait for.
 func (r *Relay) endIfIdle() {
 	does := r.does.Load()
-	if r.idled || does.Listen && !does.Over {
+	if r.idled || does.Listen && !does.Exit {
 		return
 	}
 	done := len(r.msgs) == 0 || !does.Send && r.out == 0
 	if r.hands != nil { // it stays for the other's sake until it is told to end
 		done = r.ending.Load() && r.out == 0 && len(r.hands.pending) == 0
 	}
-	if does.Over || done && r.entry.count() == 0 {
+	if does.Exit || done && r.entry.count() == 0 {
 		r.idled = true
 		close(r.idle)
 		return
--- a/internal/relay/mgmt_test.go
+++ b/internal/relay/mgmt_test.go
@@ -66,7 +66,7 @@
 		if got := ask(t, l.dial(), "status\n"); got != "YES\n" {
 			t.Errorf("serving: %q", got)
 		}
-		r.does.Store(&policy.Door{Listen: true})
+		r.does.Store(&policy.ListenerState{Listen: true})
 		if got := ask(t, l.dial(), "status\n"); got != "NO\n" {
 			t.Errorf("in a drain: %q", got)
 		}
@@ -241,7 +241,7 @@
 				t.Fatalf("before: %s, closes %v", res.Status, res.Close)
 			}
 		}
-		r.attend(policy.Door{IdleFor: time.Second, Listen: true, Send: true})
+		r.attend(policy.ListenerState{IdleTimeout: time.Second, Listen: true, Send: true})
 		if res := health(used); res.StatusCode == http.StatusOK || !res.Close {
 			t.Errorf("in a drain: %s, closes %v", res.Status, res.Close)
 		}
@@ -253,13 +253,13 @@
 		if took := time.Since(began); took < 900*time.Millisecond || took > 1200*time.Millisecond {
 			t.Errorf("idle for %v", took)
 		}
-		r.attend(policy.Door{Listen: true, Send: true})
+		r.attend(policy.ListenerState{Listen: true, Send: true})
 		time.Sleep(200 * time.Millisecond)
 		go io.WriteString(half, "Host: x\r\n\r\n")
 		if res, err := http.ReadResponse(bufio.NewReader(half), nil); err != nil || !res.Close {
 			t.Errorf("a request that was coming in: %v", err)
 		}
-		r.attend(policy.Door{Ready: true, Keep: true, IdleFor: -1, Listen: true, Send: true})
+		r.attend(policy.ListenerState{Ready: true, KeepAlive: true, IdleTimeout: -1, Listen: true, Send: true})
 		back := l.dial()
 		if res := health(back); res.StatusCode != http.StatusOK || res.Close {
 			t.Errorf("after it: %s, closes %v", res.Status, res.Close)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -97,7 +97,7 @@
 	alone  atomic.Bool           // or had it, and is gone
 	back   atomic.Bool           // the process is to start over
 	ending atomic.Bool           // SIGTERM came
-	does   atomic.Pointer[policy.Door]
+	does   atomic.Pointer[policy.ListenerState]
 	calls  sync.WaitGroup
 	entry  *door // nil until the relay serves
 
@@ -189,7 +189,7 @@
 	}
 	r.finals = newFinals(log, r.agent, cfg.Discovery, func(ids []uint32) { r.post(confirmed{ids}) })
 	r.found = recovered
-	r.does.Store(&policy.Door{Ready: true, Keep: true, IdleFor: -1, Listen: true, Send: true})
+	r.does.Store(&policy.ListenerState{Ready: true, KeepAlive: true, IdleTimeout: -1, Listen: true, Send: true})
 	r.force = cfg
 	if err := r.install(cfg); err != nil {
 		return nil, errors.Join(fmt.Errorf("relay: %w", err), w.Close())
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -326,7 +326,7 @@
 	var calls []*call
 	for i, size := range []int{20_000, 20_000, 20_000, 0, 64 << 10, 5} {
 		m := &message{Message: &wal.Message{Trace: fmt.Sprint("<", i, ">"), Key: "&&&&", Body: make([]byte, size)}}
-		calls = r.addSend(calls, m, policy.Action{Kind: policy.Send, Route: "s-1", At: time.Minute})
+		calls = r.addSend(calls, m, policy.Action{Kind: policy.Send, Route: "s-1", TimeoutAt: time.Minute})
 	}
 	sent := 0
 	for _, c := range calls {
@@ -452,7 +452,7 @@
 			in := &handIn{m: &wal.Message{Trace: fmt.Sprint(id), Key: "k", Dest: 7, Deadline: time.Now().Add(patience)}, class: r.names.Load().classes["order"], reply: make(chan answer, 1)}
 			r.step([]any{in})
 		}
-		for end := time.Now().Add(patience); len(r.sender.Doubts()) == 0 && time.Now().Before(end); {
+		for end := time.Now().Add(patience); len(r.sender.Suspicions()) == 0 && time.Now().Before(end); {
 			select {
 			case e := <-r.events:
 				r.step([]any{e})
@@ -460,7 +460,7 @@
 				r.step(nil)
 			}
 		}
-		want := fmt.Sprint(r.sender.Doubts())
+		want := fmt.Sprint(r.sender.Suspicions())
 		if want == "[]" {
 			t.Fatal("no doubt came of refused connections")
 		}
@@ -481,7 +481,7 @@
 		if !listed {
 			next.step([]any{known})
 		}
-		if got := fmt.Sprint(next.sender.Doubts()); got != want {
+		if got := fmt.Sprint(next.sender.Suspicions()); got != want {
 			t.Errorf("listed at the start %v: %s, wanted %s", listed, got, want)
 		}
 		next.calls.Wait()
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -63,10 +63,10 @@
 // noteDoubts has the log know what the module knows of outages, for the next process.
 func (r *Relay) noteDoubts() {
 	var now []wal.Doubt
-	for _, d := range r.sender.Doubts() {
-		x := wal.Doubt{Host: d.Route, Slight: d.Slight}
-		if d.Back > 0 {
-			x.Back = time.Now().Add(-d.Back)
+	for _, d := range r.sender.Suspicions() {
+		x := wal.Doubt{Host: d.Route, Slight: d.Weak}
+		if d.SinceDelivery > 0 {
+			x.Back = time.Now().Add(-d.SinceDelivery)
 		}
 		now = append(now, x)
 	}
@@ -75,13 +75,13 @@
 
 // recalled tells the module what the process before knew of outages.
 func (r *Relay) recalled(found []wal.Doubt) policy.Event {
-	e := policy.Event{Kind: policy.Recalled}
+	e := policy.Event{Kind: policy.SuspicionsRestored}
 	for _, d := range found {
-		x := policy.Doubt{Route: d.Host, Slight: d.Slight}
+		x := policy.Suspicion{Route: d.Host, Weak: d.Slight}
 		if !d.Back.IsZero() {
-			x.Back = max(1, time.Since(d.Back))
+			x.SinceDelivery = max(1, time.Since(d.Back))
 		}
-		e.Doubts = append(e.Doubts, x)
+		e.Suspicions = append(e.Suspicions, x)
 	}
 	return e
 }
@@ -101,16 +101,16 @@
 	e.Resumed = &policy.Resumed{Attempts: m.Attempts}
 	if len(m.MayRun) > 0 {
 		first := m.MayRun[0]
-		e.Resumed.Ran, e.Resumed.RanZone = true, first.Zone
-		e.Resumed.RanAgo = max(0, time.Since(first.At))
+		e.Resumed.MayHaveRun, e.Resumed.SentZone = true, first.Zone
+		e.Resumed.SentAgo = max(0, time.Since(first.At))
 	}
 	return e
 }
 
 func (r *Relay) taken(m *message) policy.Event {
 	e := policy.Event{
-		Kind: policy.Taken, ID: m.ID, Key: m.Order, Class: -1, Customer: m.Customer, Destination: m.Dest,
-		Left: time.Until(m.Deadline),
+		Kind: policy.Accepted, ID: m.ID, Key: m.Order, Class: -1, Customer: m.Customer, Destination: m.Dest,
+		TimeLeft: time.Until(m.Deadline),
 	}
 	if m.class != nil {
 		e.Terms = &m.class.terms
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -46,8 +46,8 @@
 			ended = append(ended, m)
 		case policy.Wake:
 			r.wakeAt = time.Now().Add(a.Delay) // the module keeps one wake in mind, the last that it asked for
-		case policy.Attend:
-			r.attend(a.Door)
+		case policy.SetListener:
+			r.attend(a.Listener)
 		case policy.CloseIdle:
 			r.hosts.closeIdle(r.routes[a.Route].addr)
 		}
@@ -88,9 +88,9 @@
 		c = &call{route: a.Route, addr: t.addr, zone: t.Zone, sent: time.Now()}
 		calls = append(calls, c)
 	}
-	until := r.started.Add(a.At)
+	until := r.started.Add(a.TimeoutAt)
 	c.size += size
-	if by := r.started.Add(a.Leave); a.Leave > 0 && (c.leaveBy.IsZero() || by.Before(c.leaveBy)) {
+	if by := r.started.Add(a.LeaveBy); a.LeaveBy > 0 && (c.leaveBy.IsZero() || by.Before(c.leaveBy)) {
 		c.leaveBy = by
 	}
 	c.attempts = append(c.attempts, &attempt{call: c, m: m, n: m.sends, until: until})
@@ -185,7 +185,7 @@
 func (r *Relay) mayLeave(c *call) []*attempt {
 	var going []*attempt
 	for _, a := range c.attempts {
-		if !r.noSends && r.sender.MayStill(a.m.ID, c.route, r.now()) {
+		if !r.noSends && r.sender.MayStillSend(a.m.ID, c.route, r.now()) {
 			going = append(going, a)
 		}
 	}
--- a/internal/relay/takeover.go
+++ b/internal/relay/takeover.go
@@ -458,8 +458,8 @@
 func (r *Relay) passActs(evs []policy.Event) {
 	for _, a := range r.sender.Step(r.now(), evs) {
 		switch a.Kind {
-		case policy.Attend:
-			r.attend(a.Door)
+		case policy.SetListener:
+			r.attend(a.Listener)
 		case policy.Wake:
 			r.wakeAt = time.Now().Add(a.Delay)
 		}
--- a/internal/selector/admission_test.go
+++ b/internal/selector/admission_test.go
@@ -148,7 +148,7 @@
 	for index := range f.list {
 		loads[f.s.endpoints[f.list[index].ID].key()] = load
 	}
-	f.s.SetOthers(f.now, loads, true)
+	f.s.SetOtherLoads(f.now, loads, true)
 }
 
 // slotsFor returns the number of an engine's slots that are in use at an occupancy.
@@ -205,7 +205,7 @@
 func TestMemoryFillsAnEngine(t *testing.T) {
 	f := newFleet(t)
 	f.engines(homeZone, 1)
-	f.setOthers(workload.Load{Requests: 3, Held: 600_000})
+	f.setOthers(workload.Load{Requests: 3, CacheTokens: 600_000})
 	assert.Equal(t, f.choose(f.request("query")).Kind, Wait)
 }
 
--- a/internal/selector/choose.go
+++ b/internal/selector/choose.go
@@ -73,7 +73,7 @@
 	request.serviceIndex = request.plan.pick(s.splitDraw(request))
 	request.service().recentCounts.countFor(now, request.Route.Priority).arrived++
 	if s.options.Budget != nil {
-		s.options.Budget.Request(now, request.service().name)
+		s.options.Budget.CountRequest(now, request.service().name)
 	}
 }
 
@@ -97,7 +97,7 @@
 	case request.timeLeft(now) <= 0:
 		return s.finalDecision(now, request, ReasonDeadline, 0), true
 	case !request.mayRunAgain():
-		return s.finalDecision(now, request, ReasonRan, 0), true
+		return s.finalDecision(now, request, ReasonMayHaveRun, 0), true
 	case request.arrivals >= request.Route.Retries+extraAttempts:
 		return s.finalDecision(now, request, ReasonAttempts, 0), true
 	}
@@ -216,7 +216,7 @@
 // waitOrRefuse decides for a request that no endpoint admits now.
 func (s *Selector) waitOrRefuse(now time.Time, request *Request, nextChange earliestChange) Decision {
 	if nextChange.at.IsZero() {
-		return s.finalDecision(now, request, ReasonNone, 0)
+		return s.finalDecision(now, request, ReasonNoEndpoint, 0)
 	}
 	if !s.enabled(Waiting) {
 		return s.finalDecision(now, request, ReasonSkipped, nextChange.at.Sub(now))
--- a/internal/selector/decision.go
+++ b/internal/selector/decision.go
@@ -37,14 +37,14 @@
 
 // The reasons of decisions that are not Send.
 const (
-	ReasonDeadline  Reason = "deadline"     // no time is left
-	ReasonRan       Reason = "may have run" // the request may have run and must not run again
-	ReasonBudget    Reason = "retry budget" // the retry budget allows no further attempt
-	ReasonAttempts  Reason = "attempts"     // enough endpoints were tried
-	ReasonSkipped   Reason = "all skipped"  // all endpoints are skipped, cold, or at their pacing rate
-	ReasonNone      Reason = "no endpoint"  // no endpoint may serve the request
-	ReasonOverload  Reason = "overload"     // no endpoint has capacity for the request
-	ReasonNoService Reason = "no service"   // the route of the request names no configured service
+	ReasonDeadline   Reason = "deadline"     // no time is left
+	ReasonMayHaveRun Reason = "may have run" // the request may have run and must not run again
+	ReasonBudget     Reason = "retry budget" // the retry budget allows no further attempt
+	ReasonAttempts   Reason = "attempts"     // enough endpoints were tried
+	ReasonSkipped    Reason = "all skipped"  // all endpoints are skipped, cold, or at their pacing rate
+	ReasonNoEndpoint Reason = "no endpoint"  // no endpoint may serve the request
+	ReasonOverload   Reason = "overload"     // no endpoint has capacity for the request
+	ReasonNoService  Reason = "no service"   // the route of the request names no configured service
 )
 
 // Decision is the result of Choose. The comment at a field names the kinds of decision that set it.
@@ -104,7 +104,7 @@
 	Kind OutcomeKind
 	// MayHaveRun is set if the endpoint may have started to work on the request.
 	MayHaveRun bool
-	ToldWait   time.Duration // with Full: the wait that the endpoint asks for; zero: none
+	RetryAfter time.Duration // with Full: the wait that the endpoint asks for; zero: none
 }
 
 // EngineReport is an endpoint's report of its own load. It is some hundred milliseconds old when it is received.
--- a/internal/selector/distance.go
+++ b/internal/selector/distance.go
@@ -10,8 +10,8 @@
 	maxRoundTrip = 2 * time.Second
 )
 
-// Connected records how long it took to connect to an endpoint, which is about one round trip.
-func (s *Selector) Connected(instanceID string, took time.Duration) {
+// RecordConnectTime records how long it took to connect to an endpoint, which is about one round trip.
+func (s *Selector) RecordConnectTime(instanceID string, took time.Duration) {
 	endpoint := s.endpoints[instanceID]
 	if endpoint == nil || took <= 0 || took > maxRoundTrip || !s.enabled(LearnedDistance) {
 		return
--- a/internal/selector/others.go
+++ b/internal/selector/others.go
@@ -23,7 +23,7 @@
 // TakeReport returns what this relay reports to the others: its load at model engines, its samples of their prefill
 // speed, and the prompt prefixes that it sent to them since the last call.
 func (s *Selector) TakeReport(now time.Time) workload.Report {
-	report := workload.Report{Loads: s.ownLoads(now), Sums: s.ownSums(now), Readings: s.unsentPrefills}
+	report := workload.Report{Loads: s.ownLoads(now), Sums: s.ownSums(now), Prefills: s.unsentPrefills}
 	s.unsentPrefills = nil
 	return report
 }
@@ -33,15 +33,15 @@
 	loads := make(workload.Loads, len(s.ownBusy))
 	for _, endpoint := range s.ownBusy {
 		load := &endpoint.load
-		loads[endpoint.key()] = workload.Load{Requests: load.inFlight, Unread: load.unansweredPrefill,
-			Held: load.heldTokens, Overdue: s.overdueToReport(now, endpoint)}
+		loads[endpoint.key()] = workload.Load{Requests: load.inFlight, PrefillTokens: load.unansweredPrefill,
+			CacheTokens: load.heldTokens, Overdue: s.overdueToReport(now, endpoint)}
 	}
 	return loads
 }
 
-// SetOthers sets the load of all other relays at model engines. If it is not known, this relay goes on with the last
+// SetOtherLoads sets the load of all other relays at model engines. If it is not known, this relay goes on with the last
 // known loads until they expire, and then estimates them from its own requests.
-func (s *Selector) SetOthers(now time.Time, loads workload.Loads, known bool) {
+func (s *Selector) SetOtherLoads(now time.Time, loads workload.Loads, known bool) {
 	if !known || !s.enabled(SharedLoads) {
 		return // the last known loads expire
 	}
@@ -61,8 +61,8 @@
 		if endpoint == nil {
 			continue
 		}
-		endpoint.load.setOthers(now, othersLoad{requests: reported.Requests, unansweredPrefill: reported.Unread,
-			heldTokens: reported.Held, overdue: reported.Overdue}, s.prefillRate(endpoint))
+		endpoint.load.setOthers(now, othersLoad{requests: reported.Requests, unansweredPrefill: reported.PrefillTokens,
+			heldTokens: reported.CacheTokens, overdue: reported.Overdue}, s.prefillRate(endpoint))
 		s.othersBusy = append(s.othersBusy, endpoint)
 		endpoint.watch.othersOverdue += reported.Overdue
 	}
@@ -130,11 +130,11 @@
 		return
 	}
 	prefix := request.Parts[0]
-	s.unsentPrefills = append(s.unsentPrefills, workload.Reading{Part: prefix.ID, Tokens: prefix.Tokens, Endpoint: endpoint.key()})
+	s.unsentPrefills = append(s.unsentPrefills, workload.Prefill{PrefixID: prefix.ID, Tokens: prefix.Tokens, Endpoint: endpoint.key()})
 }
 
-// NoteReadings records which prompt prefixes other relays sent to which endpoints, where they are cached from now on.
-func (s *Selector) NoteReadings(now time.Time, prefills []workload.Reading) {
+// RecordPrefills records which prompt prefixes other relays sent to which endpoints, where they are cached from now on.
+func (s *Selector) RecordPrefills(now time.Time, prefills []workload.Prefill) {
 	if !s.enabled(SharedPrefixes) {
 		return
 	}
@@ -143,9 +143,9 @@
 		if endpoint == nil || endpoint.service.engine() == nil {
 			continue
 		}
-		prefix := PromptPart{ID: prefill.Part, Tokens: prefill.Tokens}
+		prefix := PromptPart{ID: prefill.PrefixID, Tokens: prefill.Tokens}
 		endpoint.cache.add(now, []PromptPart{prefix}, endpoint.cacheCapacity())
-		s.holders.record(now, prefill.Part, endpoint)
+		s.holders.record(now, prefill.PrefixID, endpoint)
 	}
 }
 
@@ -165,9 +165,9 @@
 	return sums
 }
 
-// SetOthersSums sets the other relays' samples of the prefill speed of each service's engines, in the form that
+// SetOtherSpeedSums sets the other relays' samples of the prefill speed of each service's engines, in the form that
 // ownSums returns.
-func (s *Selector) SetOthersSums(sums workload.Sums) {
+func (s *Selector) SetOtherSpeedSums(sums workload.Sums) {
 	if !s.enabled(LearnedSpeed) {
 		return
 	}
--- a/internal/selector/others_test.go
+++ b/internal/selector/others_test.go
@@ -16,15 +16,15 @@
 	f := newFleet(t)
 	f.engines(homeZone, 2)
 	loaded := f.s.endpoints[f.list[0].ID]
-	reported := workload.Loads{loaded.key(): {Requests: 3, Unread: 40_000, Held: 40_000}, 12345: {Requests: 9}}
-	f.s.SetOthers(f.now, reported, true)
+	reported := workload.Loads{loaded.key(): {Requests: 3, PrefillTokens: 40_000, CacheTokens: 40_000}, 12345: {Requests: 9}}
+	f.s.SetOtherLoads(f.now, reported, true)
 	for range 20 {
 		d := f.mustSend(f.request("query"))
 		assert.Assert(t, d.Instance.ID != f.list[0].ID)
 		f.finish(d, Success)
 	}
 	assert.Equal(t, f.s.requests(f.now, loaded), 3.0)
-	f.s.SetOthers(f.now, nil, false)
+	f.s.SetOtherLoads(f.now, nil, false)
 	f.now = f.now.Add(otherLoadsTTL + time.Millisecond)
 	assert.Equal(t, f.s.requests(f.now, loaded), 0.0)
 }
@@ -56,14 +56,14 @@
 	assert.Equal(t, len(report.Loads), 1)
 	for _, load := range report.Loads {
 		assert.Equal(t, load.Requests, 1)
-		assert.Equal(t, load.Unread, 9500)
+		assert.Equal(t, load.PrefillTokens, 9500)
 	}
-	assert.Equal(t, len(report.Readings), 1)
-	assert.Equal(t, report.Readings[0].Part, uint64(5))
+	assert.Equal(t, len(report.Prefills), 1)
+	assert.Equal(t, report.Prefills[0].PrefixID, uint64(5))
 	f.finish(d, Success)
 	report = f.s.TakeReport(f.now)
 	assert.Equal(t, len(report.Loads), 0)
-	assert.Equal(t, len(report.Readings), 0)
+	assert.Equal(t, len(report.Prefills), 0)
 }
 
 // A prompt is sent to the endpoint where another relay sent its prefix, whatever the ranking says.
@@ -74,13 +74,13 @@
 		for index := range f.list {
 			holder := f.s.endpoints[f.list[index].ID]
 			prefix := uint64(1000 + index)
-			f.s.NoteReadings(f.now, []workload.Reading{{Part: prefix, Tokens: 20_000, Endpoint: holder.key()}})
+			f.s.RecordPrefills(f.now, []workload.Prefill{{PrefixID: prefix, Tokens: 20_000, Endpoint: holder.key()}})
 			r := f.request("dossier")
 			r.Parts = []PromptPart{{ID: prefix, Tokens: 20_000}, {ID: 6, Tokens: 500}}
 			r.TokensIn = 20_500
 			d := f.mustSend(r)
 			assert.Equal(t, d.Instance.ID, f.list[index].ID, "of %d", engines)
-			assert.Equal(t, d.Forecast.Reading, 500)
+			assert.Equal(t, d.Forecast.PrefillTokens, 500)
 			f.finish(d, Success)
 		}
 	}
@@ -112,12 +112,12 @@
 	f.engines(homeZone, 1)
 	endpoint := f.s.endpoints[f.list[0].ID]
 	for range 3 {
-		f.s.Connected(f.list[0].ID, 90*time.Millisecond)
+		f.s.RecordConnectTime(f.list[0].ID, 90*time.Millisecond)
 	}
 	assert.Equal(t, f.s.networkMs(endpoint), 90.0)
-	f.s.Connected(f.list[0].ID, 70*time.Millisecond)
-	f.s.Connected(f.list[0].ID, 900*time.Millisecond) // an endpoint that was slow to accept
-	f.s.Connected("unknown", time.Millisecond)
+	f.s.RecordConnectTime(f.list[0].ID, 70*time.Millisecond)
+	f.s.RecordConnectTime(f.list[0].ID, 900*time.Millisecond) // an endpoint that was slow to accept
+	f.s.RecordConnectTime("unknown", time.Millisecond)
 	assert.Assert(t, f.s.networkMs(endpoint) > 70 && f.s.networkMs(endpoint) < 120)
 }
 
@@ -141,7 +141,7 @@
 	f := newFleet(t)
 	f.engines(homeZone, 2)
 	suspected := f.s.endpoints[f.list[0].ID]
-	f.s.SetOthers(f.now, workload.Loads{suspected.key(): {Requests: 1, Overdue: 1}}, true)
+	f.s.SetOtherLoads(f.now, workload.Loads{suspected.key(): {Requests: 1, Overdue: 1}}, true)
 	for range 20 {
 		d := f.mustSend(f.request("query"))
 		assert.Assert(t, d.Instance.ID != f.list[0].ID)
@@ -190,10 +190,10 @@
 func TestPrefixesBoundToHomeRegionsAreNotReported(t *testing.T) {
 	f := newFleetAt(t, homeZone, 4)
 	f.engines(homeZone, 4)
-	f.s.SetOthers(f.now, workload.Loads{}, true)
+	f.s.SetOtherLoads(f.now, workload.Loads{}, true)
 	free := f.dossier(1)
 	f.serve(f.mustSend(free), time.Millisecond)
-	assert.Equal(t, len(f.s.TakeReport(f.now).Readings), 1)
+	assert.Equal(t, len(f.s.TakeReport(f.now).Prefills), 1)
 	assert.Assert(t, f.s.mayPrefillAnywhere(free))
 	for index := range f.document.Routes {
 		f.document.Routes[index].HomeRegions = []string{home}
@@ -201,7 +201,7 @@
 	f.configure()
 	bound := f.dossier(2)
 	f.serve(f.mustSend(bound), time.Millisecond)
-	assert.Equal(t, len(f.s.TakeReport(f.now).Readings), 0)
+	assert.Equal(t, len(f.s.TakeReport(f.now).Prefills), 0)
 	assert.Assert(t, !f.s.mayPrefillAnywhere(bound))
 }
 
@@ -214,13 +214,13 @@
 		f.document.Routes[index].HomeRegions = []string{home}
 	}
 	f.configure()
-	f.s.SetOthers(f.now, workload.Loads{}, true)
+	f.s.SetOtherLoads(f.now, workload.Loads{}, true)
 	for prefix := range uint64(40) {
 		r := f.dossier(prefix)
 		for index := range f.list {
 			holder := f.s.endpoints[f.list[index].ID]
-			reported := workload.Reading{Part: r.Parts[0].ID, Tokens: r.Parts[0].Tokens, Endpoint: holder.key()}
-			f.s.NoteReadings(f.now, []workload.Reading{reported})
+			reported := workload.Prefill{PrefixID: r.Parts[0].ID, Tokens: r.Parts[0].Tokens, Endpoint: holder.key()}
+			f.s.RecordPrefills(f.now, []workload.Prefill{reported})
 		}
 		d := f.mustSend(r)
 		assert.Equal(t, d.Instance.Zone, homeZone)
@@ -233,12 +233,12 @@
 	f := newFleetAt(t, homeZone, 6)
 	f.engines(homeZone, 3)
 	f.engines(nextZone, 3)
-	f.s.SetOthers(f.now, workload.Loads{}, true)
+	f.s.SetOtherLoads(f.now, workload.Loads{}, true)
 	r := f.dossier(1)
 	for index := range f.list {
 		if f.list[index].Zone == nextZone {
 			holder := f.s.endpoints[f.list[index].ID]
-			f.s.NoteReadings(f.now, []workload.Reading{{Part: r.Parts[0].ID, Tokens: r.Parts[0].Tokens, Endpoint: holder.key()}})
+			f.s.RecordPrefills(f.now, []workload.Prefill{{PrefixID: r.Parts[0].ID, Tokens: r.Parts[0].Tokens, Endpoint: holder.key()}})
 		}
 	}
 	assert.Equal(t, f.mustSend(r).Instance.Zone, nextZone)
--- a/internal/selector/outcome.go
+++ b/internal/selector/outcome.go
@@ -80,7 +80,7 @@
 	case ConnectFailed:
 		request.avoid(endpoint, now.Add(avoidAfterConnectFailure))
 	case Full:
-		request.avoid(endpoint, now.Add(max(avoidAfterFull, outcome.ToldWait)))
+		request.avoid(endpoint, now.Add(max(avoidAfterFull, outcome.RetryAfter)))
 	default:
 		request.avoid(endpoint, now.Add(avoidForever))
 	}
--- a/internal/selector/property_test.go
+++ b/internal/selector/property_test.go
@@ -152,7 +152,7 @@
 	kind := OutcomeKind(rapid.IntRange(int(Success), int(ClientGone)).Draw(w.r, "outcome"))
 	outcome := Outcome{Kind: kind, MayHaveRun: rapid.Bool().Draw(w.r, "ran")}
 	if kind == Full && rapid.Bool().Draw(w.r, "advised wait") {
-		outcome.ToldWait = time.Second
+		outcome.RetryAfter = time.Second
 	}
 	if kind == Success {
 		w.s.FirstByte(w.now, d.Attempt)
--- a/internal/selector/rules.go
+++ b/internal/selector/rules.go
@@ -26,7 +26,7 @@
 	{"misdirected", func(_ *endpoint, v *evidence) bool { return v.outcome.Kind == Misdirected }, (*Selector).skipMisdirected},
 	// An endpoint answers that it is full to a request larger than its memory, which says nothing about its load.
 	{"oversize", func(e *endpoint, v *evidence) bool { return v.outcome.Kind == Full && e.tooSmall(v.attempt.request) }, nil},
-	{"told wait", func(_ *endpoint, v *evidence) bool { return v.outcome.Kind == Full && v.outcome.ToldWait > 0 },
+	{"told wait", func(_ *endpoint, v *evidence) bool { return v.outcome.Kind == Full && v.outcome.RetryAfter > 0 },
 		(*Selector).skipForAdvisedWait},
 	{"full", func(_ *endpoint, v *evidence) bool { return v.outcome.Kind == Full }, (*Selector).halvePace},
 	{"declined", func(_ *endpoint, v *evidence) bool { return v.outcome.Kind == NotExecuted }, nil},
@@ -61,7 +61,7 @@
 // skipForAdvisedWait skips an endpoint for the wait that it asked for.
 func (s *Selector) skipForAdvisedWait(endpoint *endpoint, evidence *evidence) {
 	s.halvePace(endpoint, evidence)
-	endpoint.skip.extendTo(evidence.now, evidence.outcome.ToldWait)
+	endpoint.skip.extendTo(evidence.now, evidence.outcome.RetryAfter)
 	s.refreshList(evidence.now, endpoint)
 }
 
--- a/internal/selector/rules_test.go
+++ b/internal/selector/rules_test.go
@@ -19,7 +19,7 @@
 		skipped bool
 	}{
 		{"another instance", nil, Outcome{Kind: Misdirected}, "misdirected", true},
-		{"an advised wait", nil, Outcome{Kind: Full, ToldWait: time.Second}, "told wait", true},
+		{"an advised wait", nil, Outcome{Kind: Full, RetryAfter: time.Second}, "told wait", true},
 		{"full", nil, Outcome{Kind: Full}, "full", false},
 		{"full after failures", []Outcome{run, run}, Outcome{Kind: Full}, "full", false},
 		{"declined", nil, Outcome{Kind: NotExecuted}, "declined", false},
@@ -162,7 +162,7 @@
 	f.plain(homeZone, 1)
 	f.plain(nextZone, 1)
 	d := f.mustSend(f.request("gate"))
-	f.s.Done(f.now, d.Attempt, Outcome{Kind: Full, ToldWait: 4 * time.Second})
+	f.s.Done(f.now, d.Attempt, Outcome{Kind: Full, RetryAfter: 4 * time.Second})
 	for range 15 {
 		other := f.mustSend(f.request("gate"))
 		assert.Equal(t, other.Instance.Zone, nextZone)
--- a/internal/selector/selector.go
+++ b/internal/selector/selector.go
@@ -42,7 +42,7 @@
 	ownBusy        []*endpoint                // engines at which this relay has requests in flight
 	othersBusy     []*endpoint                // endpoints at which other relays have any
 	holders        prefixHolders              // endpoints by the prompt prefixes that they cache
-	unsentPrefills []workload.Reading         // prompt prefixes to report to the other relays
+	unsentPrefills []workload.Prefill         // prompt prefixes to report to the other relays
 	otherLoadsAt   time.Time                  // when the loads of other relays were last set
 
 	tierBuffer []*tier // reused between decisions
@@ -89,7 +89,7 @@
 	}
 	s.updateUrgency(compiled.Document())
 	if s.options.Budget != nil {
-		s.options.Budget.Keep(func(name string) bool {
+		s.options.Budget.Retain(func(name string) bool {
 			_, configured := compiled.Backend(name)
 			return configured || s.services[name] != nil
 		})
--- a/internal/selector/tiers_test.go
+++ b/internal/selector/tiers_test.go
@@ -200,7 +200,7 @@
 	}
 	d := f.choose(r)
 	assert.Equal(t, d.Kind, Fail)
-	assert.Equal(t, d.Reason, ReasonRan)
+	assert.Equal(t, d.Reason, ReasonMayHaveRun)
 }
 
 func TestTimeOuts(t *testing.T) {
--- a/internal/selector/zonewatch.go
+++ b/internal/selector/zonewatch.go
@@ -112,15 +112,15 @@
 	return watch
 }
 
-// SetDoubtedZones sets the zones in which the membership protocol has no contact with any process.
-func (s *Selector) SetDoubtedZones(suspected map[string]bool) {
+// SetSuspectedZones sets the zones in which the membership protocol has no contact with any process.
+func (s *Selector) SetSuspectedZones(suspected map[string]bool) {
 	for zone, watch := range s.zoneWatches {
 		watch.suspected = suspected[zone]
 	}
 }
 
-// DarkZones lists the unreachable zones, in order of their names.
-func (s *Selector) DarkZones() []string {
+// UnreachableZones lists the unreachable zones, in order of their names.
+func (s *Selector) UnreachableZones() []string {
 	var unreachable []string
 	for zone, watch := range s.zoneWatches {
 		if watch.unreachable {
--- a/internal/selector/zonewatch_test.go
+++ b/internal/selector/zonewatch_test.go
@@ -49,7 +49,7 @@
 	for _, zone := range f.hang(4, time.Millisecond) {
 		assert.Equal(t, zone, lastZone)
 	}
-	assert.DeepEqual(t, f.s.DarkZones(), []string{homeZone})
+	assert.DeepEqual(t, f.s.UnreachableZones(), []string{homeZone})
 }
 
 // A zone is reachable again as soon as one byte is received from it.
@@ -92,7 +92,7 @@
 // Fewer overdue requests are enough where the membership protocol has no contact with the zone.
 func TestSuspectedZoneBecomesUnreachableSooner(t *testing.T) {
 	f := newTwoZoneFleet(t)
-	f.s.SetDoubtedZones(map[string]bool{homeZone: true})
+	f.s.SetSuspectedZones(map[string]bool{homeZone: true})
 	f.hang(minOverdueSuspected, 0)
 	for range 8 {
 		f.advance(100 * time.Millisecond)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -33,8 +33,8 @@
 	Dial func(ctx context.Context, address string) (net.Conn, error) // nil: TCP
 	Now  func() time.Time                                            // nil: time.Now
 
-	// Connected is called with the time that it took to connect to an instance. It may be nil.
-	Connected func(instanceID string, took time.Duration)
+	// OnConnect is called with the time that it took to connect to an instance. It may be nil.
+	OnConnect func(instanceID string, took time.Duration)
 }
 
 // Target is an endpoint and the limits for connecting to it.
@@ -199,8 +199,8 @@
 		}
 		return nil, &Error{Kind: kind, InstanceID: target.InstanceID, Err: err}
 	}
-	if p.options.Connected != nil {
-		p.options.Connected(target.InstanceID, p.options.Now().Sub(dialStart))
+	if p.options.OnConnect != nil {
+		p.options.OnConnect(target.InstanceID, p.options.Now().Sub(dialStart))
 	}
 	c := &connection{Conn: conn, raw: rawConnOf(conn), pool: p, endpoint: e, headBytesLeft: -1}
 	if c.stale() { // an endpoint at its connection limit accepts further connections and resets them
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -54,7 +54,7 @@
 		cfg.MaxRetryAfter = p.ms("bounds.max_retry_after_ms")
 	}
 	for _, x := range p.list("extra.carriage") {
-		cfg.Carriage = append(cfg.Carriage, p.parse("extra.carriage", x))
+		cfg.ZoneFees = append(cfg.ZoneFees, p.parse("extra.carriage", x))
 	}
 	for i := range p.count("services") {
 		cfg.Classes = append(cfg.Classes, p.class(fmt.Sprintf("services.%d.", i)))
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -179,14 +179,14 @@
 func (r *Reader) parseEvent(name string, f *fields, e *policy.Event, sc *reportSchema) (used bool, err error) {
 	switch name {
 	case "KNOCK":
-		e.Kind = policy.Taken
+		e.Kind = policy.Accepted
 		e.ID = f.id()
 		e.Key = f.optional()
 		f.integer() // not used
 		e.Customer = f.optionalInteger()
 		f.optional() // not used
 		e.Class = f.integer()
-		e.Left = f.ms()
+		e.TimeLeft = f.ms()
 		e.Destination = f.integer()
 	case "FINISHED":
 		e.Kind = policy.Finished
@@ -198,7 +198,7 @@
 		e.Ended = f.boolean()
 		retryAfter := f.optionalInteger()
 		if e.Outcome == policy.Full {
-			e.Wait = time.Duration(retryAfter) * time.Millisecond
+			e.RetryAfter = time.Duration(retryAfter) * time.Millisecond
 		}
 		e.Report = f.report(sc)
 	case "PONG":
@@ -423,7 +423,7 @@
 			w.begin("SUBMIT_TO", instance)
 			w.id(a.ID)
 			w.text(a.Route)
-			w.ms(a.At)
+			w.ms(a.TimeoutAt)
 		case policy.Refuse:
 			w.begin("REJECT", instance)
 			w.id(a.ID)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -33,14 +33,14 @@
 		lines string
 		want  policy.Event
 	}{
-		{"KNOCK 3 1564119492 obj/kd6 1 2 12.0 0 240.0 57\n", policy.Event{Kind: policy.Taken, ID: 1564119492,
-			Key: "obj/kd6", Customer: 2, Left: 240 * time.Millisecond, Destination: 57}},
-		{"KNOCK 3 4294967295 - 0 - - 1 0.5 0\n", policy.Event{Kind: policy.Taken, ID: 4294967295, Class: 1,
-			Left: 500 * time.Microsecond}},
+		{"KNOCK 3 1564119492 obj/kd6 1 2 12.0 0 240.0 57\n", policy.Event{Kind: policy.Accepted, ID: 1564119492,
+			Key: "obj/kd6", Customer: 2, TimeLeft: 240 * time.Millisecond, Destination: 57}},
+		{"KNOCK 3 4294967295 - 0 - - 1 0.5 0\n", policy.Event{Kind: policy.Accepted, ID: 4294967295, Class: 1,
+			TimeLeft: 500 * time.Microsecond}},
 		{"FINISHED 3 9 2 host.a ok 18.5 1 - -\n", policy.Event{Kind: policy.Finished, ID: 9, Attempt: 2,
 			Route: "host.a", Took: 18500 * time.Microsecond, Ended: true}},
 		{"FINISHED 3 9 0 host.a full 1.0 0 450 x0:0.25,x9:7,x1:3.5\n", policy.Event{Kind: policy.Finished, ID: 9,
-			Route: "host.a", Outcome: policy.Full, Took: time.Millisecond, Wait: 450 * time.Millisecond,
+			Route: "host.a", Outcome: policy.Full, Took: time.Millisecond, RetryAfter: 450 * time.Millisecond,
 			Report: policy.Report{Told: true, Left: 0.25, Limit: 3.5}}},
 		{"FINISHED 3 9 0 host.a moot 0 0 1 -\n", policy.Event{Kind: policy.Finished, ID: 9, Route: "host.a",
 			Outcome: policy.Moot}},
@@ -106,7 +106,7 @@
 		Kinds:     []policy.Kind{{PerCall: 10}, {Separate: true, PerCall: 1}},
 		Customers: []policy.Customer{{Quota: 52}, {}},
 		Senders:   2, Slots: 38, MaxHeld: 438, MaxAttempts: 8, MaxRetryAfter: 3 * time.Second,
-		RoughWeights: true, AskList: true, Carriage: []float64{0, 0.03},
+		RoughWeights: true, AskList: true, ZoneFees: []float64{0, 0.03},
 		ColdShare: 0.18, WarmWithin: 14 * time.Second, OverloadFactor: 2, OverloadWindow: 3 * time.Second,
 		OrderPause: 100 * time.Millisecond,
 	}
@@ -119,7 +119,7 @@
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	w.Actions(3, []policy.Action{
-		{Kind: policy.Send, ID: 1564119492, Route: "host.a", At: 8492250 * time.Microsecond},
+		{Kind: policy.Send, ID: 1564119492, Route: "host.a", TimeoutAt: 8492250 * time.Microsecond},
 		{Kind: policy.Refuse, ID: 2, Delay: 250 * time.Millisecond}, {Kind: policy.Fail, ID: 5},
 		{Kind: policy.Wake, Delay: 500 * time.Microsecond}, {Kind: policy.CloseIdle, Route: "host.a"},
 		{Kind: policy.Watch},
--- a/internal/workload/clock_test.go
+++ b/internal/workload/clock_test.go
@@ -15,7 +15,7 @@
 		members := []Member{{Address: "a", Zone: "z"}, {Address: "b", Zone: "z"}}
 		nodes := map[string]*Node{}
 		for index, member := range members {
-			nodes[member.Address] = New(Options{Self: member, Life: uint64(index) + 1, LinkBytes: 1.25e6})
+			nodes[member.Address] = New(Options{Self: member, Life: uint64(index) + 1, LinkBytesPerSecond: 1.25e6})
 			nodes[member.Address].SetMembers(members)
 		}
 		relay, hub := nodes["a"], nodes["b"]
@@ -25,7 +25,7 @@
 		start := time.Now()
 		at := func(after time.Duration) time.Time { return start.Add(after) }
 		exchange := func(now time.Time, requests int) {
-			for _, send := range hub.Tick(now, Report{Loads: Loads{7: {Requests: requests, Unread: 5000 * requests}}}) {
+			for _, send := range hub.Tick(now, Report{Loads: Loads{7: {Requests: requests, PrefillTokens: 5000 * requests}}}) {
 				relay.Receive(now, hub.self.Address, send.Message)
 			}
 		}
--- a/internal/workload/example_test.go
+++ b/internal/workload/example_test.go
@@ -18,7 +18,7 @@
 	for _, node := range nodes {
 		node.SetMembers([]workload.Member{one, two})
 	}
-	busy := workload.Report{Loads: workload.Loads{7: {Requests: 3, Unread: 12_000}}}
+	busy := workload.Report{Loads: workload.Loads{7: {Requests: 3, PrefillTokens: 12_000}}}
 	for _, send := range nodes[one.Address].Tick(now, busy) {
 		nodes[send.To].Receive(now, one.Address, send.Message)
 	}
@@ -26,6 +26,6 @@
 		nodes[send.To].Receive(now, two.Address, send.Message)
 	}
 	loads, _, known := nodes[two.Address].Others(now)
-	fmt.Println(known, loads[7].Requests, loads[7].Unread)
+	fmt.Println(known, loads[7].Requests, loads[7].PrefillTokens)
 	// Output: true 3 12000
 }
--- a/internal/workload/link_limit_test.go
+++ b/internal/workload/link_limit_test.go
@@ -27,17 +27,17 @@
 }
 
 // churnLoads runs the network for a time, and gives each relay one small request at each of up to four random endpoints, anew in every
-// LocalEvery.
+// LocalInterval.
 func (zone *busyZone) churnLoads(duration time.Duration) {
-	for range int(duration / LocalEvery) {
+	for range int(duration / LocalInterval) {
 		for index := range zone.reports {
 			loads := make(Loads, 4)
 			for range 4 {
-				loads[Key(zone.random.IntN(zone.endpoints))] = Load{Requests: 1, Unread: 300, Held: 400}
+				loads[Key(zone.random.IntN(zone.endpoints))] = Load{Requests: 1, PrefillTokens: 300, CacheTokens: 400}
 			}
 			zone.reports[index].Loads = loads
 		}
-		zone.run(LocalEvery)
+		zone.run(LocalInterval)
 	}
 }
 
@@ -63,11 +63,11 @@
 	zone := newBusyZone(t, 50, 160, 1.25e6)
 	zone.churnLoads(2 * time.Second)
 	const endpoint = Key(1_000_000)
-	zone.reports[0].Loads = Loads{endpoint: {Requests: 1, Unread: 30_000, Held: 31_000}}
+	zone.reports[0].Loads = Loads{endpoint: {Requests: 1, PrefillTokens: 30_000, CacheTokens: 31_000}}
 	zone.run(400 * time.Millisecond)
 	for index, node := range zone.nodes[1:] {
 		others, _, _ := node.Others(zone.now)
-		assert.Equal(t, others[endpoint].Unread, 30_000, "relay %d", index+1)
+		assert.Equal(t, others[endpoint].PrefillTokens, 30_000, "relay %d", index+1)
 	}
 }
 
@@ -106,7 +106,7 @@
 // A load that has become too small for other zones is sent as zero, not with its value.
 func TestIrrelevantLoadsAreSentAsZero(t *testing.T) {
 	b := newBroadcast(minZoneChange, Load.isRelevantToOtherZones)
-	relevant, irrelevant := Loads{1: {Requests: 5, Held: 900}}, Loads{1: {Requests: 1, Held: 100}}
+	relevant, irrelevant := Loads{1: {Requests: 5, CacheTokens: 900}}, Loads{1: {Requests: 1, CacheTokens: 100}}
 	b.markSent(start, relevant, b.changes(start, relevant, maxEntries))
 	entries := b.markSent(start, irrelevant, b.changes(start, irrelevant, maxEntries))
 	assert.Equal(t, entries[1], Load{})
@@ -133,13 +133,13 @@
 	for step := range 200 {
 		loads := make(Loads, 20)
 		for range 20 {
-			loads[Key(zone.random.IntN(zone.endpoints))] = Load{Requests: 1, Unread: 3000}
+			loads[Key(zone.random.IntN(zone.endpoints))] = Load{Requests: 1, PrefillTokens: 3000}
 		}
-		for _, send := range relay.Tick(start.Add(time.Duration(step)*LocalEvery), Report{Loads: loads}) {
+		for _, send := range relay.Tick(start.Add(time.Duration(step)*LocalInterval), Report{Loads: loads}) {
 			sentBytes += proto.Size(send.Message) + messageOverheadBytes
 		}
 	}
-	assert.Assert(t, float64(sentBytes) <= 1.1*linkFraction*20_000*(200*LocalEvery).Seconds(), "%d", sentBytes)
+	assert.Assert(t, float64(sentBytes) <= 1.1*linkFraction*20_000*(200*LocalInterval).Seconds(), "%d", sentBytes)
 }
 
 // A message without sums leaves the previous sums in place. Prefill reports whose parallel lists differ in length,
@@ -162,12 +162,12 @@
 	receive(3, &workloadpb.Message{Readings: &workloadpb.Readings{Parts: []uint64{1, 2}, Endpoints: []uint32{1}, Tokens: []uint32{1, 2}}})
 	_, sums, _ := hub.Others(start)
 	assert.Equal(t, sums[9][0], 1.0)
-	assert.Equal(t, len(hub.TakeReadings()), 0)
+	assert.Equal(t, len(hub.TakePrefills()), 0)
 
-	receive(4, &workloadpb.Message{Readings: encodePrefills(make([]Reading, maxPrefillsPerMessage))})
-	assert.Equal(t, len(hub.TakeReadings()), maxPrefillsPerMessage)
-	receive(5, &workloadpb.Message{Readings: encodePrefills(make([]Reading, maxPrefillsPerMessage+1))})
-	assert.Equal(t, len(hub.TakeReadings()), 0)
+	receive(4, &workloadpb.Message{Readings: encodePrefills(make([]Prefill, maxPrefillsPerMessage))})
+	assert.Equal(t, len(hub.TakePrefills()), maxPrefillsPerMessage)
+	receive(5, &workloadpb.Message{Readings: encodePrefills(make([]Prefill, maxPrefillsPerMessage+1))})
+	assert.Equal(t, len(hub.TakePrefills()), 0)
 
 	hub.SetMembers(members[:0])
 	assert.Equal(t, len(hub.relayStates), 0)
--- a/internal/workload/load.go
+++ b/internal/workload/load.go
@@ -14,10 +14,10 @@
 
 // Load is the unfinished work of an endpoint.
 type Load struct {
-	Requests int // in flight
-	Unread   int // prompt tokens waiting for prefill, of the requests without a first response event
-	Held     int // cache memory used by the requests, in tokens
-	Overdue  int // requests whose answer is overdue, at an endpoint that has sent nothing since they were due
+	Requests      int // in flight
+	PrefillTokens int // prompt tokens waiting for prefill, of the requests without a first response event
+	CacheTokens   int // cache memory used by the requests, in tokens
+	Overdue       int // requests whose answer is overdue, at an endpoint that has sent nothing since they were due
 }
 
 // Loads is the load by endpoint. Endpoints without load are left out.
@@ -33,24 +33,24 @@
 // add adds another load to l.
 func (l *Load) add(other Load) {
 	l.Requests += other.Requests
-	l.Unread += other.Unread
-	l.Held += other.Held
+	l.PrefillTokens += other.PrefillTokens
+	l.CacheTokens += other.CacheTokens
 	l.Overdue += other.Overdue
 }
 
 // subtract subtracts a part of the load. The part may date from another time and so exceed the load; the result is never negative.
 func (l *Load) subtract(part Load) {
 	l.Requests = max(0, l.Requests-part.Requests)
-	l.Unread = max(0, l.Unread-part.Unread)
-	l.Held = max(0, l.Held-part.Held)
+	l.PrefillTokens = max(0, l.PrefillTokens-part.PrefillTokens)
+	l.CacheTokens = max(0, l.CacheTokens-part.CacheTokens)
 	l.Overdue = max(0, l.Overdue-part.Overdue)
 }
 
 // distance returns the weighted difference of two loads, in requests.
 func (l Load) distance(other Load) float64 {
 	difference := func(a, b int) float64 { return math.Abs(float64(a - b)) }
-	return difference(l.Requests, other.Requests) + prefillTokenWeight*difference(l.Unread, other.Unread) +
-		cacheTokenWeight*difference(l.Held, other.Held) + overdueWeight*difference(l.Overdue, other.Overdue)
+	return difference(l.Requests, other.Requests) + prefillTokenWeight*difference(l.PrefillTokens, other.PrefillTokens) +
+		cacheTokenWeight*difference(l.CacheTokens, other.CacheTokens) + overdueWeight*difference(l.Overdue, other.Overdue)
 }
 
 // isNonzero reports whether there is any load.
@@ -58,7 +58,7 @@
 
 // isRelevantToOtherZones reports whether a load is large enough to be sent to other zones.
 func (l Load) isRelevantToOtherZones() bool {
-	return l.Requests >= minZoneRequests || l.Unread >= minZonePrefillTokens || l.Overdue > 0
+	return l.Requests >= minZoneRequests || l.PrefillTokens >= minZonePrefillTokens || l.Overdue > 0
 }
 
 // add adds other loads to l, endpoint by endpoint.
@@ -76,8 +76,8 @@
 		load := l[key]
 		encoded.Endpoints = append(encoded.Endpoints, uint32(key))
 		encoded.Requests = append(encoded.Requests, toWire(load.Requests))
-		encoded.Unread = append(encoded.Unread, toWire(load.Unread))
-		encoded.Held = append(encoded.Held, toWire(load.Held))
+		encoded.Unread = append(encoded.Unread, toWire(load.PrefillTokens))
+		encoded.Held = append(encoded.Held, toWire(load.CacheTokens))
 		encoded.Overdue = append(encoded.Overdue, toWire(load.Overdue))
 	}
 	return encoded
@@ -96,10 +96,10 @@
 	loads := make(Loads, count)
 	for index, key := range encoded.Endpoints {
 		loads[Key(key)] = Load{
-			Requests: fromWire(encoded.Requests[index]),
-			Unread:   fromWire(encoded.Unread[index]),
-			Held:     fromWire(encoded.Held[index]),
-			Overdue:  fromWire(encoded.Overdue[index]),
+			Requests:      fromWire(encoded.Requests[index]),
+			PrefillTokens: fromWire(encoded.Unread[index]),
+			CacheTokens:   fromWire(encoded.Held[index]),
+			Overdue:       fromWire(encoded.Overdue[index]),
 		}
 	}
 	return loads, true
--- a/internal/workload/node.go
+++ b/internal/workload/node.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// LocalEvery is the minimum time between two messages to a relay of the own zone, where bandwidth is cheap.
-	LocalEvery = 40 * time.Millisecond
+	// LocalInterval is the minimum time between two messages to a relay of the own zone, where bandwidth is cheap.
+	LocalInterval = 40 * time.Millisecond
 	// ZoneInterval is the minimum time between two updates to another zone. It is multiplied if there are more than zonesPerInterval other
 	// zones; see Node.zoneInterval.
 	ZoneInterval     = 60 * time.Millisecond
@@ -71,7 +71,7 @@
 type Report struct {
 	Loads    Loads     // of its unfinished requests
 	Sums     Sums      // over the answers that it received
-	Readings []Reading // since the previous report
+	Prefills []Prefill // since the previous report
 }
 
 // Options are the settings of a Node.
@@ -79,8 +79,8 @@
 	Self Member
 	// Life is a random number that identifies this run of the process; it differs after a restart.
 	Life uint64
-	// LinkBytes is the bandwidth of the machine's link in bytes per second; 0 means unlimited.
-	LinkBytes float64
+	// LinkBytesPerSecond is the bandwidth of the machine's link in bytes per second; 0 means unlimited.
+	LinkBytesPerSecond float64
 }
 
 // Node is the state of one relay. It is not safe for concurrent use.
@@ -96,7 +96,7 @@
 
 	ownReport        Report
 	queuedPrefills   prefillQueue
-	receivedPrefills []Reading             // from other relays, since the last TakeReadings
+	receivedPrefills []Prefill             // from other relays, since the last TakePrefills
 	relayStates      map[string]*peerState // on a hub: by address of the relay, of the own zone
 	hubStates        map[string]*peerState // on a hub: by address of the hub, of the other zones
 	othersState      *peerState            // on other relays: the loads sent by the hub without the own part; nil before the first message
@@ -114,7 +114,7 @@
 func New(options Options) *Node {
 	self := options.Self
 	n := &Node{
-		self: self, life: options.Life, linkBytesPerSecond: options.LinkBytes,
+		self: self, life: options.Life, linkBytesPerSecond: options.LinkBytesPerSecond,
 		relayStates: make(map[string]*peerState), hubStates: make(map[string]*peerState), receiverStates: make(map[string]*receiverState),
 	}
 	n.resetSendState()
@@ -164,10 +164,10 @@
 
 func (n *Node) isHub() bool { return n.hub == n.self.Address }
 
-// Tick sets the current report of this relay and returns the messages that are due. It must be called at least every LocalEvery.
+// Tick sets the current report of this relay and returns the messages that are due. It must be called at least every LocalInterval.
 func (n *Node) Tick(now time.Time, ownReport Report) []Send {
 	n.ownReport = ownReport
-	n.queuedPrefills.add(n.self.Address, ownReport.Readings)
+	n.queuedPrefills.add(n.self.Address, ownReport.Prefills)
 	if !n.isHub() {
 		return n.sendReport(now)
 	}
@@ -175,7 +175,7 @@
 	allLoads := n.otherZoneLoads(now)
 	allLoads.add(zoneLoads)
 	sends := n.sendToGroup(nil, now, groupUpdate{
-		broadcast: &n.zoneBroadcast, receivers: n.zonePeers, minInterval: LocalEvery, loads: allLoads, maxEntries: maxEntries,
+		broadcast: &n.zoneBroadcast, receivers: n.zonePeers, minInterval: LocalInterval, loads: allLoads, maxEntries: maxEntries,
 		sumsFor: func(receiver string) Sums { return n.sumsExcept(now, receiver) },
 		setLoads: func(message *workloadpb.Message, receiver string, loads *workloadpb.Loads) {
 			message.All, message.IncludedReport = loads, n.includedReport(now, receiver)
@@ -217,23 +217,23 @@
 	return loads, sums, true
 }
 
-// TakeReadings returns the prefills that other relays have reported since the last call.
-func (n *Node) TakeReadings() []Reading {
+// TakePrefills returns the prefills that other relays have reported since the last call.
+func (n *Node) TakePrefills() []Prefill {
 	receivedPrefills := n.receivedPrefills
 	n.receivedPrefills = nil
 	return receivedPrefills
 }
 
-// Figures describes how much a relay knows of the loads of others, for metrics.
-type Figures struct {
+// Stats describes how much a relay knows of the loads of others, for metrics.
+type Stats struct {
 	Hub    bool // this relay is the hub of its zone
 	Known  bool // the loads of the other relays are known
 	Relays int  // on a hub: relays of the own zone whose loads are current
 	Zones  int  // on a hub: other zones whose loads are current
 }
 
-// Figures returns how much is known of the loads of other relays.
-func (n *Node) Figures(now time.Time) Figures {
+// Stats returns how much is known of the loads of other relays.
+func (n *Node) Stats(now time.Time) Stats {
 	count := func(peers map[string]*peerState) (fresh int) {
 		for _, peer := range peers {
 			if peer.isFresh(now) {
@@ -242,5 +242,5 @@
 		}
 		return fresh
 	}
-	return Figures{Hub: n.isHub(), Known: n.isHub() || n.othersState.isFresh(now), Relays: count(n.relayStates), Zones: count(n.hubStates)}
+	return Stats{Hub: n.isHub(), Known: n.isHub() || n.othersState.isFresh(now), Relays: count(n.relayStates), Zones: count(n.hubStates)}
 }
--- a/internal/workload/node_test.go
+++ b/internal/workload/node_test.go
@@ -53,7 +53,7 @@
 		}
 	}
 	for index, member := range net.members {
-		net.nodes = append(net.nodes, New(Options{Self: member, Life: uint64(index) + 1, LinkBytes: net.linkBytesPerSecond}))
+		net.nodes = append(net.nodes, New(Options{Self: member, Life: uint64(index) + 1, LinkBytesPerSecond: net.linkBytesPerSecond}))
 		net.reports = append(net.reports, Report{})
 	}
 	net.updateMembers()
@@ -82,7 +82,7 @@
 	return ""
 }
 
-// run advances the clock in steps of 10 ms and delivers messages; all relays tick every LocalEvery.
+// run advances the clock in steps of 10 ms and delivers messages; all relays tick every LocalInterval.
 func (net *network) run(duration time.Duration) {
 	for end := net.now.Add(duration); net.now.Before(end); net.now = net.now.Add(10 * time.Millisecond) {
 		var pending []delivery
@@ -94,7 +94,7 @@
 			net.deliver(next)
 		}
 		net.inFlight = pending
-		if net.now.Sub(start)%LocalEvery == 0 {
+		if net.now.Sub(start)%LocalInterval == 0 {
 			net.tick()
 		}
 	}
@@ -117,7 +117,7 @@
 			continue
 		}
 		sends := node.Tick(net.now, net.reports[index])
-		net.reports[index].Readings = nil
+		net.reports[index].Prefills = nil
 		for _, send := range sends {
 			if net.onSend != nil {
 				net.onSend(address, send)
@@ -152,7 +152,7 @@
 		net := newNetwork(t, 3, 4)
 		net.lossRate = lossRate
 		for index := range net.reports {
-			net.reports[index].Loads = Loads{Key(index % 5): {Requests: 2 + index, Unread: 2000 * index, Held: 100 * index}}
+			net.reports[index].Loads = Loads{Key(index % 5): {Requests: 2 + index, PrefillTokens: 2000 * index, CacheTokens: 100 * index}}
 		}
 		net.run(map[bool]time.Duration{true: 400 * time.Millisecond, false: 6 * time.Second}[lossRate == 0])
 		exact := 0
@@ -175,18 +175,18 @@
 func TestChangesPropagateQuickly(t *testing.T) {
 	net := newNetwork(t, 3, 4)
 	net.run(time.Second)
-	net.reports[0].Loads = Loads{7: {Requests: 1, Unread: 30_000}}
+	net.reports[0].Loads = Loads{7: {Requests: 1, PrefillTokens: 30_000}}
 	changedAt := net.now
 	last := len(net.nodes) - 1
 	for {
 		others, _, _ := net.nodes[last].Others(net.now)
-		if others[7].Unread == 30_000 {
+		if others[7].PrefillTokens == 30_000 {
 			break
 		}
 		net.run(10 * time.Millisecond)
 		assert.Assert(t, net.now.Sub(changedAt) < time.Second)
 	}
-	assert.Assert(t, net.now.Sub(changedAt) <= 2*LocalEvery+ZoneInterval+5*net.delay, "%v", net.now.Sub(changedAt))
+	assert.Assert(t, net.now.Sub(changedAt) <= 2*LocalInterval+ZoneInterval+5*net.delay, "%v", net.now.Sub(changedAt))
 }
 
 // The loads of a relay that is gone expire. A relay whose hub is gone reports that the loads of others are unknown, until there is another
@@ -228,7 +228,7 @@
 	for range 200 {
 		loads := Loads{}
 		for range 40 {
-			loads[Key(random.Uint32()%2000)] = Load{Requests: random.IntN(20), Unread: random.IntN(60_000)}
+			loads[Key(random.Uint32()%2000)] = Load{Requests: random.IntN(20), PrefillTokens: random.IntN(60_000)}
 		}
 		net.reports[0].Loads = loads
 		net.run(10 * time.Millisecond)
@@ -237,13 +237,13 @@
 	for _, tokens := range []int{1, 4} { // as many relevant endpoints as an update may contain, and more
 		manyLoads := Loads{}
 		for key := range 3 * maxZoneEntries {
-			manyLoads[Key(key)] = Load{Requests: 1, Unread: key * tokens}
+			manyLoads[Key(key)] = Load{Requests: 1, PrefillTokens: key * tokens}
 		}
 		broadcast := newBroadcast(minZoneChange, Load.isRelevantToOtherZones)
 		entries := broadcast.markSent(net.now, manyLoads, broadcast.changes(net.now, manyLoads, maxZoneEntries))
 		assert.Equal(t, len(entries), maxZoneEntries)
 		for key := 2 * maxZoneEntries; key < 3*maxZoneEntries; key++ {
-			assert.Equal(t, entries[Key(key)].Unread, key*tokens)
+			assert.Equal(t, entries[Key(key)].PrefillTokens, key*tokens)
 		}
 	}
 }
@@ -260,16 +260,16 @@
 	net := newNetwork(t, 3, 3)
 	net.run(time.Second)
 	for _, node := range net.nodes {
-		node.TakeReadings()
+		node.TakePrefills()
 	}
 	for index := range net.reports {
-		net.reports[index].Readings = []Reading{{Part: uint64(index) + 1, Tokens: 1000, Endpoint: Key(index)}}
+		net.reports[index].Prefills = []Prefill{{PrefixID: uint64(index) + 1, Tokens: 1000, Endpoint: Key(index)}}
 	}
 	net.run(time.Second)
 	for index, node := range net.nodes {
 		received := map[uint64]int{}
-		for _, prefill := range node.TakeReadings() {
-			received[prefill.Part]++
+		for _, prefill := range node.TakePrefills() {
+			received[prefill.PrefixID]++
 		}
 		for other := range net.nodes {
 			wanted := 1
@@ -285,14 +285,14 @@
 func TestPrefillQueueIsBounded(t *testing.T) {
 	var queue prefillQueue
 	for part := range 3 * maxQueuedPrefills {
-		queue.add("a", []Reading{{Part: uint64(part)}})
+		queue.add("a", []Prefill{{PrefixID: uint64(part)}})
 	}
 	assert.Equal(t, len(queue.entries), maxQueuedPrefills)
 	first, position := queue.prefillsFrom(0, func(string) bool { return true })
 	assert.Equal(t, len(first), maxPrefillsPerMessage)
-	assert.Equal(t, first[0].Part, uint64(2*maxQueuedPrefills))
+	assert.Equal(t, first[0].PrefixID, uint64(2*maxQueuedPrefills))
 	next, _ := queue.prefillsFrom(position, func(string) bool { return true })
-	assert.Equal(t, next[0].Part, first[maxPrefillsPerMessage-1].Part+1)
+	assert.Equal(t, next[0].PrefixID, first[maxPrefillsPerMessage-1].PrefixID+1)
 }
 
 // Each relay gets the sums over all relays without its own.
--- a/internal/workload/prefill.go
+++ b/internal/workload/prefill.go
@@ -2,9 +2,9 @@
 
 import "wallflow/internal/workload/workloadpb"
 
-// Reading reports that an endpoint was sent a prompt with a given prefix, and so has the prefix in its cache from then on.
-type Reading struct {
-	Part     uint64 // identifies the prefix
+// Prefill reports that an endpoint was sent a prompt with a given prefix, and so has the prefix in its cache from then on.
+type Prefill struct {
+	PrefixID uint64 // identifies the prefix
 	Tokens   int    // length of the prefix
 	Endpoint Key
 }
@@ -17,7 +17,7 @@
 
 // queuedPrefill is a prefill report and the relay that it came from.
 type queuedPrefill struct {
-	Reading
+	Prefill
 	reporter string // internal address; that of this relay for its own reports
 }
 
@@ -30,7 +30,7 @@
 
 func (q *prefillQueue) endPosition() uint64 { return q.firstPosition + uint64(len(q.entries)) }
 
-func (q *prefillQueue) add(reporter string, prefills []Reading) {
+func (q *prefillQueue) add(reporter string, prefills []Prefill) {
 	for _, prefill := range prefills {
 		q.entries = append(q.entries, queuedPrefill{prefill, reporter})
 	}
@@ -42,24 +42,24 @@
 
 // prefillsFrom returns the reports that start at a position and whose reporter is accepted by include, at most maxPrefillsPerMessage of
 // them. It also returns the position to continue from.
-func (q *prefillQueue) prefillsFrom(position uint64, include func(reporter string) bool) ([]Reading, uint64) {
+func (q *prefillQueue) prefillsFrom(position uint64, include func(reporter string) bool) ([]Prefill, uint64) {
 	position = max(position, q.firstPosition)
-	var chosen []Reading
+	var chosen []Prefill
 	for ; position < q.endPosition() && len(chosen) < maxPrefillsPerMessage; position++ {
 		if entry := &q.entries[position-q.firstPosition]; include(entry.reporter) {
-			chosen = append(chosen, entry.Reading)
+			chosen = append(chosen, entry.Prefill)
 		}
 	}
 	return chosen, position
 }
 
-func encodePrefills(prefills []Reading) *workloadpb.Readings {
+func encodePrefills(prefills []Prefill) *workloadpb.Readings {
 	if len(prefills) == 0 {
 		return nil
 	}
 	encoded := &workloadpb.Readings{}
 	for _, prefill := range prefills {
-		encoded.Parts = append(encoded.Parts, prefill.Part)
+		encoded.Parts = append(encoded.Parts, prefill.PrefixID)
 		encoded.Endpoints = append(encoded.Endpoints, uint32(prefill.Endpoint))
 		encoded.Tokens = append(encoded.Tokens, toWire(prefill.Tokens))
 	}
@@ -67,15 +67,15 @@
 }
 
 // decodePrefills decodes prefill reports. It returns none if the parallel lists differ in length or are too long.
-func decodePrefills(encoded *workloadpb.Readings) []Reading {
+func decodePrefills(encoded *workloadpb.Readings) []Prefill {
 	count := len(encoded.GetParts())
 	if count > maxPrefillsPerMessage || len(encoded.GetEndpoints()) != count || len(encoded.GetTokens()) != count {
 		return nil
 	}
-	prefills := make([]Reading, count)
+	prefills := make([]Prefill, count)
 	for index := range prefills {
-		prefills[index] = Reading{
-			Part:     encoded.Parts[index],
+		prefills[index] = Prefill{
+			PrefixID: encoded.Parts[index],
 			Endpoint: Key(encoded.Endpoints[index]),
 			Tokens:   fromWire(encoded.Tokens[index]),
 		}
--- a/internal/workload/send.go
+++ b/internal/workload/send.go
@@ -162,7 +162,7 @@
 	}
 	n.lastReportAt = now
 	linkSharers := max(1, len(n.zonePeers)) // relays that share the link of the hub for their reports
-	n.nextReportAt = now.Add(max(LocalEvery, n.pauseAfter(linkSharers*(proto.Size(message)+messageOverheadBytes))))
+	n.nextReportAt = now.Add(max(LocalInterval, n.pauseAfter(linkSharers*(proto.Size(message)+messageOverheadBytes))))
 	return []Send{{To: n.hub, Message: message}}
 }
 
--- a/policy/api.go
+++ b/policy/api.go
@@ -66,14 +66,14 @@
 	RoughWeights   bool          // listed weights may be up to 50% too high or too low
 	NoWeights      bool          // listed weights carry no information
 	AskList        bool          // list changes are sent only after a Watch action
-	Carriage       []float64     // fee of a message by the zone of a separate route
+	ZoneFees       []float64     // fee of a message by the zone of a separate route
 	ColdShare      float64       // fraction of its capacity that a destination has right after an outage; default 0.1
 	WarmWithin     time.Duration // a destination has its full capacity this long after an outage; default 30 s
 	OverloadFactor float64       // load, as a multiple of its capacity, above which a destination fails; default 1
 	OverloadWindow time.Duration // time over which this load is measured; default 3 s
 	OrderPause     time.Duration // pause of a key after an attempt that may still run
-	SkipFirst      time.Duration // first skip of a failing route; default 2 s
-	SkipMost       time.Duration // longest skip of a failing route; default 10 s
+	FirstSkip      time.Duration // first skip of a failing route; default 2 s
+	MaxSkip        time.Duration // longest skip of a failing route; default 10 s
 
 	Order map[int][]string // by destination: routes in the order in which they are tried; unnamed routes come last
 }
@@ -94,20 +94,20 @@
 
 // The kinds of event.
 const (
-	Taken       EventKind = iota // a message was accepted
-	Finished                     // an attempt has its outcome
-	Withdrawn                    // the client has disconnected
-	ListWhole                    // the full list of routes
-	ListChanges                  // changes to the list of routes
-	ListFailed                   // a request for the list failed
-	Woken                        // a requested wake is due
-	Probed                       // a probe has its outcome
-	Standby                      // the process is to drain its clients
-	Active                       // clients may return: the drain ends
-	Ending                       // the process is to end
-	HandedOver                   // another process has taken over the decisions
-	Configured                   // new settings apply from here on
-	Recalled                     // what the previous process knew of outages
+	Accepted           EventKind = iota // a message was accepted
+	Finished                            // an attempt has its outcome
+	Withdrawn                           // the client has disconnected
+	ListWhole                           // the full list of routes
+	ListChanges                         // changes to the list of routes
+	ListFailed                          // a request for the list failed
+	Woken                               // a requested wake is due
+	Probed                              // a probe has its outcome
+	Standby                             // the process is to drain its clients
+	Active                              // clients may return: the drain ends
+	Ending                              // the process is to end
+	HandedOver                          // another process has taken over the decisions
+	Configured                          // new settings apply from here on
+	SuspicionsRestored                  // what the previous process knew of outages
 )
 
 // Report is what a destination reports of its rate limit. It is delayed and noisy.
@@ -120,17 +120,17 @@
 // Resumed is the history of a message from before the process that had accepted it ended. A call in flight at that time
 // may have run.
 type Resumed struct {
-	Attempts int           // sends used
-	Ran      bool          // an attempt may have run
-	RanAgo   time.Duration // how long ago the first of them was sent
-	RanZone  int           // the zone it was sent to
+	Attempts   int           // sends used
+	MayHaveRun bool          // an attempt may have run
+	SentAgo    time.Duration // how long ago the first of them was sent
+	SentZone   int           // the zone it was sent to
 }
 
-// Doubt is a route that may be in an outage or recovering from one, as one process reports it to the next.
-type Doubt struct {
-	Route  string
-	Slight bool          // suspected on one failure alone
-	Back   time.Duration // time since the first delivery after the outage; 0: none yet
+// Suspicion is a route that may be in an outage or recovering from one, as one process reports it to the next.
+type Suspicion struct {
+	Route         string
+	Weak          bool          // suspected on one failure alone
+	SinceDelivery time.Duration // time since the first delivery after the outage; 0: none yet
 }
 
 // RetryAdvice is the shortest retry-after of a refusal.
@@ -141,25 +141,25 @@
 	Kind EventKind
 	ID   uint32 // message
 
-	Doubts []Doubt // of the previous process
+	Suspicions []Suspicion // of the previous process
 
 	// Of a message that was accepted.
 	Key         string
 	Class       int
 	Customer    int
 	Destination int
-	Left        time.Duration // time until the deadline
+	TimeLeft    time.Duration // time until the deadline
 	Terms       *Class        // class under which it was accepted; nil: as the settings define Class
 	Resumed     *Resumed      // accepted by a previous process; nil if new
 
 	// Of the outcome of an attempt or a probe.
-	Attempt int // counts the sends of the message, from 0
-	Route   string
-	Outcome Outcome
-	Took    time.Duration
-	Ended   bool          // the message has ended
-	Wait    time.Duration // the retry-after received with the outcome; 0: none
-	Report  Report
+	Attempt    int // counts the sends of the message, from 0
+	Route      string
+	Outcome    Outcome
+	Took       time.Duration
+	Ended      bool          // the message has ended
+	RetryAfter time.Duration // the retry-after received with the outcome; 0: none
+	Report     Report
 
 	List []Listing // the full list of routes, or changes to it
 
@@ -171,22 +171,22 @@
 
 // The kinds of action.
 const (
-	Send      ActionKind = iota // start an attempt
-	Refuse                      // end the message; the client may safely send it again
-	Fail                        // end the message; it may or may not have taken effect
-	Wake                        // request a Woken event after Delay
-	CloseIdle                   // close the idle connections to a route
-	Watch                       // subscribe to list changes
-	Attend                      // set the state of the client side; until the first, it serves
+	Send        ActionKind = iota // start an attempt
+	Refuse                        // end the message; the client may safely send it again
+	Fail                          // end the message; it may or may not have taken effect
+	Wake                          // request a Woken event after Delay
+	CloseIdle                     // close the idle connections to a route
+	Watch                         // subscribe to list changes
+	SetListener                   // set the state of the client side; until the first, it serves
 )
 
 // Action is one thing that a Sender decides.
 type Action struct {
-	Kind  ActionKind
-	ID    uint32
-	Route string
-	At    time.Duration // Send: the attempt times out then
-	Leave time.Duration // Send: the attempt must not be sent after this; 0: no limit
-	Delay time.Duration // Refuse: retry-after for the client; Wake: time from now
-	Door  Door          // new state of the client side
+	Kind      ActionKind
+	ID        uint32
+	Route     string
+	TimeoutAt time.Duration // Send: the attempt times out then
+	LeaveBy   time.Duration // Send: the attempt must not be sent after this; 0: no limit
+	Delay     time.Duration // Refuse: retry-after for the client; Wake: time from now
+	Listener  ListenerState // new state of the client side
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -29,7 +29,7 @@
 	now := time.Minute
 	evs := []Event{{Kind: ListWhole, List: list}}
 	for i := range backlog {
-		evs = append(evs, Event{Kind: Taken, ID: uint32(1e9) + uint32(i), Destination: 200 + i, Left: time.Hour})
+		evs = append(evs, Event{Kind: Accepted, ID: uint32(1e9) + uint32(i), Destination: 200 + i, TimeLeft: time.Hour})
 	}
 	s.Step(now, evs)
 	b.ReportAllocs()
@@ -37,7 +37,7 @@
 		now += 10 * ms
 		id := uint32(i)
 		route := ""
-		for _, a := range s.Step(now, []Event{{Kind: Taken, ID: id, Destination: i % 200, Left: time.Minute}}) {
+		for _, a := range s.Step(now, []Event{{Kind: Accepted, ID: id, Destination: i % 200, TimeLeft: time.Minute}}) {
 			if a.Kind == Send {
 				route = a.Route
 			}
--- a/policy/duty.go
+++ b/policy/duty.go
@@ -8,47 +8,47 @@
 // Whether this process serves clients: what its client side does while it serves, drains or ends. The listener and the client connections
 // carry it out. A drain and an end are a table of stages each; the latest event decides, except that an end is final.
 
-// Door is what the client side does now.
-type Door struct {
-	Ready   bool          // the health check succeeds
-	Keep    bool          // an answer keeps its connection open
-	IdleFor time.Duration // connections without a request for longer are closed; negative: none
-	Listen  bool          // new connections are accepted
-	Send    bool          // calls may be sent
-	Over    bool          // the process exits
+// ListenerState is what the client side does now.
+type ListenerState struct {
+	Ready       bool          // the health check succeeds
+	KeepAlive   bool          // an answer keeps its connection open
+	IdleTimeout time.Duration // connections without a request for longer are closed; negative: none
+	Listen      bool          // new connections are accepted
+	Send        bool          // calls may be sent
+	Exit        bool          // the process exits
 }
 
 // servingState is the state of a relay that serves.
-var servingState = Door{Ready: true, Keep: true, IdleFor: -1, Listen: true, Send: true}
+var servingState = ListenerState{Ready: true, KeepAlive: true, IdleTimeout: -1, Listen: true, Send: true}
 
 // stage is the state from some time after an event.
 type stage struct {
 	after time.Duration
-	state Door
+	state ListenerState
 }
 
 // drainStages drain the process: load balancers check health every 0.1 s and go on sending clients for a while after
 // the first failure. A connection in use is closed with its next answer, an idle one when no client is likely to be
 // using it any more; none is left 4 s after the event.
 var drainStages = []stage{
-	{0, Door{IdleFor: drainIdleTimeout, Listen: true, Send: true}},
-	{drainIdleCloseDelay, Door{Listen: true, Send: true}},
+	{0, ListenerState{IdleTimeout: drainIdleTimeout, Listen: true, Send: true}},
+	{drainIdleCloseDelay, ListenerState{Listen: true, Send: true}},
 }
 
 // endStages are the planned end, from SIGTERM; SIGKILL comes no sooner than 3.7 s after it. New connections still
 // arrive for up to 0.4 s, so a request that crosses the close of an idle connection is still accepted.
 var endStages = []stage{
-	{0, Door{Listen: true, Send: true}},
-	{500 * time.Millisecond, Door{Send: true}},
-	{2200 * time.Millisecond, Door{}}, // a call sent later would be cut off without an outcome
-	{3300 * time.Millisecond, Door{Over: true}},
+	{0, ListenerState{Listen: true, Send: true}},
+	{500 * time.Millisecond, ListenerState{Send: true}},
+	{2200 * time.Millisecond, ListenerState{}}, // a call sent later would be cut off without an outcome
+	{3300 * time.Millisecond, ListenerState{Exit: true}},
 }
 
 // handedOverStages apply once another process has taken over: the client connections that are still open are served until
 // they end, and the process stays in case the other one dies. leaveStages end it.
 var (
-	handedOverStages = []stage{{0, Door{IdleFor: drainIdleTimeout}}}
-	leaveStages      = []stage{{0, Door{}}, {3300 * time.Millisecond, Door{Over: true}}}
+	handedOverStages = []stage{{0, ListenerState{IdleTimeout: drainIdleTimeout}}}
+	leaveStages      = []stage{{0, ListenerState{}}, {3300 * time.Millisecond, ListenerState{Exit: true}}}
 )
 
 const (
@@ -60,7 +60,7 @@
 type lifecycle struct {
 	stages []stage // nil: it serves
 	since  time.Duration
-	state  Door
+	state  ListenerState
 }
 
 // running reports whether a table of stages is in effect.
@@ -96,6 +96,6 @@
 	s.requestWake(next)
 	if state != s.lifecycle.state {
 		s.lifecycle.state = state
-		s.emit(Action{Kind: Attend, Door: state})
+		s.emit(Action{Kind: SetListener, Listener: state})
 	}
 }
--- a/policy/duty_test.go
+++ b/policy/duty_test.go
@@ -6,7 +6,7 @@
 )
 
 // listenerAt steps a sender at a time and returns the state of its client side.
-func listenerAt(s *Sender, at time.Duration, kinds ...EventKind) Door {
+func listenerAt(s *Sender, at time.Duration, kinds ...EventKind) ListenerState {
 	var evs []Event
 	for _, k := range kinds {
 		evs = append(evs, Event{Kind: k})
@@ -31,14 +31,14 @@
 	if d := listenerAt(s, sec); d != servingState {
 		t.Errorf("before: %+v", d)
 	}
-	want := Door{IdleFor: drainIdleTimeout, Listen: true, Send: true}
+	want := ListenerState{IdleTimeout: drainIdleTimeout, Listen: true, Send: true}
 	if d := listenerAt(s, 2*sec, Standby); d != want {
 		t.Errorf("at once: %+v", d)
 	}
 	if d := listenerAt(s, 4*sec, Standby); d != want {
 		t.Errorf("drained again: %+v", d)
 	}
-	if d := listenerAt(s, 2*sec+drainIdleCloseDelay); d != (Door{Listen: true, Send: true}) {
+	if d := listenerAt(s, 2*sec+drainIdleCloseDelay); d != (ListenerState{Listen: true, Send: true}) {
 		t.Errorf("the second event restarted the drain: %+v", d)
 	}
 	for range 2 {
@@ -57,7 +57,7 @@
 	updates := 0
 	for _, a := range s.Step(time.Second, []Event{{Kind: Standby}}) {
 		switch a.Kind {
-		case Attend:
+		case SetListener:
 			updates++
 		case Wake:
 			if a.Delay != drainIdleCloseDelay {
@@ -66,7 +66,7 @@
 		}
 	}
 	for _, a := range s.Step(1100*time.Millisecond, nil) {
-		if a.Kind == Attend {
+		if a.Kind == SetListener {
 			updates++
 		}
 	}
@@ -80,24 +80,24 @@
 	s, sec := newLifecycleSender(t), time.Second
 	s.Step(sec, []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Destination: 7, InService: true}}}})
 	listenerAt(s, sec, Standby)
-	if d := listenerAt(s, 2*sec, Ending); d != (Door{Listen: true, Send: true}) {
+	if d := listenerAt(s, 2*sec, Ending); d != (ListenerState{Listen: true, Send: true}) {
 		t.Errorf("at once: %+v", d)
 	}
-	if d := listenerAt(s, 2*sec+600*time.Millisecond, Active); d != (Door{Send: true}) {
+	if d := listenerAt(s, 2*sec+600*time.Millisecond, Active); d != (ListenerState{Send: true}) {
 		t.Errorf("after active: %+v", d)
 	}
-	if d := listenerAt(s, 4*sec+300*time.Millisecond, Standby); d != (Door{}) {
+	if d := listenerAt(s, 4*sec+300*time.Millisecond, Standby); d != (ListenerState{}) {
 		t.Errorf("at the end of the sends: %+v", d)
 	}
-	for _, a := range s.Step(4*sec+400*time.Millisecond, []Event{{Kind: Taken, ID: 1, Destination: 7, Left: 5 * sec}}) {
+	for _, a := range s.Step(4*sec+400*time.Millisecond, []Event{{Kind: Accepted, ID: 1, Destination: 7, TimeLeft: 5 * sec}}) {
 		if a.Kind == Send {
 			t.Error("sent a call that the exit would cut off")
 		}
 	}
-	if s.MayStill(1, "a", 4*sec+400*time.Millisecond) {
+	if s.MayStillSend(1, "a", 4*sec+400*time.Millisecond) {
 		t.Error("a delayed call may still be sent")
 	}
-	if d := listenerAt(s, 2*sec+3500*time.Millisecond); !d.Over {
+	if d := listenerAt(s, 2*sec+3500*time.Millisecond); !d.Exit {
 		t.Errorf("no exit: %+v", d)
 	}
 }
@@ -107,7 +107,7 @@
 	s := newLifecycleSender(t)
 	s.Step(time.Second, []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Destination: 7, InService: true}}}, {Kind: Standby}})
 	sent := 0
-	for _, a := range s.Step(6*time.Second, []Event{{Kind: Taken, ID: 1, Destination: 7, Left: 5 * time.Second}}) {
+	for _, a := range s.Step(6*time.Second, []Event{{Kind: Accepted, ID: 1, Destination: 7, TimeLeft: 5 * time.Second}}) {
 		if a.Kind == Send {
 			sent++
 		}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -28,7 +28,7 @@
 			{Route: "b", Destination: 7, InService: true},
 			{Route: "a", Destination: 7, InService: true},
 		}},
-		{Kind: policy.Taken, ID: 1, Destination: 7, Left: 20 * time.Second},
+		{Kind: policy.Accepted, ID: 1, Destination: 7, TimeLeft: 20 * time.Second},
 	}))
 	show(sender.Step(2*time.Second, []policy.Event{
 		{Kind: policy.Finished, ID: 1, Route: "a", Outcome: policy.Full, Took: time.Second},
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -95,9 +95,9 @@
 
 // restart replaces a sender by a new process that knows what its journal holds.
 func (sim *fleetSimulation) restart(i int) error {
-	suspicions := sim.fleet[i].Doubts()
+	suspicions := sim.fleet[i].Suspicions()
 	err := sim.start(i, sim.rng.Uint64())
-	sim.inbox[i] = append([]Event{{Kind: Recalled, Doubts: suspicions}}, sim.inbox[i]...) // before any list
+	sim.inbox[i] = append([]Event{{Kind: SuspicionsRestored, Suspicions: suspicions}}, sim.inbox[i]...) // before any list
 	return err
 }
 
@@ -171,7 +171,7 @@
 				i = sim.rng.IntN((c.senders + 1) / 2)
 			}
 			id++
-			sim.schedule(i, 0, Event{Kind: Taken, ID: id, Left: 28 * time.Second})
+			sim.schedule(i, 0, Event{Kind: Accepted, ID: id, TimeLeft: 28 * time.Second})
 		}
 		for _, e := range sim.pending[sim.now] {
 			sim.inbox[e.sender] = append(sim.inbox[e.sender], e.event)
--- a/policy/large_fleet_test.go
+++ b/policy/large_fleet_test.go
@@ -23,7 +23,7 @@
 		start := time.Minute
 		evs := []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Weight: weight, InService: true}}}}
 		for id := range uint32(4) {
-			evs = append(evs, Event{Kind: Taken, ID: id + 1, Left: 12 * time.Second, Resumed: resumed})
+			evs = append(evs, Event{Kind: Accepted, ID: id + 1, TimeLeft: 12 * time.Second, Resumed: resumed})
 		}
 		unsent := 4
 		for now := start; unsent > 0 && now < start+12*time.Second; {
@@ -221,7 +221,7 @@
 	cfg := settings()
 	cfg.Senders = 3
 	h := newHarness(t, cfg, Listing{Route: "a", Weight: 3})
-	acts := h.step(Event{Kind: Taken, ID: 1, Left: 12 * time.Second, Resumed: &Resumed{}})
+	acts := h.step(Event{Kind: Accepted, ID: 1, TimeLeft: 12 * time.Second, Resumed: &Resumed{}})
 	if sentTo(acts) != "a" {
 		t.Fatal("the first journaled message waits")
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -17,7 +17,7 @@
 
 const (
 	firstSkip  = 2 * time.Second  // most outages last longer, and a trial after the skip costs only one call
-	maxSkip    = 10 * time.Second // default of Settings.SkipMost, and the length that the specification names
+	maxSkip    = 10 * time.Second // default of Settings.MaxSkip, and the length that the specification names
 	skipGrowth = 1.5              // factor from one skip to the next while trials fail
 	skipJitter = 0.2              // relative variation of a skip, so that senders do not return in step
 
@@ -132,15 +132,15 @@
 
 func (s *Sender) handleEvent(e *Event) {
 	switch e.Kind {
-	case Taken:
+	case Accepted:
 		s.accept(e)
 	case Finished:
 		s.handleOutcome(e)
 	case Probed:
 		if r := s.routes[e.Route]; r != nil {
 			s.recordReport(r, e.Report)
-			r.scope.waitUntil = max(r.scope.waitUntil, s.now+e.Wait)
-			s.observe(r, sample{outcome: e.Outcome, retryAfter: e.Wait, sentAt: s.now - e.Took}, e.Took)
+			r.scope.waitUntil = max(r.scope.waitUntil, s.now+e.RetryAfter)
+			s.observe(r, sample{outcome: e.Outcome, retryAfter: e.RetryAfter, sentAt: s.now - e.Took}, e.Took)
 			s.recheck(r.scope.dest)
 		}
 	case Withdrawn:
@@ -155,8 +155,8 @@
 		}
 	case Configured:
 		s.configure(*e.Settings)
-	case Recalled:
-		s.restoreSuspicions(e.Doubts)
+	case SuspicionsRestored:
+		s.restoreSuspicions(e.Suspicions)
 	case Standby:
 		s.startStages(drainStages)
 	case Active:
@@ -196,8 +196,8 @@
 
 // fee is the cost of a message by its route's zone.
 func (s *Sender) fee(r *route) float64 {
-	if r.scope.separate && r.Zone >= 0 && r.Zone < len(s.cfg.Carriage) {
-		return s.cfg.Carriage[r.Zone]
+	if r.scope.separate && r.Zone >= 0 && r.Zone < len(s.cfg.ZoneFees) {
+		return s.cfg.ZoneFees[r.Zone]
 	}
 	return 0
 }
@@ -453,9 +453,9 @@
 	if r.skipped && sentAt < r.skipUntil-r.skipLen {
 		return
 	}
-	next := s.cfg.SkipFirst
+	next := s.cfg.FirstSkip
 	if r.skipped && r.skipLen > 0 {
-		next = min(s.cfg.SkipMost, time.Duration(float64(r.skipLen)*skipGrowth))
+		next = min(s.cfg.MaxSkip, time.Duration(float64(r.skipLen)*skipGrowth))
 	}
 	r.skipLen = time.Duration(float64(next) * (1 + skipJitter*(2*s.rng.Float64()-1)))
 	r.skipped, r.skipUntil = true, s.now+r.skipLen
@@ -490,15 +490,15 @@
 	if c == nil && e.Class >= 0 && e.Class < len(s.cfg.Classes) {
 		c = &s.cfg.Classes[e.Class]
 	} else if c == nil { // unknown class: the strictest terms
-		c = &Class{Effect: Unsafe, Ordered: true, Aim: e.Left / 2, GiveUp: e.Left, Value: 1}
+		c = &Class{Effect: Unsafe, Ordered: true, Aim: e.TimeLeft / 2, GiveUp: e.TimeLeft, Value: 1}
 		c.Attempts = s.cfg.MaxAttempts
 	}
 	m := &message{id: e.ID, class: c, dest: s.destination(e.Destination), unpacedAt: never}
-	m.deadline = s.now + e.Left - deadlineMargin
-	m.targetAt = s.now + c.Aim - max(0, c.GiveUp-e.Left)
+	m.deadline = s.now + e.TimeLeft - deadlineMargin
+	m.targetAt = s.now + c.Aim - max(0, c.GiveUp-e.TimeLeft)
 	m.rank = s.now + time.Duration(float64(m.targetAt-s.now)/math.Max(c.Value, 0.01))
 	if overShare {
-		m.rank += time.Duration(overShareDelayRatio * float64(e.Left))
+		m.rank += time.Duration(overShareDelayRatio * float64(e.TimeLeft))
 	}
 	s.msgs[m.id] = m
 	s.held++
@@ -548,8 +548,8 @@
 		r = c.route
 	}
 	// A retry-after blocks every message for the scope until it ends, whichever message received it.
-	if r != nil && e.Wait > 0 {
-		r.scope.waitUntil = max(r.scope.waitUntil, s.now+e.Wait)
+	if r != nil && e.RetryAfter > 0 {
+		r.scope.waitUntil = max(r.scope.waitUntil, s.now+e.RetryAfter)
 	}
 	if c == nil {
 		return
@@ -564,7 +564,7 @@
 			o = OK
 		}
 		short := (o == Timeout || o == ConnectFailed) && c.timeoutAt < c.sentAt+minExpectedTime
-		s.observe(r, sample{outcome: o, retryAfter: e.Wait, sentAt: c.sentAt, cutShort: short}, e.Took)
+		s.observe(r, sample{outcome: o, retryAfter: e.RetryAfter, sentAt: c.sentAt, cutShort: short}, e.Took)
 		s.adjustCallCapacity(r, o)
 	}
 	s.recheck(m.dest)
@@ -796,7 +796,7 @@
 	if c.timeoutAt == 0 || timeoutAt < c.timeoutAt {
 		c.timeoutAt = timeoutAt
 	}
-	s.emit(Action{Kind: Send, ID: m.id, Route: c.route.Route, At: timeoutAt, Leave: m.leaveBy()})
+	s.emit(Action{Kind: Send, ID: m.id, Route: c.route.Route, TimeoutAt: timeoutAt, LeaveBy: m.leaveBy()})
 	return true
 }
 
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -57,14 +57,14 @@
 }
 
 func (h *harness) accept(id uint32, class int) []Action {
-	return h.step(Event{Kind: Taken, ID: id, Class: class, Left: 60 * time.Second})
+	return h.step(Event{Kind: Accepted, ID: id, Class: class, TimeLeft: 60 * time.Second})
 }
 
 func (h *harness) finish(id uint32, route string, o Outcome, took, retryAfter time.Duration) []Action {
 	h.now += took
 	n := h.attempts[id]
 	h.attempts[id]++
-	return h.step(Event{Kind: Finished, ID: id, Attempt: n, Route: route, Outcome: o, Took: took, Wait: retryAfter,
+	return h.step(Event{Kind: Finished, ID: id, Attempt: n, Route: route, Outcome: o, Took: took, RetryAfter: retryAfter,
 		Ended: o == OK})
 }
 
@@ -90,7 +90,7 @@
 
 func TestRoutesAreOrderedByWeightFeeAndTieBreak(t *testing.T) {
 	cfg := settings()
-	cfg.Carriage = []float64{0, 0.03}
+	cfg.ZoneFees = []float64{0, 0.03}
 	h := newHarness(t, cfg, Listing{Route: "a", Kind: 1, Zone: 1, Weight: 5}, Listing{Route: "c", Kind: 1, Weight: 5},
 		Listing{Route: "b", Kind: 1, Weight: 5}, Listing{Route: "z", Kind: 1, Zone: 1, Weight: 9})
 	var got []string
@@ -118,7 +118,7 @@
 		acts := s.Step(time.Minute, []Event{
 			{Kind: ListWhole, List: []Listing{{Route: "a", InService: true}, {Route: "b", InService: true},
 				{Route: "c", InService: true}}},
-			{Kind: Taken, ID: 1, Left: 9 * time.Second}})
+			{Kind: Accepted, ID: 1, TimeLeft: 9 * time.Second}})
 		first[sentTo(acts)]++
 	}
 	if first["a"] < 10 || first["b"] < 10 || first["c"] < 10 {
@@ -264,7 +264,7 @@
 func TestDrainingRouteGetsNoCalls(t *testing.T) {
 	h := newHarness(t, settings(), Listing{Route: "a"})
 	acts := h.step(Event{Kind: ListChanges, List: []Listing{{Route: "a"}}},
-		Event{Kind: Taken, ID: 1, Left: 9 * time.Second})
+		Event{Kind: Accepted, ID: 1, TimeLeft: 9 * time.Second})
 	if has(acts, Send) {
 		t.Errorf("sent to a draining route: %+v", acts)
 	}
@@ -288,9 +288,9 @@
 // A retry-after for one message of a call also applies if the other messages were delivered.
 func TestRetryAfterOfAPartlyDeliveredCall(t *testing.T) {
 	h := newHarness(t, settings(), Listing{Route: "a", Kind: 2})
-	h.step(Event{Kind: Taken, ID: 1, Left: 9 * time.Second}, Event{Kind: Taken, ID: 2, Left: 9 * time.Second})
+	h.step(Event{Kind: Accepted, ID: 1, TimeLeft: 9 * time.Second}, Event{Kind: Accepted, ID: 2, TimeLeft: 9 * time.Second})
 	h.step(Event{Kind: Finished, ID: 1, Route: "a", Outcome: OK, Ended: true},
-		Event{Kind: Finished, ID: 2, Route: "a", Outcome: Full, Wait: time.Second})
+		Event{Kind: Finished, ID: 2, Route: "a", Outcome: Full, RetryAfter: time.Second})
 	if got := h.s.routes["a"].scope.waitUntil; got != h.now+time.Second {
 		t.Errorf("blocked until %v, want %v", got, h.now+time.Second)
 	}
@@ -435,8 +435,8 @@
 		{1200 * ms, 1200*ms - deadlineMargin},
 		{8 * time.Second, 1600 * ms}, // expected response time without a measurement
 	} {
-		acts := h.step(Event{Kind: Taken, ID: uint32(c.left), Left: c.left})
-		if len(acts) != 1 || acts[0].Kind != Send || acts[0].At-h.now != c.want {
+		acts := h.step(Event{Kind: Accepted, ID: uint32(c.left), TimeLeft: c.left})
+		if len(acts) != 1 || acts[0].Kind != Send || acts[0].TimeoutAt-h.now != c.want {
 			t.Errorf("%v left: %+v, want one attempt with a timeout of %v", c.left, acts, c.want)
 		}
 	}
@@ -513,7 +513,7 @@
 		h := newHarness(t, cfg, Listing{Route: "a"}, Listing{Route: "b", Destination: 1})
 		h.accept(1, 0)
 		h.finish(1, "a", ConnectFailed, 10*ms, 0)
-		h.step(Event{Kind: Taken, ID: 2, Destination: 1, Left: 9 * time.Second})
+		h.step(Event{Kind: Accepted, ID: 2, Destination: 1, TimeLeft: 9 * time.Second})
 		if got := has(h.finish(2, "b", OK, 10*ms, 0), CloseIdle); got != c.want {
 			t.Errorf("%d senders: closed %v after a failed connection of the kind", c.senders, got)
 		}
@@ -591,8 +591,8 @@
 
 func TestKeyIsSentInOrderAndPauses(t *testing.T) {
 	h := newHarness(t, settings(), Listing{Route: "a"})
-	h.step(Event{Kind: Taken, ID: 1, Key: "k", Class: 2, Left: 9 * time.Second},
-		Event{Kind: Taken, ID: 2, Key: "k", Class: 2, Left: 9 * time.Second})
+	h.step(Event{Kind: Accepted, ID: 1, Key: "k", Class: 2, TimeLeft: 9 * time.Second},
+		Event{Kind: Accepted, ID: 2, Key: "k", Class: 2, TimeLeft: 9 * time.Second})
 	if acts := h.finish(1, "a", Timeout, time.Second, 0); has(acts, Send) {
 		t.Errorf("sent while the key is paused: %+v", acts)
 	}
@@ -682,7 +682,7 @@
 	sendThree := func(first uint32) int {
 		var evs []Event
 		for i := range uint32(3) {
-			evs = append(evs, Event{Kind: Taken, ID: first + i, Left: 9 * time.Second})
+			evs = append(evs, Event{Kind: Accepted, ID: first + i, TimeLeft: 9 * time.Second})
 		}
 		before := len(h.s.routes["a"].calls)
 		h.step(evs...)
@@ -719,7 +719,7 @@
 	submit := func(dest, customer int) bool {
 		t.Helper()
 		id++
-		acts := h.step(Event{Kind: Taken, ID: id, Destination: dest, Customer: customer, Left: 60 * time.Second})
+		acts := h.step(Event{Kind: Accepted, ID: id, Destination: dest, Customer: customer, TimeLeft: 60 * time.Second})
 		if len(acts) == 0 {
 			return true
 		}
@@ -807,7 +807,7 @@
 	for i := range 300 {
 		id, name := uint32(i), fmt.Sprint("r", i)
 		h.step(Event{Kind: ListChanges, List: []Listing{{Route: name, Destination: i, InService: true}}})
-		h.step(Event{Kind: Taken, ID: id, Key: name, Class: 2, Destination: i, Left: 9 * time.Second})
+		h.step(Event{Kind: Accepted, ID: id, Key: name, Class: 2, Destination: i, TimeLeft: 9 * time.Second})
 		h.finish(id, name, Timeout, time.Second, 0)
 		h.step(Event{Kind: ListChanges, List: []Listing{{Route: name, Destination: i, Gone: true}}})
 	}
@@ -829,7 +829,7 @@
 		t.Fatalf("active %d, want only the waiting destination, blocked", len(h.s.active))
 	}
 	blockedUntil := h.s.active[0].blockedUntil
-	h.step(Event{Kind: Taken, ID: 2, Destination: 1, Left: 9 * time.Second})
+	h.step(Event{Kind: Accepted, ID: 2, Destination: 1, TimeLeft: 9 * time.Second})
 	if len(h.s.active) != 1 || h.s.active[0].blockedUntil != blockedUntil {
 		t.Error("a message for another destination caused a recheck of the blocked one")
 	}
@@ -854,7 +854,7 @@
 		if len(acts) != 1 || acts[0].Kind != Send {
 			t.Fatalf("class %d: %+v", class, acts)
 		}
-		if timeout := acts[0].At - h.now; timeout > 2*minExpectedTime || timeout < 10*responseTime {
+		if timeout := acts[0].TimeoutAt - h.now; timeout > 2*minExpectedTime || timeout < 10*responseTime {
 			t.Errorf("class %d: responses take %v, timeout after %v", class, responseTime, timeout)
 		} else if c.Effect == Keyed && timeout >= c.DedupWindow {
 			t.Errorf("class %d: timeout after %v, no repeat is left in %v", class, timeout, c.DedupWindow)
@@ -874,7 +874,7 @@
 			h.accept(id, 0)
 			h.finish(id, "a", OK, 300*ms, 0)
 		}
-		if acts := h.accept(100, class); len(acts) != 1 || acts[0].At-h.now != want {
+		if acts := h.accept(100, class); len(acts) != 1 || acts[0].TimeoutAt-h.now != want {
 			t.Errorf("class %d: %+v at %v, want a timeout after %v", class, acts, h.now, want)
 		}
 	}
@@ -890,11 +890,11 @@
 		Listing{Route: "d", Destination: 3})
 	sendTo := func(id uint32, dest int) time.Duration {
 		t.Helper()
-		acts := h.step(Event{Kind: Taken, ID: id, Class: 2, Destination: dest, Left: 60 * time.Second})
+		acts := h.step(Event{Kind: Accepted, ID: id, Class: 2, Destination: dest, TimeLeft: 60 * time.Second})
 		if len(acts) != 1 || acts[0].Kind != Send {
 			t.Fatalf("message %d: %+v", id, acts)
 		}
-		return acts[0].At - h.now
+		return acts[0].TimeoutAt - h.now
 	}
 	for id := range uint32(20) {
 		sendTo(id, 0)
@@ -915,7 +915,7 @@
 	h := newHarness(t, settings(), Listing{Route: "a", Destination: 1})
 	for i := range 100 {
 		id := uint32(i + 1)
-		acts := h.step(Event{Kind: Taken, ID: id, Destination: 70_000 + i, Left: time.Minute})
+		acts := h.step(Event{Kind: Accepted, ID: id, Destination: 70_000 + i, TimeLeft: time.Minute})
 		if len(acts) != 1 || acts[0].Kind != Refuse || acts[0].ID != id {
 			t.Fatalf("message %d: %+v", id, acts)
 		}
@@ -925,10 +925,10 @@
 	}
 	// A destination whose last route was just removed may get another, and a resumed message is held to its deadline.
 	h.step(Event{Kind: ListChanges, List: []Listing{{Route: "b", Destination: 2, InService: true}, {Route: "a", Gone: true}}})
-	if acts := h.step(Event{Kind: Taken, ID: 200, Destination: 1, Left: time.Minute}); len(acts) != 0 {
+	if acts := h.step(Event{Kind: Accepted, ID: 200, Destination: 1, TimeLeft: time.Minute}); len(acts) != 0 {
 		t.Errorf("while the destination has no route: %+v", acts)
 	}
-	e := Event{Kind: Taken, ID: 201, Destination: 3, Left: time.Minute, Resumed: &Resumed{}}
+	e := Event{Kind: Accepted, ID: 201, Destination: 3, TimeLeft: time.Minute, Resumed: &Resumed{}}
 	if acts := h.step(e); len(acts) != 0 {
 		t.Errorf("resumed: %+v", acts)
 	}
@@ -949,7 +949,7 @@
 		t.Helper()
 		var evs []Event
 		for range 4 { // more than a call carries
-			evs = append(evs, Event{Kind: Taken, ID: next, Class: 2, Left: 60 * time.Second})
+			evs = append(evs, Event{Kind: Accepted, ID: next, Class: 2, TimeLeft: 60 * time.Second})
 			next++
 		}
 		acts := h.step(evs...)
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -188,8 +188,8 @@
 		if key != "" {
 			sim.keys[key] = append(sim.keys[key], m)
 		}
-		evs = append(evs, Event{Kind: Taken, ID: m.id, Key: key, Class: c, Customer: sim.rng.IntN(2),
-			Destination: m.dest, Left: left})
+		evs = append(evs, Event{Kind: Accepted, ID: m.id, Key: key, Class: c, Customer: sim.rng.IntN(2),
+			Destination: m.dest, TimeLeft: left})
 	}
 	switch sim.rng.IntN(400) {
 	case 0: // a route drains, or returns to service
@@ -239,8 +239,8 @@
 		sim.keyPauses[m.key] = max(sim.keyPauses[m.key], sim.now+sim.cfg.OrderPause)
 	}
 	l := sim.listed[e.Route]
-	if e.Wait > 0 {
-		sim.blockedUntil[sim.scope(l)] = max(sim.blockedUntil[sim.scope(l)], sim.now+e.Wait)
+	if e.RetryAfter > 0 {
+		sim.blockedUntil[sim.scope(l)] = max(sim.blockedUntil[sim.scope(l)], sim.now+e.RetryAfter)
 	}
 	switch e.Outcome {
 	case OK:
@@ -376,7 +376,7 @@
 	case n < 4:
 		e.Outcome = Full
 		if n < 2 {
-			e.Wait = time.Duration(200+sim.rng.IntN(900)) * time.Millisecond
+			e.RetryAfter = time.Duration(200+sim.rng.IntN(900)) * time.Millisecond
 		}
 	case n == 4:
 		e.Outcome = []Outcome{Error, Reset, Cancelled, Moot}[sim.rng.IntN(4)]
@@ -387,8 +387,8 @@
 		took = min(took, 300*time.Millisecond)
 	}
 	at := sim.now + took
-	if timeoutAt := min(a.At, m.deadline); at > timeoutAt {
-		at, e.Outcome, e.Wait = max(timeoutAt, sim.now+time.Millisecond), Timeout, 0
+	if timeoutAt := min(a.TimeoutAt, m.deadline); at > timeoutAt {
+		at, e.Outcome, e.RetryAfter = max(timeoutAt, sim.now+time.Millisecond), Timeout, 0
 	}
 	e.Took = at - sim.now
 	sim.pending = append(sim.pending, pendingEvent{at: at, event: e, call: c})
@@ -467,7 +467,7 @@
 
 func TestCheckerDetectsMissingChecks(t *testing.T) {
 	for _, fault := range []injectedFault{
-		{name: "deadline", rule: 1, event: func(e *Event) { e.Left += time.Second }},
+		{name: "deadline", rule: 1, event: func(e *Event) { e.TimeLeft += time.Second }},
 		{name: "unsafe", rule: 2, settings: func(s *Settings) { s.Classes[3].Effect = Safe }},
 		{name: "group", rule: 2, settings: func(s *Settings) { s.Classes[1].GroupAll = true }},
 		{name: "window", rule: 2, settings: func(s *Settings) { s.Classes[1].DedupWindow = time.Hour }},
@@ -477,7 +477,7 @@
 			}
 		}},
 		{name: "recovery", rule: 4, settings: func(s *Settings) { s.OverloadFactor = 1000 }},
-		{name: "retry-after", rule: 5, event: func(e *Event) { e.Wait = 0 }},
+		{name: "retry-after", rule: 5, event: func(e *Event) { e.RetryAfter = 0 }},
 		{name: "order", rule: 6, settings: func(s *Settings) { s.Classes[3].Ordered, s.Classes[4].Ordered = false, false }},
 		{name: "pause", rule: 6, settings: func(s *Settings) { s.OrderPause = 0 }},
 	} {
--- a/policy/resume.go
+++ b/policy/resume.go
@@ -17,13 +17,13 @@
 		return
 	}
 	m.sends = e.Attempts
-	if e.Ran {
-		s.markMayHaveRun(m, s.now-e.RanAgo, e.RanZone)
+	if e.MayHaveRun {
+		s.markMayHaveRun(m, s.now-e.SentAgo, e.SentZone)
 	}
 	if s.exhausted(m) {
 		heap.Push(&s.timers, timer{s.now, m}) // handled in this step
 	}
-	if m.keyQueue != nil && e.Ran {
+	if m.keyQueue != nil && e.MayHaveRun {
 		m.keyQueue.pausedUntil = max(m.keyQueue.pausedUntil, s.now+s.cfg.OrderPause) // a call in flight at the end of the process may run
 	}
 	for _, sc := range m.dest.scopes {
@@ -38,10 +38,10 @@
 	}
 }
 
-// MayStill reports whether a message may still be sent to a route at now, though its call was decided earlier. Prevents
+// MayStillSend reports whether a message may still be sent to a route at now, though its call was decided earlier. Prevents
 // a call delayed by a slow connection, for example, from leaving after a drain or a retry-after was announced, or after
 // the destination stopped dropping duplicates.
-func (s *Sender) MayStill(id uint32, route string, now time.Duration) bool {
+func (s *Sender) MayStillSend(id uint32, route string, now time.Duration) bool {
 	r, m := s.routes[route], s.msgs[id]
 	if r == nil || !r.InService || now < r.scope.waitUntil || !s.lifecycle.state.Send || m == nil || m.ended {
 		return false
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	return s.Step(time.Second, []Event{
-		twoZones(), {Kind: Taken, ID: 1, Destination: 5, Left: 8 * time.Second, Resumed: r},
+		twoZones(), {Kind: Accepted, ID: 1, Destination: 5, TimeLeft: 8 * time.Second, Resumed: r},
 	})
 }
 
@@ -41,8 +41,8 @@
 		route   string // "" if no route may be tried
 	}{
 		{"nothing ran", Resumed{Attempts: 1}, "best"},
-		{"one may have run in zone 0", Resumed{Attempts: 1, Ran: true, RanAgo: 5 * time.Second}, "other"},
-		{"too long ago", Resumed{Attempts: 1, Ran: true, RanAgo: 11 * time.Second}, ""},
+		{"one may have run in zone 0", Resumed{Attempts: 1, MayHaveRun: true, SentAgo: 5 * time.Second}, "other"},
+		{"too long ago", Resumed{Attempts: 1, MayHaveRun: true, SentAgo: 11 * time.Second}, ""},
 		{"no attempts left", Resumed{Attempts: 8}, ""},
 	} {
 		route := ""
@@ -61,12 +61,12 @@
 	for _, c := range []struct {
 		resumed Resumed
 		want    ActionKind
-	}{{Resumed{}, Refuse}, {Resumed{Attempts: 1, Ran: true}, Fail}} {
+	}{{Resumed{}, Refuse}, {Resumed{Attempts: 1, MayHaveRun: true}, Fail}} {
 		s, err := New(resumeSettings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		acts := s.Step(time.Second, []Event{twoZones(), {Kind: Taken, ID: 1, Destination: 5, Left: -time.Second, Resumed: &c.resumed}})
+		acts := s.Step(time.Second, []Event{twoZones(), {Kind: Accepted, ID: 1, Destination: 5, TimeLeft: -time.Second, Resumed: &c.resumed}})
 		if len(acts) == 0 || acts[0].Kind != c.want {
 			t.Errorf("%+v: %+v", c.resumed, acts)
 		}
@@ -80,7 +80,7 @@
 	}
 	evs := []Event{twoZones()}
 	for i := range uint32(40) {
-		evs = append(evs, Event{Kind: Taken, ID: i, Destination: 5, Left: 8 * time.Second, Resumed: &Resumed{}})
+		evs = append(evs, Event{Kind: Accepted, ID: i, Destination: 5, TimeLeft: 8 * time.Second, Resumed: &Resumed{}})
 	}
 	sends := 0
 	for _, a := range s.Step(time.Second, evs) {
@@ -98,19 +98,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Step(time.Second, []Event{twoZones(), {Kind: Taken, ID: 1, Destination: 5, Left: 8 * time.Second}})
-	if !s.MayStill(1, "best", time.Second) || !s.MayStill(1, "other", time.Second) || s.MayStill(1, "none", time.Second) {
+	s.Step(time.Second, []Event{twoZones(), {Kind: Accepted, ID: 1, Destination: 5, TimeLeft: 8 * time.Second}})
+	if !s.MayStillSend(1, "best", time.Second) || !s.MayStillSend(1, "other", time.Second) || s.MayStillSend(1, "none", time.Second) {
 		t.Error("routes in service may be called, others not")
 	}
 	// A retry-after that comes with a delivery, as in the response to a batch, applies too.
-	s.Step(2*time.Second, []Event{{Kind: Finished, ID: 9, Route: "best", Outcome: OK, Ended: true, Wait: time.Second}})
-	if s.MayStill(1, "best", 2900*time.Millisecond) || !s.MayStill(1, "best", 3*time.Second) {
+	s.Step(2*time.Second, []Event{{Kind: Finished, ID: 9, Route: "best", Outcome: OK, Ended: true, RetryAfter: time.Second}})
+	if s.MayStillSend(1, "best", 2900*time.Millisecond) || !s.MayStillSend(1, "best", 3*time.Second) {
 		t.Error("the retry-after ends at 3 s")
 	}
 	s.Step(4*time.Second, []Event{{Kind: ListChanges, List: []Listing{
 		{Route: "best", Destination: 5, Zone: 1, Weight: 50}, {Route: "other", Gone: true},
 	}}})
-	if s.MayStill(1, "best", 4*time.Second) || s.MayStill(1, "other", 4*time.Second) {
+	if s.MayStillSend(1, "best", 4*time.Second) || s.MayStillSend(1, "other", 4*time.Second) {
 		t.Error("one route drains and one is removed: neither may be called")
 	}
 }
@@ -122,23 +122,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ran := &Resumed{Attempts: 1, Ran: true, RanAgo: 5 * time.Second}
+	ran := &Resumed{Attempts: 1, MayHaveRun: true, SentAgo: 5 * time.Second}
 	s.Step(time.Second, []Event{
 		twoZones(),
-		{Kind: Taken, ID: 1, Destination: 5, Left: 14 * time.Second, Resumed: ran},
-		{Kind: Taken, ID: 2, Destination: 5, Left: 14 * time.Second},
+		{Kind: Accepted, ID: 1, Destination: 5, TimeLeft: 14 * time.Second, Resumed: ran},
+		{Kind: Accepted, ID: 2, Destination: 5, TimeLeft: 14 * time.Second},
 	})
-	if !s.MayStill(1, "other", 5900*time.Millisecond) {
+	if !s.MayStillSend(1, "other", 5900*time.Millisecond) {
 		t.Error("a repeat inside the window may not be sent")
 	}
-	if s.MayStill(1, "other", 6*time.Second) {
+	if s.MayStillSend(1, "other", 6*time.Second) {
 		t.Error("a repeat may be sent after the window")
 	}
-	if !s.MayStill(2, "other", 6*time.Second) {
+	if !s.MayStillSend(2, "other", 6*time.Second) {
 		t.Error("a first attempt has no window")
 	}
 	s.Step(7*time.Second, []Event{{Kind: Withdrawn, ID: 2}})
-	if s.MayStill(2, "other", 7*time.Second) || s.MayStill(3, "other", 7*time.Second) {
+	if s.MayStillSend(2, "other", 7*time.Second) || s.MayStillSend(3, "other", 7*time.Second) {
 		t.Error("an ended or unknown message may be sent")
 	}
 }
@@ -158,8 +158,8 @@
 		return kinds
 	}
 	if got := ends(time.Second, twoZones(),
-		Event{Kind: Taken, ID: 1, Destination: 5, Left: 14 * time.Second, Resumed: &Resumed{Attempts: 8, Ran: true, RanZone: 2}},
-		Event{Kind: Taken, ID: 2, Destination: 5, Left: 14 * time.Second, Resumed: &Resumed{Attempts: 2, Ran: true, RanZone: 2}},
+		Event{Kind: Accepted, ID: 1, Destination: 5, TimeLeft: 14 * time.Second, Resumed: &Resumed{Attempts: 8, MayHaveRun: true, SentZone: 2}},
+		Event{Kind: Accepted, ID: 2, Destination: 5, TimeLeft: 14 * time.Second, Resumed: &Resumed{Attempts: 2, MayHaveRun: true, SentZone: 2}},
 	); len(got) != 1 || got[0] != Fail {
 		t.Errorf("with no attempts left: %v", got)
 	}
@@ -204,10 +204,10 @@
 					evs = append(evs, Event{Kind: ListWhole, List: []Listing{route}})
 				}
 				if c.wait > 0 {
-					evs = append(evs, Event{Kind: Finished, ID: 999, Route: "a", Outcome: OK, Wait: c.wait})
+					evs = append(evs, Event{Kind: Finished, ID: 999, Route: "a", Outcome: OK, RetryAfter: c.wait})
 				}
 				for id := range uint32(found) {
-					evs = append(evs, Event{Kind: Taken, ID: id, Destination: 5, Left: left, Resumed: &Resumed{}})
+					evs = append(evs, Event{Kind: Accepted, ID: id, Destination: 5, TimeLeft: left, Resumed: &Resumed{}})
 				}
 				called := map[uint32]bool{}
 				for now := start; now < start+left; now += 10 * time.Millisecond {
@@ -268,8 +268,8 @@
 	}{
 		"a first attempt": {Keyed, Resumed{}, 0},
 		"never ran":       {Keyed, Resumed{Attempts: 1}, 0},
-		"may have run":    {Keyed, Resumed{Attempts: 1, Ran: true, RanAgo: 400 * ms}, time.Minute + 600*ms - deadlineMargin},
-		"may be repeated": {Safe, Resumed{Attempts: 1, Ran: true, RanAgo: 400 * ms}, 0},
+		"may have run":    {Keyed, Resumed{Attempts: 1, MayHaveRun: true, SentAgo: 400 * ms}, time.Minute + 600*ms - deadlineMargin},
+		"may be repeated": {Safe, Resumed{Attempts: 1, MayHaveRun: true, SentAgo: 400 * ms}, 0},
 	} {
 		cfg := resumeSettings()
 		cfg.Classes[0].Effect, cfg.Classes[0].DedupWindow = c.effect, time.Second
@@ -279,11 +279,11 @@
 		}
 		sent := false
 		for _, a := range s.Step(time.Minute, []Event{twoZones(),
-			{Kind: Taken, ID: 1, Destination: 5, Left: 8 * time.Second, Resumed: &c.r}}) {
+			{Kind: Accepted, ID: 1, Destination: 5, TimeLeft: 8 * time.Second, Resumed: &c.r}}) {
 			if a.Kind == Send {
 				sent = true
-				if a.Leave != c.want {
-					t.Errorf("%s: may leave until %v, want %v", name, a.Leave, c.want)
+				if a.LeaveBy != c.want {
+					t.Errorf("%s: may leave until %v, want %v", name, a.LeaveBy, c.want)
 				}
 			}
 		}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -15,8 +15,8 @@
 	cfg.ColdShare = cmp.Or(max(0, cfg.ColdShare), 0.1)
 	cfg.WarmWithin = cmp.Or(max(0, cfg.WarmWithin), 30*time.Second)
 	cfg.OverloadWindow = cmp.Or(cfg.OverloadWindow, 3*time.Second)
-	cfg.SkipFirst = cmp.Or(cfg.SkipFirst, firstSkip)
-	cfg.SkipMost = max(cfg.SkipFirst, cmp.Or(cfg.SkipMost, maxSkip))
+	cfg.FirstSkip = cmp.Or(cfg.FirstSkip, firstSkip)
+	cfg.MaxSkip = max(cfg.FirstSkip, cmp.Or(cfg.MaxSkip, maxSkip))
 	cfg.OverloadFactor = cmp.Or(max(0, cfg.OverloadFactor), 1)
 	cfg.Classes = slices.Clone(cfg.Classes) // the caller's slice must not change
 	for i := range cfg.Classes {
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -18,7 +18,7 @@
 	}
 	s.Step(sec, []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Destination: 7, InService: true}}}})
 	accept := func(at time.Duration, id uint32) {
-		s.Step(at, []Event{{Kind: Taken, ID: id, Destination: 7, Left: 20 * sec}})
+		s.Step(at, []Event{{Kind: Accepted, ID: id, Destination: 7, TimeLeft: 20 * sec}})
 	}
 	accept(sec, 1)
 	changed := set(Unsafe, 1)
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -89,8 +89,8 @@
 				}
 				if rng.IntN(8) == 0 {
 					lastID++
-					evs = append(evs, Event{Kind: Taken, ID: lastID, Class: rng.IntN(2), Customer: rng.IntN(2),
-						Destination: rng.IntN(3), Left: 8 * time.Second, Key: fmt.Sprint("k", rng.IntN(20))})
+					evs = append(evs, Event{Kind: Accepted, ID: lastID, Class: rng.IntN(2), Customer: rng.IntN(2),
+						Destination: rng.IntN(3), TimeLeft: 8 * time.Second, Key: fmt.Sprint("k", rng.IntN(20))})
 				}
 				calls = slices.DeleteFunc(calls, func(c sentCall) bool {
 					if rng.IntN(20) > 0 && now-c.at < 2*time.Second {
@@ -99,7 +99,7 @@
 					e := Event{Kind: Finished, ID: c.id, Attempt: c.n, Route: c.r, Took: now - c.at}
 					switch rng.IntN(8) {
 					case 0:
-						e.Outcome, e.Wait = Full, time.Duration(rng.IntN(900))*time.Millisecond
+						e.Outcome, e.RetryAfter = Full, time.Duration(rng.IntN(900))*time.Millisecond
 					case 1:
 						e.Outcome = Timeout
 					case 2:
@@ -159,18 +159,18 @@
 func TestProcessExitsInTimeAfterHandover(t *testing.T) {
 	s, sec := newLifecycleSender(t), time.Second
 	for _, k := range []EventKind{HandedOver, Active, Standby} {
-		if d := listenerAt(s, 2*sec, k); d.Listen || d.Send || d.Ready || d.Over {
+		if d := listenerAt(s, 2*sec, k); d.Listen || d.Send || d.Ready || d.Exit {
 			t.Errorf("after %v: %+v", k, d)
 		}
 	}
-	if d := listenerAt(s, 60*sec); d.Over {
+	if d := listenerAt(s, 60*sec); d.Exit {
 		t.Error("it ended before the Ending event")
 	}
 	listenerAt(s, 61*sec, Ending)
-	if d := listenerAt(s, 64*sec); d.Over || d.Listen {
+	if d := listenerAt(s, 64*sec); d.Exit || d.Listen {
 		t.Errorf("while it ends: %+v", d)
 	}
-	if d := listenerAt(s, 64*sec+400*time.Millisecond); !d.Over {
+	if d := listenerAt(s, 64*sec+400*time.Millisecond); !d.Exit {
 		t.Errorf("no exit: %+v", d)
 	}
 	s = newLifecycleSender(t)
@@ -178,7 +178,7 @@
 	if d := listenerAt(s, 2*sec, HandedOver); d.Listen || d.Send {
 		t.Errorf("handed over while it ends: %+v", d)
 	}
-	if d := listenerAt(s, sec+3400*time.Millisecond); !d.Over {
+	if d := listenerAt(s, sec+3400*time.Millisecond); !d.Exit {
 		t.Errorf("the handover delayed the exit: %+v", d)
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -156,7 +156,7 @@
 	minLimits         map[int]float64       // by kind: lowest limit reported, calls a second
 	scarceUntil       map[int]time.Duration // by kind: connections are scarce until then
 	lastLimitChange   limitChange           // last lowered or restored limit that a scope reported
-	pendingSuspicions map[string]Doubt      // of a previous process, for routes that are not listed yet
+	pendingSuspicions map[string]Suspicion  // of a previous process, for routes that are not listed yet
 	suspicionsAsOf    time.Duration         // when these were received
 	held              int                   // messages that have not ended
 	usedSlots         int                   // call slots in use
@@ -331,26 +331,26 @@
 	}
 }
 
-// Doubts are the routes that may be in an outage or recovering from one, sorted by name.
-func (s *Sender) Doubts() []Doubt {
-	var all []Doubt
+// Suspicions are the routes that may be in an outage or recovering from one, sorted by name.
+func (s *Sender) Suspicions() []Suspicion {
+	var all []Suspicion
 	for _, r := range s.routes {
 		switch {
 		case !r.suspected:
 		case r.recoveredAt == 0:
-			all = append(all, Doubt{Route: r.Route, Slight: r.weak})
+			all = append(all, Suspicion{Route: r.Route, Weak: r.weak})
 		case s.now < r.recoveredAt+s.cfg.WarmWithin:
-			all = append(all, Doubt{r.Route, r.weak, max(1, s.now-r.recoveredAt)})
+			all = append(all, Suspicion{r.Route, r.weak, max(1, s.now-r.recoveredAt)})
 		}
 	}
-	slices.SortFunc(all, func(a, b Doubt) int { return strings.Compare(a.Route, b.Route) })
+	slices.SortFunc(all, func(a, b Suspicion) int { return strings.Compare(a.Route, b.Route) })
 	return all
 }
 
 // restoreSuspicions applies what the previous process knew of outages. Prevents overloading a returning destination by
 // a fleet whose processes restart in its warm-up and know nothing of it.
-func (s *Sender) restoreSuspicions(doubts []Doubt) {
-	s.pendingSuspicions, s.suspicionsAsOf = map[string]Doubt{}, s.now
+func (s *Sender) restoreSuspicions(doubts []Suspicion) {
+	s.pendingSuspicions, s.suspicionsAsOf = map[string]Suspicion{}, s.now
 	for _, d := range doubts {
 		if r := s.routes[d.Route]; r != nil {
 			s.restoreSuspicion(r, d)
@@ -361,10 +361,10 @@
 }
 
 // restoreSuspicion makes a route suspected as it was in the previous process.
-func (s *Sender) restoreSuspicion(r *route, d Doubt) {
+func (s *Sender) restoreSuspicion(r *route, d Suspicion) {
 	s.suspect(r)
-	if r.weak = d.Slight; d.Back > 0 {
-		r.recoveredAt = s.suspicionsAsOf - d.Back
+	if r.weak = d.Weak; d.SinceDelivery > 0 {
+		r.recoveredAt = s.suspicionsAsOf - d.SinceDelivery
 	}
 }
 
@@ -552,8 +552,8 @@
 	r.mean, r.dev = r.mean+diff/8, r.dev+(max(diff, -diff)-r.dev)/4
 }
 
-// Avoided counts the listed routes that are skipped for their failures.
-func (s *Sender) Avoided() int {
+// SkippedRoutes counts the listed routes that are skipped for their failures.
+func (s *Sender) SkippedRoutes() int {
 	n := 0
 	for _, r := range s.routes {
 		if r.skipped {
@@ -619,7 +619,7 @@
 	if min(cfg.Senders, cfg.Slots, cfg.MaxHeld, cfg.MaxAttempts) < 0 {
 		return errors.New("policy: settings hold a negative count")
 	}
-	smallest := min(cfg.MaxRetryAfter, cfg.WarmWithin, cfg.OverloadWindow, cfg.OrderPause, cfg.SkipFirst, cfg.SkipMost)
+	smallest := min(cfg.MaxRetryAfter, cfg.WarmWithin, cfg.OverloadWindow, cfg.OrderPause, cfg.FirstSkip, cfg.MaxSkip)
 	sum := cfg.ColdShare + cfg.OverloadFactor
 	for _, c := range cfg.Classes {
 		smallest = min(smallest, c.DedupWindow, c.Aim, c.GiveUp, c.Advice)
