--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -16,7 +16,7 @@
 	"wallflow/internal/swim"
 )
 
-// ControlHandler serves the operator's API and the endpoints' heartbeats.
+// ControlHandler serves the operators' API and the endpoints' heartbeats.
 func (p *Process) ControlHandler() http.Handler {
 	router := httpapi.NewRouter()
 	router.PUT("/config", p.putConfig)
@@ -32,22 +32,22 @@
 	return router
 }
 
-// DirectoryHandler serves clients that ask where to go.
+// DirectoryHandler serves clients that ask for relays.
 func (p *Process) DirectoryHandler() http.Handler { return p.directory.Handler() }
 
 func (p *Process) newDirectory() *directory.Directory {
 	return directory.New(directory.Options{
-		Members: p.listMembers,
-		HoldMax: p.settings.Bounds.TTLMax(),
-		Region:  p.settings.Region,
-		InTouch: p.inTouch,
-		Now:     p.clock,
+		Members:   p.listMembers,
+		MaxTTL:    p.settings.Bounds.TTLMax(),
+		Region:    p.settings.Region,
+		HasQuorum: p.hasQuorum,
+		Now:       p.clock,
 
 		HomeRegions: p.homeRegions,
 	})
 }
 
-// homeRegions returns the sets of home regions of a host's routes, by the newest configuration known here.
+// homeRegions returns the sets of home regions of a host's routes, according to the newest configuration that this process knows.
 func (p *Process) homeRegions(host string) [][]string {
 	p.mu.Lock()
 	state := p.published.state
@@ -58,8 +58,8 @@
 	return state.Compiled().HomeRegions(host)
 }
 
-// inTouch tells whether a majority of the control processes confirmed the epoch a moment ago.
-func (p *Process) inTouch() bool {
+// hasQuorum reports whether a majority of the control processes has recently confirmed the current epoch.
+func (p *Process) hasQuorum() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.chain.Fresh(p.clock())
@@ -71,8 +71,9 @@
 	return p.members.Members()
 }
 
+// health handles GET /healthz: it succeeds while this process has a quorum.
 func (p *Process) health(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	if !p.inTouch() {
+	if !p.hasQuorum() {
 		httpapi.Refuse(w, http.StatusServiceUnavailable, "no contact with a majority of the control processes")
 		return
 	}
@@ -80,17 +81,18 @@
 }
 
 func (p *Process) putConfig(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	p.takeConfig(w, r, config.Put)
+	p.submitConfig(w, r, config.Put)
 }
 
 func (p *Process) patchConfig(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	p.takeConfig(w, r, config.Patch)
+	p.submitConfig(w, r, config.Patch)
 }
 
-func (p *Process) takeConfig(w http.ResponseWriter, r *http.Request, kind config.OrderKind) {
+// submitConfig submits the document or patch in the request body. If-Match gives the configuration version that it is based on.
+func (p *Process) submitConfig(w http.ResponseWriter, r *http.Request, kind config.OrderKind) {
 	body, err := readBody(w, r, maxOrderBytes)
 	if err != nil {
-		refuseUnread(w, err)
+		refuseUnreadBody(w, err)
 		return
 	}
 	order := config.Order{Kind: kind, Body: body}
@@ -105,13 +107,13 @@
 	p.submit(w, r, order)
 }
 
-func readBody(w http.ResponseWriter, r *http.Request, most int64) ([]byte, error) {
-	return io.ReadAll(http.MaxBytesReader(w, r.Body, most))
+func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, error) {
+	return io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 }
 
-// refuseUnread answers a request whose body did not come whole: the connection may be what failed, so that only a body that is
-// too large gets a final answer.
-func refuseUnread(w http.ResponseWriter, err error) {
+// refuseUnreadBody answers a request whose body could not be read completely. Only a body that is too large is rejected for good; for
+// any other error the connection may be at fault, and the answer invites a retry.
+func refuseUnreadBody(w http.ResponseWriter, err error) {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		httpapi.Refuse(w, http.StatusRequestEntityTooLarge, err.Error())
@@ -121,14 +123,14 @@
 }
 
 func (p *Process) evacuate(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	p.orderZone(w, r, config.Evacuate, params.ByName("zone"))
+	p.submitZoneOrder(w, r, config.Evacuate, params.ByName("zone"))
 }
 
 func (p *Process) restore(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	p.orderZone(w, r, config.Restore, params.ByName("zone"))
+	p.submitZoneOrder(w, r, config.Restore, params.ByName("zone"))
 }
 
-func (p *Process) orderZone(w http.ResponseWriter, r *http.Request, kind config.OrderKind, zone string) {
+func (p *Process) submitZoneOrder(w http.ResponseWriter, r *http.Request, kind config.OrderKind, zone string) {
 	if _, known := p.settings.Zones[zone]; !known {
 		httpapi.Refuse(w, http.StatusNotFound, "no zone "+zone)
 		return
@@ -136,7 +138,7 @@
 	p.submit(w, r, p.zoneOrder(kind, zone))
 }
 
-// zoneOrder is an order about a zone, with how far this process knows the state.
+// zoneOrder returns an order to evacuate or restore a zone. It carries the number of changes that this process knows of.
 func (p *Process) zoneOrder(kind config.OrderKind, zone string) config.Order {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,18 +149,18 @@
 	return order
 }
 
-// submit hands an order to the chain and answers with its outcome. An operator who has hung up sends the order elsewhere: it is not
-// begun here as well.
+// submit submits an order, a change requested by an operator, to the chain and answers with its outcome. An order whose client has
+// disconnected is not started, since the client sends it to another process.
 func (p *Process) submit(w http.ResponseWriter, r *http.Request, order config.Order) {
 	if r.Context().Err() != nil {
 		httpapi.Refuse(w, http.StatusServiceUnavailable, "the caller has gone")
 		return
 	}
-	within := answerWithin
-	if len(order.Body) > largeBody {
-		within = largeBodyWithin
+	timeout := answerTimeout
+	if len(order.Body) > largeBodyBytes {
+		timeout = largeBodyTimeout
 	}
-	status, body := orderOutcome(p.ask(within, p.orderFor(order)))
+	status, body := orderResponse(p.callChain(timeout, p.submission(order)))
 	if status == http.StatusOK {
 		httpapi.AnswerBytes(w, status, body)
 		return
@@ -166,16 +168,17 @@
 	httpapi.Refuse(w, status, string(body))
 }
 
-// question begins a request to the chain under a number.
-type question func(now time.Time, request uint64) chain.Output
+// chainCall starts a request to the chain under the given request number.
+type chainCall func(now time.Time, request uint64) chain.Output
 
-func (p *Process) orderFor(order config.Order) question {
+// submission returns a call that submits an order to the chain.
+func (p *Process) submission(order config.Order) chainCall {
 	command := order.Encode()
 	return func(now time.Time, request uint64) chain.Output { return p.chain.Submit(now, request, command) }
 }
 
-// orderOutcome is what an operator is told of an order.
-func orderOutcome(answer chain.Answer) (status int, body []byte) {
+// orderResponse returns the HTTP status and body that answer an order.
+func orderResponse(answer chain.Answer) (status int, body []byte) {
 	switch {
 	case !answer.Known:
 		return http.StatusServiceUnavailable, []byte("the outcome is not known yet")
@@ -186,7 +189,7 @@
 }
 
 func (p *Process) getConfig(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	status, body := readOutcome(p.ask(answerWithin, p.chain.Read))
+	status, body := readResponse(p.callChain(answerTimeout, p.chain.Read))
 	if status == http.StatusOK {
 		httpapi.AnswerBytes(w, status, body)
 		return
@@ -194,48 +197,48 @@
 	httpapi.Refuse(w, status, string(body))
 }
 
-// readOutcome is what an operator is told who asks for the configuration.
-func readOutcome(answer chain.Answer) (status int, body []byte) {
+// readResponse returns the HTTP status and body that answer a read of the configuration.
+func readResponse(answer chain.Answer) (status int, body []byte) {
 	if !answer.Known {
 		return http.StatusServiceUnavailable, []byte("no contact with the control processes in charge")
 	}
-	current, ok := answer.State.(replicated)
+	current, ok := answer.State.(replicatedConfig)
 	if !ok || current.state.Generation() == 0 {
 		return http.StatusServiceUnavailable, []byte("no configuration has been taken yet")
 	}
 	return http.StatusOK, current.state.Document()
 }
 
-// ask hands a request to the chain and waits for its answer, for so long at most.
-func (p *Process) ask(within time.Duration, asked question) chain.Answer {
-	request, answered := p.pose(asked)
-	timer := time.NewTimer(within)
+// callChain starts a request to the chain and waits for its answer. After the timeout the answer says that the outcome is unknown.
+func (p *Process) callChain(timeout time.Duration, call chainCall) chain.Answer {
+	request, answers := p.startChainCall(call)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case answer := <-answered:
+	case answer := <-answers:
 		return answer
 	case <-timer.C:
 	}
-	p.giveUp(request)
+	p.abandonChainCall(request)
 	return chain.Answer{Request: request}
 }
 
-// pose hands a request to the chain, and returns its number and where its answer comes.
-func (p *Process) pose(asked question) (request uint64, answered chan chain.Answer) {
+// startChainCall starts a request to the chain, and returns its number and the channel that receives its answer.
+func (p *Process) startChainCall(call chainCall) (request uint64, answers chan chain.Answer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.nextRequest++
-	answered = make(chan chain.Answer, 1)
-	p.answers[p.nextRequest] = answered
+	answers = make(chan chain.Answer, 1)
+	p.pendingAnswers[p.nextRequest] = answers
 	now := p.clock()
-	p.carryOut(asked(now, p.nextRequest))
-	p.publish(now)
-	return p.nextRequest, answered
+	p.applyChainOutput(call(now, p.nextRequest))
+	p.publishConfig(now)
+	return p.nextRequest, answers
 }
 
-// giveUp waits no longer for an answer.
-func (p *Process) giveUp(request uint64) {
+// abandonChainCall drops the wait for an answer.
+func (p *Process) abandonChainCall(request uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.answers, request)
+	delete(p.pendingAnswers, request)
 }
--- a/internal/control/build.go
+++ b/internal/control/build.go
@@ -19,39 +19,40 @@
 	"wallflow/internal/swim"
 )
 
-// newProcess makes a process without cores.
-func newProcess(set *settings.Settings, log *slog.Logger, clock func() time.Time, random *rand.Rand) *Process {
+// newProcess returns a process without its state machines; build creates them.
+func newProcess(cfg *settings.Settings, log *slog.Logger, clock func() time.Time, random *rand.Rand) *Process {
 	p := &Process{
-		settings: set,
-		log:      log,
-		clock:    clock,
-		answers:  make(map[uint64]chan chain.Answer),
-		replicas: newReplicationWaits(),
-		feed:     distribution.NewPublisher(feedLife(random), clock()),
+		settings:         cfg,
+		log:              log,
+		clock:            clock,
+		pendingAnswers:   make(map[uint64]chan chain.Answer),
+		replicationWaits: newReplicationWaits(),
+		feed:             distribution.NewPublisher(randomFeedID(random), clock()),
 	}
 	p.directory = p.newDirectory()
 	return p
 }
 
-// feedLife is a random name of this life of the process.
-func feedLife(random *rand.Rand) string {
-	const nameBytes = 8
-	name := make([]byte, nameBytes)
-	random.Read(name)
-	return hex.EncodeToString(name)
+// randomFeedID returns a random identifier of this run of the process for the subscribers of its feed.
+func randomFeedID(random *rand.Rand) string {
+	const idBytes = 8
+	id := make([]byte, idBytes)
+	random.Read(id)
+	return hex.EncodeToString(id)
 }
 
-// build makes the cores from the records of the store. What the chain wants done first is returned.
+// build creates the state machines from the records of the store. It returns the chain's initial output, which the caller applies once
+// the network is available.
 func (p *Process) build(store openedStore, random *rand.Rand) (chain.Output, error) {
-	set, now := p.settings, p.clock()
-	node, first, err := chain.New(chain.Options{
-		Self:         chain.Member{Name: set.Node, Address: set.InternalAddress(), Zone: set.Zone, Region: set.Region},
-		Bootstrap:    set.Bootstrap && !store.discarded,
-		Seeds:        set.SeedInternalAddresses(),
-		MinimumChain: set.Tolerate.Machines + 1,
-		Initial:      replicated{config.EmptyState()},
-		Decode:       decodeReplicated,
-		AckBound:     set.Bounds.Ack(),
+	cfg, now := p.settings, p.clock()
+	node, initial, err := chain.New(chain.Options{
+		Self:         chain.Member{Name: cfg.Node, Address: cfg.InternalAddress(), Zone: cfg.Zone, Region: cfg.Region},
+		Bootstrap:    cfg.Bootstrap && !store.discarded,
+		Seeds:        cfg.SeedInternalAddresses(),
+		MinimumChain: cfg.Tolerate.Machines + 1,
+		Initial:      replicatedConfig{config.EmptyState()},
+		Decode:       decodeReplicatedConfig,
+		AckBound:     cfg.Bounds.Ack(),
 		Retention:    p.retention,
 		Random:       random,
 	}, store.records, now)
@@ -61,42 +62,42 @@
 	p.chain = node
 	p.members = swim.New(swim.Options{
 		Self:         p.selfMember(node.Status().Identity),
-		Seeds:        set.SeedInternalAddresses(),
-		ContactBound: set.Bounds.Contact(),
+		Seeds:        cfg.SeedInternalAddresses(),
+		ContactBound: cfg.Bounds.Contact(),
 		Random:       randv2.New(randv2.NewPCG(random.Uint64(), random.Uint64())),
 	}, now)
-	p.setSeeds(set.SeedInternalAddresses())
+	p.setSeeds(cfg.SeedInternalAddresses())
 	p.instances = registry.NewTable(registry.Options{
-		HeartbeatInterval: set.Heartbeat(),
-		Self:              set.InternalAddress(),
-		Zone:              set.Zone,
+		HeartbeatInterval: cfg.Heartbeat(),
+		Self:              cfg.InternalAddress(),
+		Zone:              cfg.Zone,
 		Life:              random.Uint64(),
 	}, now)
-	p.instances.SetInTouch(now, false) // until a majority is
-	return first, nil
+	p.instances.SetInTouch(now, false) // until a majority has confirmed the epoch
+	return initial, nil
 }
 
-// begin carries out what the chain wants done first.
-func (p *Process) begin(first chain.Output) {
+// applyInitialOutput applies the output that the chain produced when it was built.
+func (p *Process) applyInitialOutput(initial chain.Output) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.carryOut(first)
-	p.publish(p.clock())
+	p.applyChainOutput(initial)
+	p.publishConfig(p.clock())
 }
 
-// selfMember is what the other processes are told of this one.
+// selfMember returns what membership announces of this process.
 func (p *Process) selfMember(identity chain.Identity) swim.Member {
-	set := p.settings
+	cfg := p.settings
 	return swim.Member{
-		Name:    set.Node,
-		Address: set.InternalAddress(),
+		Name:    cfg.Node,
+		Address: cfg.InternalAddress(),
 		Meta: swim.Meta{
-			Class:     set.MachineClass,
-			Role:      set.Role,
-			Zone:      set.Zone,
-			Region:    set.Region,
-			Control:   set.Listen.Control,
-			Directory: set.Listen.Directory,
+			Class:     cfg.MachineClass,
+			Role:      cfg.Role,
+			Zone:      cfg.Zone,
+			Region:    cfg.Region,
+			Control:   cfg.Listen.Control,
+			Directory: cfg.Listen.Directory,
 			Serving:   true,
 			Identity:  string(identity),
 		},
@@ -106,7 +107,7 @@
 func randomBytes(count int) []byte {
 	data := make([]byte, count)
 	if _, err := crand.Read(data); err != nil {
-		panic(err) // the system has no random numbers: nothing can be trusted
+		panic(err) // without random numbers identities are not unique
 	}
 	return data
 }
--- a/internal/control/heartbeats.go
+++ b/internal/control/heartbeats.go
@@ -3,45 +3,48 @@
 import "time"
 
 const (
-	// outOfTouchAfter is how long no majority must have confirmed the epoch before heartbeats are refused: longer than a change of view
-	// takes, so that endpoints do not move at each.
-	outOfTouchAfter = time.Second
-	// refusedBefore bounds how long a refusal is remembered, and no return of an endpoint counts as its second call before returnedAfter.
-	refusedBefore = 10 * time.Second
-	returnedAfter = 100 * time.Millisecond
+	// refusalDelay is how long the quorum must have been lost before heartbeats are refused. It is longer than a view change takes, so
+	// that endpoints do not switch control processes at each view change.
+	refusalDelay = time.Second
+	// refusalRetention is how long a refusal is remembered.
+	refusalRetention = 10 * time.Second
+	// minReturnDelay is the time after a refusal within which another heartbeat of the endpoint counts as a repetition of the refused
+	// one, not as a return.
+	minReturnDelay = 100 * time.Millisecond
 )
 
-// heartbeatGate decides whether a heartbeat of a ready endpoint is acknowledged. A control process that was in touch with a majority and
-// is not any more takes it in but refuses it, so that the endpoint calls another one: what this process knows reaches nobody, and the
-// others would hold the endpoint for gone. An endpoint that comes back soon after it was refused found no other process that acknowledges;
-// there is no majority, or the endpoint is cut off together with this process, and moving gains nothing.
+// heartbeatGate decides whether the heartbeat of a ready endpoint is acknowledged. A control process that has lost contact with a majority
+// records heartbeats but refuses them, so that the endpoint switches to another control process: this one cannot pass on what it learns,
+// and the others would consider the endpoint gone. An endpoint that returns soon after a refusal has found no other process that
+// acknowledges its heartbeats. Either there is no majority, or the endpoint is isolated together with this process. Switching gains
+// nothing then, and the heartbeat is acknowledged.
 type heartbeatGate struct {
-	touched  bool // a majority has confirmed the epoch in this life
-	lostAt   time.Time
-	inTouch  bool
-	refusals map[string]time.Time // by instance, since touch was lost
+	hadQuorum    bool // a majority has confirmed the epoch since this process started
+	quorumLostAt time.Time
+	hasQuorum    bool
+	refusals     map[string]time.Time // time of the last refusal by instance ID, since the quorum was lost
 }
 
-// setInTouch takes whether a majority confirmed the epoch a moment ago.
-func (g *heartbeatGate) setInTouch(now time.Time, inTouch bool) {
+// setQuorum records whether a majority has recently confirmed the epoch.
+func (g *heartbeatGate) setQuorum(now time.Time, hasQuorum bool) {
 	switch {
-	case inTouch:
-		g.touched = true
+	case hasQuorum:
+		g.hadQuorum = true
 		clear(g.refusals)
-	case g.inTouch:
-		g.lostAt = now
+	case g.hasQuorum:
+		g.quorumLostAt = now
 	}
-	g.inTouch = inTouch
+	g.hasQuorum = hasQuorum
 }
 
-// refuses tells whether the heartbeat of an instance is refused, and remembers it.
-func (g *heartbeatGate) refuses(now time.Time, instance string) bool {
-	if g.inTouch || !g.touched || now.Sub(g.lostAt) < outOfTouchAfter {
+// shouldRefuse reports whether to refuse the heartbeat of an instance, and records the refusal.
+func (g *heartbeatGate) shouldRefuse(now time.Time, instance string) bool {
+	if g.hasQuorum || !g.hadQuorum || now.Sub(g.quorumLostAt) < refusalDelay {
 		return false
 	}
 	refusedAt, refused := g.refusals[instance]
 	since := now.Sub(refusedAt)
-	if refused && since >= returnedAfter && since < refusedBefore {
+	if refused && since >= minReturnDelay && since < refusalRetention {
 		return false
 	}
 	if g.refusals == nil {
--- a/internal/control/instances.go
+++ b/internal/control/instances.go
@@ -12,39 +12,40 @@
 	"wallflow/internal/transport"
 )
 
-// replicationWaits are the requests of leaving endpoints that wait until a majority of the control processes knows of it.
+// replicationWaits holds the requests of leaving endpoints that wait until a majority of the control processes knows of the departure.
+// registry.Table.TakeSafe defines when that is the case.
 type replicationWaits struct {
-	waiting map[uint64]chan struct{} // by number of the change
+	pending map[uint64]chan struct{} // by change ID
 }
 
 func newReplicationWaits() *replicationWaits {
-	return &replicationWaits{waiting: make(map[uint64]chan struct{})}
+	return &replicationWaits{pending: make(map[uint64]chan struct{})}
 }
 
-// add returns a channel that is closed once the change is safe.
+// add returns a channel that is closed once a majority has the change.
 func (r *replicationWaits) add(id uint64) chan struct{} {
 	done := make(chan struct{})
-	r.waiting[id] = done
+	r.pending[id] = done
 	return done
 }
 
-// settle ends the waits for changes that are safe.
-func (r *replicationWaits) settle(safe []uint64) {
-	for _, id := range safe {
-		if done := r.waiting[id]; done != nil {
-			delete(r.waiting, id)
+// complete ends the waits for the changes that a majority has.
+func (r *replicationWaits) complete(replicated []uint64) {
+	for _, id := range replicated {
+		if done := r.pending[id]; done != nil {
+			delete(r.pending, id)
 			close(done)
 		}
 	}
 }
 
-func (r *replicationWaits) forget(id uint64) { delete(r.waiting, id) }
+func (r *replicationWaits) remove(id uint64) { delete(r.pending, id) }
 
-// heartbeat takes PUT /instances/ID.
+// heartbeat handles PUT /instances/:id. A refused heartbeat is recorded as well.
 func (p *Process) heartbeat(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	body, err := readBody(w, r, maxHeartbeatBytes)
 	if err != nil {
-		refuseUnread(w, err)
+		refuseUnreadBody(w, err)
 		return
 	}
 	heartbeat, err := registry.ParseHeartbeat(params.ByName("id"), body)
@@ -52,34 +53,35 @@
 		httpapi.Refuse(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	take := func(now time.Time) registry.Change { return p.instances.Heartbeat(now, heartbeat) }
-	if heartbeat.State == registry.StateReady && p.refusesHeartbeat(heartbeat.ID) {
-		p.spreadChange(take)
+	apply := func(now time.Time) registry.Change { return p.instances.Heartbeat(now, heartbeat) }
+	if heartbeat.State == registry.StateReady && p.shouldRefuseHeartbeat(heartbeat.ID) {
+		p.propagateChange(apply)
 		httpapi.Refuse(w, http.StatusServiceUnavailable, "no contact with a majority of the control processes")
 		return
 	}
-	p.takeChange(w, take)
+	p.acceptChange(w, apply)
 }
 
-// refusesHeartbeat tells whether a ready endpoint is sent to another control process.
-func (p *Process) refusesHeartbeat(instance string) bool {
+// shouldRefuseHeartbeat reports whether a ready endpoint is to switch to another control process.
+func (p *Process) shouldRefuseHeartbeat(instance string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.heartbeats.refuses(p.clock(), instance)
+	return p.heartbeatGate.shouldRefuse(p.clock(), instance)
 }
 
-// leave takes DELETE /instances/ID.
+// leave handles DELETE /instances/:id.
 func (p *Process) leave(w http.ResponseWriter, _ *http.Request, params httprouter.Params) {
-	p.takeChange(w, func(now time.Time) registry.Change { return p.instances.Leave(now, params.ByName("id")) })
+	p.acceptChange(w, func(now time.Time) registry.Change { return p.instances.Leave(now, params.ByName("id")) })
 }
 
-// takeChange takes in what an endpoint says of itself, tells the others, and acknowledges it: news of an end only once a majority of
-// the control processes has them, so that they outlast the loss of this one and reach the relays whatever is cut off.
-func (p *Process) takeChange(w http.ResponseWriter, take func(now time.Time) registry.Change) {
-	safe, id := p.spreadChange(take)
-	if safe != nil && !awaitChange(safe, replicatedWithin) {
+// acceptChange applies what an endpoint reports of itself, passes it on and acknowledges it. A departure is acknowledged only once a
+// majority of the control processes knows of it, so that it survives the loss of this process and reaches the relays during a network
+// partition.
+func (p *Process) acceptChange(w http.ResponseWriter, apply func(now time.Time) registry.Change) {
+	replicated, id := p.propagateChange(apply)
+	if replicated != nil && !awaitReplication(replicated, replicationTimeout) {
 		p.mu.Lock()
-		p.replicas.forget(id)
+		p.replicationWaits.remove(id)
 		p.mu.Unlock()
 		httpapi.Refuse(w, http.StatusServiceUnavailable, "too few control processes have taken this yet")
 		return
@@ -87,42 +89,43 @@
 	httpapi.AnswerBytes(w, http.StatusOK, []byte("{}"))
 }
 
-// spreadChange returns the channel to wait on; nil: there is nothing to wait for.
-func (p *Process) spreadChange(take func(now time.Time) registry.Change) (safe chan struct{}, id uint64) {
+// propagateChange applies a change and passes it on to the subscribers of the feed and to the other control processes. The returned channel
+// is closed once a majority has the change; nil: there is nothing to wait for.
+func (p *Process) propagateChange(apply func(now time.Time) registry.Change) (replicated chan struct{}, id uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock()
-	change := take(now)
+	change := apply(now)
 	if change.Changed {
-		p.deliver(p.feed.SetInstances(now, []registry.Instance{change.Instance}))
+		p.sendFeed(p.feed.SetInstances(now, []registry.Instance{change.Instance}))
 	}
 	if !change.Changed && !change.NeedsReplica {
 		return nil, 0
 	}
 	if !change.NeedsReplica {
-		p.gathered.add(change)
+		p.pendingChanges.add(change)
 		return nil, 0
 	}
 	replica := p.instances.Replicate(now, change)
 	if !replica.Safe {
-		safe = p.replicas.add(replica.ID)
+		replicated = p.replicationWaits.add(replica.ID)
 	}
 	p.broadcast(replica.Message)
-	return safe, replica.ID
+	return replicated, replica.ID
 }
 
-func awaitChange(safe chan struct{}, within time.Duration) bool {
-	timer := time.NewTimer(within)
+func awaitReplication(replicated chan struct{}, timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-safe:
+	case <-replicated:
 		return true
 	case <-timer.C:
 		return false
 	}
 }
 
-// broadcast sends a message to the other control processes in touch.
+// broadcast sends a message to the other control processes that are alive.
 func (p *Process) broadcast(message *feedpb.RegistryMessage) {
 	batch := p.network.Batch(transport.KindRegistry)
 	for _, peer := range p.peers() {
@@ -130,20 +133,20 @@
 	}
 }
 
-// peers lists the other control processes that membership holds alive.
+// peers returns the other control processes that membership considers alive.
 func (p *Process) peers() []registry.Peer {
-	own := p.settings.InternalAddress()
+	ownAddress := p.settings.InternalAddress()
 	var peers []registry.Peer
 	for _, member := range p.aliveControl() {
-		if member.Address != own {
+		if member.Address != ownAddress {
 			peers = append(peers, registry.Peer{Name: member.Address, Zone: member.Zone})
 		}
 	}
 	return peers
 }
 
-// electorate lists the internal addresses of the control processes of which a majority decides.
-func (p *Process) electorate() []string {
+// voterAddresses returns the internal addresses of the voters of the current view, a majority of which decides.
+func (p *Process) voterAddresses() []string {
 	var addresses []string
 	for _, voter := range p.chain.View().Voters {
 		addresses = append(addresses, voter.Address)
@@ -151,10 +154,10 @@
 	return addresses
 }
 
-// tickInstances does what is due by time for the table of instances.
+// tickInstances drives the timers of the instance table.
 func (p *Process) tickInstances(now time.Time) {
-	p.instances.SetPeers(p.peers(), p.electorate())
-	if changes := p.gathered.take(); len(changes) > 0 {
+	p.instances.SetPeers(p.peers(), p.voterAddresses())
+	if changes := p.pendingChanges.takeAll(); len(changes) > 0 {
 		p.broadcast(p.instances.Replicate(now, changes...).Message)
 	}
 	output := p.instances.Tick(now)
@@ -165,20 +168,20 @@
 		p.network.Send(send.To, transport.KindRegistry, send.Message)
 	}
 	if len(output.Changed) > 0 {
-		p.deliver(p.feed.SetInstances(now, output.Changed))
+		p.sendFeed(p.feed.SetInstances(now, output.Changed))
 	}
 	p.feed.SetComplete(p.instances.Complete(now))
-	p.replicas.settle(p.instances.TakeSafe())
+	p.replicationWaits.complete(p.instances.TakeSafe())
 }
 
-// receiveRegistry merges what another control process knows.
+// receiveRegistry merges the instance states that another control process reports.
 func (p *Process) receiveRegistry(now time.Time, from string, message *feedpb.RegistryMessage) {
 	changed, reply := p.instances.Merge(now, message)
 	if reply != nil {
 		p.network.Send(from, transport.KindRegistry, reply)
 	}
 	if len(changed) > 0 {
-		p.deliver(p.feed.SetInstances(now, changed))
+		p.sendFeed(p.feed.SetInstances(now, changed))
 	}
-	p.replicas.settle(p.instances.TakeSafe())
+	p.replicationWaits.complete(p.instances.TakeSafe())
 }
--- a/internal/control/outside.go
+++ b/internal/control/interfaces.go
@@ -7,24 +7,24 @@
 	"wallflow/internal/transport"
 )
 
-// network carries messages to other processes, by their internal addresses. Any of them may be lost.
+// network sends messages to other processes by their internal addresses. Any message may be lost.
 type network interface {
 	Send(to string, kind transport.Kind, message proto.Message)
 	SendDatagram(to string, kind transport.Kind, message proto.Message)
 	Batch(kind transport.Kind) batch
 }
 
-// batch sends one message to several processes.
+// batch sends one message to several processes; an implementation may encode it only once.
 type batch interface {
 	Send(to string, message proto.Message)
 }
 
-// disk carries out the writes of the chain in order, and tells the process of the end of each.
+// disk executes the chain's writes in order, and reports the completion of each to the process.
 type disk interface {
 	add(write chain.Write)
 }
 
-// meshNetwork is the network of a process in service.
+// meshNetwork implements network on real sockets.
 type meshNetwork struct{ *transport.Mesh }
 
 // Batch returns an empty batch.
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -11,13 +11,13 @@
 	"wallflow/internal/operator"
 )
 
-// metrics answers GET /metrics with the figures of this process in the text format of Prometheus. Like status it reads and changes
-// nothing, and asks no other process, so that it answers also where this process is cut off.
+// metrics handles GET /metrics with the metrics of this process in the Prometheus text format. Like status it is read-only and asks no
+// other process, so that it works on an isolated process too.
 func (p *Process) metrics(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	families := metricFamilies(p.describe(p.clock()), p.counters())
 	if p.mesh != nil {
-		sent := p.mesh.Counters()
-		families = append(families, sent.Families("wallflow_control")...)
+		transportCounters := p.mesh.Counters()
+		families = append(families, transportCounters.Families("wallflow_control")...)
 	}
 	metrics.Write(w, families)
 }
@@ -28,21 +28,24 @@
 	return p.chain.Status().Counters
 }
 
-// metricFamilies are the figures of a status and of what the chain has counted since the start of the process.
+// metricFamilies returns the metrics of a status and of the chain's counters since the start of the process.
 func metricFamilies(status operator.Status, counters chain.Counters) []*dto.MetricFamily {
 	families := []*dto.MetricFamily{
-		metrics.Gauge("wallflow_control_fresh", "1 while a majority confirmed the view a moment ago; only then reads are answered", metrics.Bool(status.Fresh)),
+		metrics.Gauge("wallflow_control_fresh", "1 while a majority confirmed the view a moment ago; only then reads are answered",
+			metrics.Bool(status.Fresh)),
 		metrics.Gauge("wallflow_control_impaired", "1 while the disk does not keep up", metrics.Bool(status.Impaired)),
 		metrics.Gauge("wallflow_control_write_failed", "1 while the last write to the disk failed", metrics.Bool(status.Failed)),
 		metrics.Gauge("wallflow_control_epoch", "number of the view", float64(status.View.Epoch)),
 		metrics.Gauge("wallflow_control_voters", "processes that vote on the next view", float64(len(status.View.Voters))),
-		metrics.Gauge("wallflow_control_chain_length", "processes that hold each change before it is acknowledged", float64(len(status.View.Chain))),
+		metrics.Gauge("wallflow_control_chain_length", "processes that hold each change before it is acknowledged",
+			float64(len(status.View.Chain))),
 		metrics.Gauge("wallflow_control_log_position", "position of the last change in the log", float64(status.Position)),
 		metrics.Gauge("wallflow_control_committed_position", "position of the last change that is committed", float64(status.Committed)),
 		metrics.Gauge("wallflow_control_configuration_version", "version of the configuration held", float64(status.Generation)),
 		metrics.Gauge("wallflow_control_evacuated_zones", "zones that are evacuated", float64(len(status.Evacuated))),
 		metrics.Gauge("wallflow_control_subscribers", "relays that this process feeds", float64(status.Followers)),
-		metrics.Labelled("wallflow_control_members", "processes of the system by what membership holds of them", "status", countMembers(status.Members)),
+		metrics.Labelled("wallflow_control_members", "processes of the system by what membership holds of them",
+			"status", countMembers(status.Members)),
 	}
 	families = append(families, serviceFamily(status.Services))
 	return append(families, counterFamilies(counters)...)
@@ -61,31 +64,32 @@
 	}
 }
 
-// countMembers counts members by their status, in the order in which each status comes first.
+// countMembers counts members by status, in order of the first occurrence of each status.
 func countMembers(members []operator.Member) []metrics.Count {
 	var counts []metrics.Count
-	places := make(map[string]int)
+	indexes := make(map[string]int)
 	for _, member := range members {
-		place, known := places[member.Status]
+		index, known := indexes[member.Status]
 		if !known {
-			place = len(counts)
-			places[member.Status] = place
+			index = len(counts)
+			indexes[member.Status] = index
 			counts = append(counts, metrics.Count{Value: member.Status})
 		}
-		counts[place].Count++
+		counts[index].Count++
 	}
 	return counts
 }
 
-// serviceFamily tells the endpoints of each service by their state.
+// serviceFamily returns the number of endpoints by service and state.
 func serviceFamily(services []operator.Service) *dto.MetricFamily {
 	var perState []*dto.Metric
 	for _, service := range services {
-		for _, each := range []metrics.Count{
+		for _, count := range []metrics.Count{
 			{Value: "ready", Count: service.Ready}, {Value: "draining", Count: service.Draining},
 			{Value: "silent", Count: service.Silent}, {Value: "gone", Count: service.Gone},
 		} {
-			perState = append(perState, metrics.GaugeMetric(float64(each.Count), metrics.Label("service", service.Name), metrics.Label("state", each.Value)))
+			perState = append(perState, metrics.GaugeMetric(float64(count.Count),
+				metrics.Label("service", service.Name), metrics.Label("state", count.Value)))
 		}
 	}
 	return metrics.Family("wallflow_control_endpoints", "endpoints by service and state", dto.MetricType_GAUGE, perState...)
--- a/internal/control/metrics_test.go
+++ b/internal/control/metrics_test.go
@@ -17,8 +17,8 @@
 	"wallflow/internal/operator"
 )
 
-// parsed reads what a scraper would read.
-func parsed(t *testing.T, text []byte) map[string]*dto.MetricFamily {
+// parseMetrics parses metrics in the text format, as a scraper does.
+func parseMetrics(t *testing.T, text []byte) map[string]*dto.MetricFamily {
 	t.Helper()
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(bytes.NewReader(text))
@@ -42,7 +42,7 @@
 	return 0
 }
 
-func TestMetricsTellTheStatusAndTheCounters(t *testing.T) {
+func TestMetricsExposeStatusAndCounters(t *testing.T) {
 	families := metricFamilies(operator.Status{
 		Fresh:      true,
 		View:       operator.View{Epoch: 7, Voters: []string{"a", "b", "c"}, Chain: []string{"b", "a"}},
@@ -60,8 +60,8 @@
 	for _, family := range families {
 		assert.NilError(t, encoder.Encode(family))
 	}
-	read := parsed(t, text.Bytes())
-	assert.Equal(t, len(read), len(families), "each name stands once")
+	read := parseMetrics(t, text.Bytes())
+	assert.Equal(t, len(read), len(families), "each name occurs once")
 	for _, c := range []struct {
 		name   string
 		labels []string
@@ -90,24 +90,24 @@
 	}
 }
 
-// A process that is cut off still tells its figures, and that it is not up to date.
-func TestMetricsAreToldByAProcessThatIsCutOff(t *testing.T) {
-	w := newWorld(t, 1, worldOptions{controls: 3, zones: 3, relays: 2, endpoints: 2, tolerate: 1})
-	w.run(8 * time.Second)
+// An isolated process still serves its metrics, and reports that it is not fresh.
+func TestIsolatedProcessServesMetrics(t *testing.T) {
+	sim := newSimulation(t, 1, simulationOptions{controls: 3, zones: 3, relays: 2, endpoints: 2, tolerated: 1})
+	sim.advance(8 * time.Second)
 	read := func(c *controlMachine) map[string]*dto.MetricFamily {
 		recorder := httptest.NewRecorder()
 		c.process.ControlHandler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 		assert.Equal(t, recorder.Code, http.StatusOK)
 		assert.Assert(t, strings.HasPrefix(recorder.Header().Get("Content-Type"), "text/plain"))
-		return parsed(t, recorder.Body.Bytes())
+		return parseMetrics(t, recorder.Body.Bytes())
 	}
-	cutOff := w.controls[0]
+	cutOff := sim.controls[0]
 	before := read(cutOff)
 	assert.Equal(t, valueOf(t, before, "wallflow_control_fresh"), 1.0)
 	assert.Equal(t, valueOf(t, before, "wallflow_control_voters"), 3.0)
 	assert.Equal(t, valueOf(t, before, "wallflow_control_members", "alive"), 5.0)
-	w.isolate(cutOff.machine, true, true, everyone)
-	w.run(5 * time.Second)
+	sim.isolate(cutOff.machine, true, true, anyMachine)
+	sim.advance(5 * time.Second)
 	assert.Equal(t, valueOf(t, read(cutOff), "wallflow_control_fresh"), 0.0)
-	assert.Equal(t, valueOf(t, read(w.controls[1]), "wallflow_control_fresh"), 1.0)
+	assert.Equal(t, valueOf(t, read(sim.controls[1]), "wallflow_control_fresh"), 1.0)
 }
--- a/internal/control/options.go
+++ b/internal/control/options.go
@@ -1,27 +1,32 @@
-// Package control is the control process: it joins the cores for configuration state, membership, endpoint instances and
-// distribution to sockets and disk, and serves the operator's API, the endpoints' heartbeats and the directory.
+// Package control implements the control process. It connects the state machines for configuration, membership, endpoint instances and
+// distribution to sockets and disk, and serves the operators' API, the endpoints' heartbeats and the directory.
+//
+// The configuration is replicated by a chain of control processes. A view names the voters and the order of the chain; its number is the
+// epoch. A process is fresh, or has a quorum, while a majority of the voters has recently confirmed its epoch.
 package control
 
 import "time"
 
 const (
-	// noteEvery is how often the directory looks at the members.
-	noteEvery = time.Second
-	// tickEvery is how often the cores are told the time.
-	tickEvery = 100 * time.Millisecond
-	// answerWithin is how long a caller waits for the outcome of an order. Callers move on after a second of silence.
-	answerWithin = 900 * time.Millisecond
-	// largeBody is the size from which a caller waits longer, since the body travels the chain.
-	largeBody       = 64 << 10
-	largeBodyWithin = 2500 * time.Millisecond
-	// replicatedWithin is how long a leaving endpoint waits until a majority of the control processes knows of it.
-	replicatedWithin = 800 * time.Millisecond
-	// retireWithin bounds how long a process that is told to stop waits until the others have a chain without it, and retireLook is
-	// the time between two looks.
-	retireWithin = 1500 * time.Millisecond
-	retireLook   = 20 * time.Millisecond
-	// maxOrderBytes is the largest order that is read.
+	// directoryRecordInterval is the interval at which the directory records the current members.
+	directoryRecordInterval = time.Second
+	// tickInterval is the period of the timer that drives the state machines.
+	tickInterval = 100 * time.Millisecond
+	// answerTimeout is how long a client waits for the outcome of a request to the chain. Clients try another process after a second
+	// without an answer.
+	answerTimeout = 900 * time.Millisecond
+	// largeBodyBytes is the size above which an order gets largeBodyTimeout instead of answerTimeout, since its body is sent along the
+	// whole chain.
+	largeBodyBytes   = 64 << 10
+	largeBodyTimeout = 2500 * time.Millisecond
+	// replicationTimeout is how long a departure waits to be replicated to a majority of the control processes.
+	replicationTimeout = 800 * time.Millisecond
+	// retireTimeout bounds how long a stopping process waits until the others have formed a chain without it, and retirePollInterval is
+	// how often it checks.
+	retireTimeout      = 1500 * time.Millisecond
+	retirePollInterval = 20 * time.Millisecond
+	// maxOrderBytes is the largest accepted body of an order.
 	maxOrderBytes = 8 << 20
-	// maxHeartbeatBytes is the largest heartbeat that is read.
+	// maxHeartbeatBytes is the largest accepted body of a heartbeat.
 	maxHeartbeatBytes = 64 << 10
 )
--- a/internal/control/carry.go
+++ b/internal/control/output.go
@@ -9,8 +9,8 @@
 	"wallflow/internal/transport"
 )
 
-// carryOut sends, writes and answers what the chain wants.
-func (p *Process) carryOut(output chain.Output) {
+// applyChainOutput logs, writes, sends and answers what the chain state machine has produced.
+func (p *Process) applyChainOutput(output chain.Output) {
 	for _, line := range output.Logs {
 		p.log.Info("chain", "event", line)
 	}
@@ -21,15 +21,15 @@
 		p.network.Send(send.To, transport.KindChain, send.Message)
 	}
 	for _, answer := range output.Answers {
-		if waiting := p.answers[answer.Request]; waiting != nil {
-			delete(p.answers, answer.Request)
+		if waiting := p.pendingAnswers[answer.Request]; waiting != nil {
+			delete(p.pendingAnswers, answer.Request)
 			waiting <- answer
 		}
 	}
 }
 
-// spread sends what membership wants.
-func (p *Process) spread(output swim.Output) {
+// sendMembership sends the messages of the membership state machine and logs changed members.
+func (p *Process) sendMembership(output swim.Output) {
 	for _, datagram := range output.Datagrams {
 		p.network.SendDatagram(datagram.To, transport.KindSwim, datagram.Message)
 	}
@@ -41,26 +41,26 @@
 	}
 }
 
-// deliver sends what the feed wants.
-func (p *Process) deliver(output distribution.Output) {
+// sendFeed sends the messages of the configuration and endpoint feed.
+func (p *Process) sendFeed(output distribution.Output) {
 	batch := p.network.Batch(transport.KindFeed)
 	for _, send := range output.Sends {
 		batch.Send(send.To, send.Message)
 	}
 }
 
-// publish hands the committed configuration to the feed when it has changed.
-func (p *Process) publish(now time.Time) {
+// publishConfig passes the committed configuration to the feed when it has changed.
+func (p *Process) publishConfig(now time.Time) {
 	state, revision := p.chain.Committed()
 	if revision == p.published.revision {
 		return
 	}
-	current, ok := state.(replicated)
+	current, ok := state.(replicatedConfig)
 	if !ok || revision < p.published.revision {
 		return
 	}
-	update := p.restored.update(now, current.state, revision)
-	update.Steps = p.published.step(current.state, revision)
+	update := p.restorationTimes.feedUpdate(now, current.state, revision)
+	update.Steps = p.published.stepsTo(current.state, revision)
 	p.published = published{state: current.state, revision: revision}
-	p.deliver(p.feed.SetConfig(now, update))
+	p.sendFeed(p.feed.SetConfig(now, update))
 }
--- a/internal/control/process.go
+++ b/internal/control/process.go
@@ -19,8 +19,8 @@
 	"wallflow/internal/transport"
 )
 
-// Process is one control process. Its cores are driven under one lock; what they want sent, written and answered is carried out
-// by the functions of this package.
+// Process is a running control process. Its state machines are driven under one lock and do no I/O themselves: this package sends,
+// writes and answers what they produce.
 type Process struct {
 	settings  *settings.Settings
 	log       *slog.Logger
@@ -29,51 +29,51 @@
 	disk      disk
 	directory *directory.Directory
 
-	// Of a process in service, not of a simulated one:
-	mesh    *transport.Mesh
-	traffic transport.Reporter
-	writer  *writer
+	// Only set in a real process, not in a simulated one:
+	mesh            *transport.Mesh
+	trafficReporter transport.Reporter
+	writer          *writer
 
 	mu        sync.Mutex
-	chain     *chain.Node
-	members   *swim.Node
-	instances *registry.Table
-	feed      *distribution.Publisher
-
-	retention   chain.Retention              // the zero value in service
-	seeds       []string                     // of the newest settings
-	seedsOf     uint64                       // epoch of the view whose voters membership was last told
-	answers     map[uint64]chan chain.Answer // by request
-	nextRequest uint64
-	published   published // what the feed has
-	replicas    *replicationWaits
-	gathered    gatheredChanges
-	heartbeats  heartbeatGate
-	restored    restorations
+	chain     *chain.Node             // replicates the configuration
+	members   *swim.Node              // membership: which processes are alive
+	instances *registry.Table         // states of the endpoint instances
+	feed      *distribution.Publisher // sends configuration and instances to the relays
+
+	retention        chain.Retention              // the zero value except in tests
+	seeds            []string                     // from the newest settings
+	seedsEpoch       uint64                       // epoch of the view whose voters were last passed to membership as seeds
+	pendingAnswers   map[uint64]chan chain.Answer // by request number
+	nextRequest      uint64
+	published        published // the state last passed to the feed
+	replicationWaits *replicationWaits
+	pendingChanges   pendingChanges
+	heartbeatGate    heartbeatGate
+	restorationTimes restorationTimes
 }
 
-// Start opens the store of a control process and joins it to the system. Close ends it.
-func Start(set *settings.Settings, log *slog.Logger) (*Process, error) {
-	store, err := openStore(set.DataDir, log)
+// Start opens the store of a control process, starts the process and joins it to the system. Close ends it.
+func Start(cfg *settings.Settings, log *slog.Logger) (*Process, error) {
+	store, err := openStore(cfg.DataDir, log)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	random := rand.New(rand.NewSource(randomSeed()))
-	p := newProcess(set, log, time.Now, random)
-	p.writer = newWriter(store.file, p.written)
+	p := newProcess(cfg, log, time.Now, random)
+	p.writer = newWriter(store.file, p.writeDone)
 	p.disk = p.writer
-	first, err := p.build(store, random)
+	initial, err := p.build(store, random)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	if err := p.listen(); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	p.begin(first)
+	p.applyInitialOutput(initial)
 	return p, nil
 }
 
-// listen joins the process to the network. Messages that come meanwhile wait for the lock.
+// listen opens the process's sockets. It holds the lock, so that messages that arrive meanwhile wait until the network is set.
 func (p *Process) listen() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,39 +83,39 @@
 	}
 	p.mesh = mesh
 	p.network = meshNetwork{mesh}
-	p.traffic = transport.Reporter{Mesh: mesh, Log: p.log}
+	p.trafficReporter = transport.Reporter{Mesh: mesh, Log: p.log}
 	return nil
 }
 
-// Run drives the timers until the context ends.
+// Run drives the state machines until the context is canceled.
 func (p *Process) Run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	var noted time.Time
+	var lastRecorded time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
 			p.tick(now)
-			p.traffic.Tick(now)
-			if now.Sub(noted) >= noteEvery {
-				noted = now
-				p.directory.Note()
+			p.trafficReporter.Tick(now)
+			if now.Sub(lastRecorded) >= directoryRecordInterval {
+				lastRecorded = now
+				p.directory.RecordMembers()
 			}
 		}
 	}
 }
 
-// Retire has the process leave the chain, and returns once it has or after a while. It serves on meanwhile. Without it a change would
-// wait until the others hold this process for dead, and what it holds would be held by one fewer.
+// Retire makes the process leave the chain, and returns once it has left or after retireTimeout. The process keeps serving meanwhile.
+// Without it, a change would wait until the others consider this process dead, and each change would have one replica fewer.
 func (p *Process) Retire() {
 	p.mu.Lock()
-	p.carryOut(p.chain.Leave(p.clock()))
+	p.applyChainOutput(p.chain.Leave(p.clock()))
 	p.mu.Unlock()
-	deadline := time.Now().Add(retireWithin)
+	deadline := time.Now().Add(retireTimeout)
 	for p.inChain() && time.Now().Before(deadline) {
-		time.Sleep(retireLook)
+		time.Sleep(retirePollInterval)
 	}
 }
 
@@ -125,56 +125,56 @@
 	return p.chain.InChain()
 }
 
-// Close tells the others that the process leaves and ends its connections.
+// Close announces to the other processes that this one leaves, stops the writer and closes the connections.
 func (p *Process) Close() {
 	p.mu.Lock()
-	p.spread(p.members.Leave(p.clock()))
+	p.sendMembership(p.members.Leave(p.clock()))
 	p.mu.Unlock()
 	p.writer.close()
 	p.mesh.Close()
 }
 
-// SetSeeds takes on other seeds, from changed settings.
+// SetSeeds replaces the seeds of membership after a change of the settings.
 func (p *Process) SetSeeds(seeds []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.setSeeds(seeds)
 }
 
-// setSeeds has membership join through the seeds of the settings, and through the voters: a process that starts again finds them by its
-// store where all seeds are down, or name it alone.
+// setSeeds makes membership join through the seeds of the settings and through the voters of the current view. A restarted process knows
+// the voters from its store, and so finds the others even if all seeds are down or name only the process itself.
 func (p *Process) setSeeds(seeds []string) {
 	p.seeds = seeds
 	view := p.chain.View()
-	p.seedsOf = view.Epoch
-	joined := slices.Clone(seeds)
+	p.seedsEpoch = view.Epoch
+	addresses := slices.Clone(seeds)
 	for _, voter := range view.Voters {
-		if !slices.Contains(joined, voter.Address) {
-			joined = append(joined, voter.Address)
+		if !slices.Contains(addresses, voter.Address) {
+			addresses = append(addresses, voter.Address)
 		}
 	}
-	p.members.SetSeeds(joined)
+	p.members.SetSeeds(addresses)
 }
 
 func (p *Process) tick(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.chain.View().Epoch != p.seedsOf {
+	if p.chain.View().Epoch != p.seedsEpoch {
 		p.setSeeds(p.seeds)
 	}
-	p.spread(p.members.Tick(now))
-	p.carryOut(p.chain.Liveness(now, p.aliveControl()))
-	p.carryOut(p.chain.Tick(now))
+	p.sendMembership(p.members.Tick(now))
+	p.applyChainOutput(p.chain.Liveness(now, p.aliveControl()))
+	p.applyChainOutput(p.chain.Tick(now))
 	fresh := p.chain.Fresh(now)
 	p.instances.SetInTouch(now, fresh)
-	p.heartbeats.setInTouch(now, fresh)
+	p.heartbeatGate.setQuorum(now, fresh)
 	p.tickInstances(now)
 	p.feed.SetFresh(fresh)
-	p.publish(now)
-	p.deliver(p.feed.Tick(now))
+	p.publishConfig(now)
+	p.sendFeed(p.feed.Tick(now))
 }
 
-// aliveControl lists the control processes that membership holds alive.
+// aliveControl returns the control processes that membership considers alive, suspected ones included.
 func (p *Process) aliveControl() []chain.Member {
 	var alive []chain.Member
 	for _, member := range p.members.Members() {
--- a/internal/control/program.go
+++ b/internal/control/program.go
@@ -10,20 +10,20 @@
 	"wallflow/internal/program"
 )
 
-// Serve runs a control process until the context ends, and ends it in order.
+// Serve runs a control process until the context is canceled, and then shuts it down gracefully.
 func Serve(ctx context.Context, environment program.Environment) error {
-	set, log := environment.Settings, environment.Log
-	process, err := Start(set, log)
+	cfg, log := environment.Settings, environment.Log
+	process, err := Start(cfg, log)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	defer process.Close()
 	handlers := map[string]http.Handler{
-		set.Listen.Control:   process.ControlHandler(),
-		set.Listen.Directory: process.DirectoryHandler(),
+		cfg.Listen.Control:   process.ControlHandler(),
+		cfg.Listen.Directory: process.DirectoryHandler(),
 	}
-	failed := make(chan error, len(handlers))
-	var running []*httpapi.Server
+	serveErrors := make(chan error, len(handlers))
+	var servers []*httpapi.Server
 	for address, handler := range handlers {
 		if address == "" {
 			continue
@@ -32,22 +32,22 @@
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		running = append(running, server)
-		go func() { failed <- server.Serve() }()
+		servers = append(servers, server)
+		go func() { serveErrors <- server.Serve() }()
 	}
-	timers, stopTimers := context.WithCancel(context.Background())
-	defer stopTimers()
-	go process.Run(timers) // also while the process retires
-	log.Info("control process started", "node", set.Node, "control", set.Listen.Control, "directory", set.Listen.Directory)
+	runCtx, stopRun := context.WithCancel(context.Background())
+	defer stopRun()
+	go process.Run(runCtx) // keeps running while the process retires
+	log.Info("control process started", "node", cfg.Node, "control", cfg.Listen.Control, "directory", cfg.Listen.Directory)
 	for {
 		select {
-		case err = <-failed:
+		case err = <-serveErrors:
 			return trace.Wrap(err)
 		case changed := <-environment.Changed:
 			process.SetSeeds(changed.SeedInternalAddresses())
 		case <-ctx.Done():
 			process.Retire()
-			for _, server := range running {
+			for _, server := range servers {
 				server.ShutDown()
 			}
 			return nil
--- a/internal/control/update.go
+++ b/internal/control/published.go
@@ -8,17 +8,17 @@
 	"wallflow/internal/distribution"
 )
 
-// published is the state that the feed was last given.
+// published is the state last passed to the feed.
 type published struct {
 	state    *config.State
 	revision uint64
 }
 
-// step returns what leads from the published state to a newer one by the items that changed; none where only the whole document
-// does.
-func (p *published) step(newer *config.State, revision uint64) []distribution.Step {
+// stepsTo returns the patch that leads from the published state to a newer one. It returns none if the document is unchanged or only the
+// whole document can be sent.
+func (p *published) stepsTo(newer *config.State, revision uint64) []distribution.Step {
 	if p.state == nil || bytes.Equal(p.state.Document(), newer.Document()) {
-		return nil // the feed notices by itself that a document stayed as it was
+		return nil // the feed itself detects an unchanged document
 	}
 	patch, ok := config.Diff(p.state.Document(), newer.Document())
 	if !ok {
@@ -32,8 +32,8 @@
 	}}
 }
 
-// restorations remembers when this process first saw that a zone was taken back.
-type restorations struct {
+// restorationTimes records when this process first saw that an evacuated zone was restored.
+type restorationTimes struct {
 	seen map[string]seenRestoration // by zone
 }
 
@@ -42,9 +42,9 @@
 	at       time.Time
 }
 
-// since returns when a restoration was first seen here. One that is older than this process counts as of now: its endpoints are
-// then held cold for longer than they are, which breaks nothing.
-func (r *restorations) since(now time.Time, restoration config.Restoration) time.Time {
+// firstSeen returns when this process first saw a restoration. A restoration from before its start counts as seen now: the endpoints of
+// the zone are then treated as cold for longer than necessary, which is harmless.
+func (r *restorationTimes) firstSeen(now time.Time, restoration config.Restoration) time.Time {
 	if r.seen == nil {
 		r.seen = make(map[string]seenRestoration)
 	}
@@ -56,8 +56,8 @@
 	return known.at
 }
 
-// update is a committed state as the feed takes it.
-func (r *restorations) update(now time.Time, state *config.State, revision uint64) distribution.Update {
+// feedUpdate converts a committed state to an update for the feed.
+func (r *restorationTimes) feedUpdate(now time.Time, state *config.State, revision uint64) distribution.Update {
 	update := distribution.Update{ConfigState: distribution.ConfigState{
 		Revision:   revision,
 		Generation: state.Generation(),
@@ -70,7 +70,7 @@
 		update.Restored = append(update.Restored, distribution.Restoration{
 			Zone:     restoration.Zone,
 			Revision: restoration.Revision,
-			At:       r.since(now, restoration),
+			At:       r.firstSeen(now, restoration),
 		})
 	}
 	return update
--- a/internal/control/update_test.go
+++ b/internal/control/published_test.go
@@ -14,8 +14,8 @@
 
 const firstDocument = `{"generation":1,"routes":[{"name":"r","host":"h","pathPrefix":"/a/","kind":"safe","timeoutMs":10,"backend":"b"}],"backends":[{"name":"b"}]}`
 
-// taken gives orders to a state that has to take them.
-func taken(t *testing.T, state *config.State, orders ...config.Order) *config.State {
+// applyOrders applies orders to a state, which must accept them.
+func applyOrders(t *testing.T, state *config.State, orders ...config.Order) *config.State {
 	t.Helper()
 	for _, order := range orders {
 		next, verdict := state.ApplyOrder(order)
@@ -29,12 +29,12 @@
 	return config.Order{Kind: config.Put, HasMatch: true, Match: match, Body: []byte(body)}
 }
 
-func TestAChangeIsPublishedAsItsItems(t *testing.T) {
-	first := taken(t, config.EmptyState(), putOrder(0, firstDocument))
+func TestConfigChangeIsPublishedAsAPatch(t *testing.T) {
+	first := applyOrders(t, config.EmptyState(), putOrder(0, firstDocument))
 	moved := strings.Replace(strings.Replace(firstDocument, "/a/", "/moved/", 1), `"generation":1`, `"generation":2`, 1)
-	second := taken(t, first, putOrder(1, moved))
+	second := applyOrders(t, first, putOrder(1, moved))
 	known := published{state: first, revision: 4}
-	steps := known.step(second, 6)
+	steps := known.stepsTo(second, 6)
 	assert.Equal(t, len(steps), 1)
 	assert.Equal(t, steps[0].Base, uint64(4))
 	assert.Equal(t, steps[0].Revision, uint64(6))
@@ -44,24 +44,24 @@
 	assert.Equal(t, string(after), moved)
 }
 
-func TestTheFirstConfigurationIsPublishedWhole(t *testing.T) {
-	first := taken(t, config.EmptyState(), putOrder(0, firstDocument))
-	assert.Equal(t, len(new(published).step(first, 1)), 0)
+func TestFirstConfigurationIsPublishedWhole(t *testing.T) {
+	first := applyOrders(t, config.EmptyState(), putOrder(0, firstDocument))
+	assert.Equal(t, len(new(published).stepsTo(first, 1)), 0)
 	empty := published{state: config.EmptyState(), revision: 1}
-	assert.Equal(t, len(empty.step(first, 2)), 0)
+	assert.Equal(t, len(empty.stepsTo(first, 2)), 0)
 }
 
-func TestAnEvacuationIsPublishedWithoutTheDocument(t *testing.T) {
+func TestEvacuationIsPublishedWithoutTheDocument(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	first := taken(t, config.EmptyState(), putOrder(0, firstDocument))
+	first := applyOrders(t, config.EmptyState(), putOrder(0, firstDocument))
 	feed := distribution.NewPublisher("life", now)
 	feed.Receive(now, "relay", &feedpb.FeedMessage{Subscribe: &feedpb.Subscribe{}})
-	var restored restorations
-	feed.SetConfig(now, restored.update(now, first, 1))
-	evacuated := taken(t, first, config.Order{Kind: config.Evacuate, Zone: "z"})
+	var restored restorationTimes
+	feed.SetConfig(now, restored.feedUpdate(now, first, 1))
+	evacuated := applyOrders(t, first, config.Order{Kind: config.Evacuate, Zone: "z"})
 	known := published{state: first, revision: 1}
-	update := restored.update(now, evacuated, 2)
-	update.Steps = known.step(evacuated, 2)
+	update := restored.feedUpdate(now, evacuated, 2)
+	update.Steps = known.stepsTo(evacuated, 2)
 	output := feed.SetConfig(now, update)
 	assert.Equal(t, len(output.Sends), 1)
 	sent := output.Sends[0].Message.GetUpdate().GetConfig()
--- a/internal/control/receive.go
+++ b/internal/control/receive.go
@@ -9,7 +9,7 @@
 	"wallflow/internal/transport"
 )
 
-// receive takes a message of another process.
+// receive handles a message from another process.
 func (p *Process) receive(from string, kind transport.Kind, payload []byte) {
 	now := p.clock()
 	inbox := transport.Inbox{Lock: &p.mu, Log: p.log}
@@ -19,29 +19,29 @@
 		inbox.Take(from, payload, message, func() { p.receiveChain(now, from, message) })
 	case transport.KindSwim:
 		message := new(swimpb.Message)
-		inbox.Take(from, payload, message, func() { p.spread(p.members.Receive(now, from, message)) })
+		inbox.Take(from, payload, message, func() { p.sendMembership(p.members.Receive(now, from, message)) })
 	case transport.KindRegistry:
 		message := new(feedpb.RegistryMessage)
 		inbox.Take(from, payload, message, func() { p.receiveRegistry(now, from, message) })
 	case transport.KindFeed:
 		message := new(feedpb.FeedMessage)
-		inbox.Take(from, payload, message, func() { p.deliver(p.feed.Receive(now, from, message)) })
+		inbox.Take(from, payload, message, func() { p.sendFeed(p.feed.Receive(now, from, message)) })
 	}
 }
 
 func (p *Process) receiveChain(now time.Time, from string, message *chainpb.Message) {
-	p.carryOut(p.chain.Receive(now, from, message))
-	p.publish(now)
+	p.applyChainOutput(p.chain.Receive(now, from, message))
+	p.publishConfig(now)
 }
 
-// written takes the end of a write to the store.
-func (p *Process) written(token uint64, err error) {
+// writeDone handles the completion of a write to the store.
+func (p *Process) writeDone(token uint64, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
-		p.log.Error("store failed", "error", err)
+		p.log.Error("write to the store failed", "error", err)
 	}
 	now := p.clock()
-	p.carryOut(p.chain.Written(now, token, err))
-	p.publish(now)
+	p.applyChainOutput(p.chain.Written(now, token, err))
+	p.publishConfig(now)
 }
--- /dev/null
+++ b/internal/control/simulation_actors_test.go
@@ -0,0 +1,578 @@
+package control
+
+import (
+	"cmp"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"wallflow/internal/chain"
+	"wallflow/internal/config"
+	"wallflow/internal/distribution"
+	"wallflow/internal/distribution/feedpb"
+	"wallflow/internal/registry"
+	"wallflow/internal/swim"
+	"wallflow/internal/swim/swimpb"
+	"wallflow/internal/transport"
+)
+
+// relayMachine is a machine with a relay, of which only membership and the feed subscriber are simulated.
+type relayMachine struct {
+	*machine
+	sim        *simulation
+	members    *swim.Node
+	subscriber *distribution.Subscriber
+	sources    []string
+	generation uint64 // newest configuration in force in this incarnation
+	revision   uint64
+	network    simulatedNetwork
+}
+
+func (sim *simulation) addRelay(zone string) *relayMachine {
+	r := &relayMachine{machine: sim.addMachine(zone), sim: sim}
+	sim.relays = append(sim.relays, r)
+	return r
+}
+
+func (r *relayMachine) start() {
+	if r.up {
+		return
+	}
+	sim := r.sim
+	sim.recordDisturbance(r.machine)
+	r.up, r.incarnation, r.frozen, r.sources, r.generation, r.revision = true, r.incarnation+1, false, nil, 0, 0
+	r.network = simulatedNetwork{sim, r.machine, r.incarnation}
+	cfg := sim.settingsOf(r.machine, false)
+	r.members = swim.New(swim.Options{
+		Self: swim.Member{Name: cfg.Node, Address: r.address, Meta: swim.Meta{
+			Class: "edge", Zone: r.zone, Region: r.zone, Front: r.front(), Serving: true,
+		}},
+		Seeds:        cfg.SeedInternalAddresses(),
+		ContactBound: sim.bounds.Contact(),
+		Random:       rand.New(rand.NewPCG(sim.random.Uint64(), 1)),
+	}, sim.now)
+	r.subscriber = distribution.NewSubscriber(distribution.SubscriberOptions{
+		Self: r.address, ApplyPatch: config.ApplyTrustedPatch,
+	}, sim.now)
+	r.handler = r.receive
+	r.tick(r.incarnation)
+}
+
+func (r *relayMachine) front() string { return r.address + "0" }
+
+func (r *relayMachine) kill() {
+	if !r.up {
+		return
+	}
+	r.sim.recordDisturbance(r.machine)
+	r.up = false
+	r.incarnation++
+}
+
+func (r *relayMachine) tick(incarnation int) {
+	if r.incarnation != incarnation {
+		return
+	}
+	sim := r.sim
+	if !r.frozen {
+		r.sendMembership(r.members.Tick(sim.now))
+		r.updateSources()
+		r.applyFeedOutput(r.subscriber.Tick(sim.now))
+		r.checkTimeBounds()
+	}
+	sim.schedule(simulationTick, func() { r.tick(incarnation) })
+}
+
+// updateSources orders the control processes as a real relay does: those of its zone first.
+func (r *relayMachine) updateSources() {
+	var sources []swim.Member
+	for _, member := range r.members.Members() {
+		if member.Meta.Control != "" {
+			sources = append(sources, member)
+		}
+	}
+	slices.SortFunc(sources, func(a, b swim.Member) int {
+		distance := func(m swim.Member) int {
+			if m.Meta.Zone == r.zone {
+				return 0
+			}
+			return 1
+		}
+		return cmp.Or(cmp.Compare(distance(a), distance(b)), strings.Compare(a.Address, b.Address))
+	})
+	var ordered []string
+	for _, source := range sources {
+		ordered = append(ordered, source.Address)
+	}
+	if len(ordered) == 0 {
+		ordered = r.sim.settingsOf(r.machine, false).SeedInternalAddresses()
+	}
+	if !slices.Equal(ordered, r.sources) {
+		r.sources = ordered
+		r.applyFeedOutput(r.subscriber.SetSources(r.sim.now, ordered))
+	}
+}
+
+func (r *relayMachine) receive(from string, kind transport.Kind, payload []byte) {
+	sim := r.sim
+	switch kind {
+	case transport.KindSwim:
+		message := new(swimpb.Message)
+		if proto.Unmarshal(payload, message) == nil {
+			r.sendMembership(r.members.Receive(sim.now, from, message))
+		}
+	case transport.KindFeed:
+		message := new(feedpb.FeedMessage)
+		if proto.Unmarshal(payload, message) == nil {
+			r.applyFeedOutput(r.subscriber.Receive(sim.now, from, message))
+		}
+	}
+}
+
+func (r *relayMachine) sendMembership(output swim.Output) {
+	for _, datagram := range output.Datagrams {
+		r.network.SendDatagram(datagram.To, transport.KindSwim, datagram.Message)
+	}
+	for _, message := range output.Messages {
+		r.network.Send(message.To, transport.KindSwim, message.Message)
+	}
+}
+
+func (r *relayMachine) applyFeedOutput(output distribution.Output) {
+	for _, send := range output.Sends {
+		r.network.Send(send.To, transport.KindFeed, send.Message)
+	}
+	if !output.ConfigChanged {
+		return
+	}
+	known := r.subscriber.Config()
+	sim := r.sim
+	if known.Generation < r.generation || known.Revision < r.revision {
+		sim.recordViolation("relay %d went back from version %d to %d", r.number, r.generation, known.Generation)
+	}
+	r.generation, r.revision = known.Generation, known.Revision
+	if document, err := config.Parse(known.Document); err != nil || document.Generation != known.Generation {
+		sim.recordViolation("relay %d has a document that is not version %d: %v", r.number, known.Generation, err)
+		return
+	}
+	sim.history.observe(sim, known.Generation, documentName(known.Document), fmt.Sprintf("relay %d", r.number))
+}
+
+// checkTimeBounds checks the rules with time bounds that apply to a relay in contact with the control processes.
+func (r *relayMachine) checkTimeBounds() {
+	sim := r.sim
+	if !sim.timeBoundsApply(r.machine) {
+		return
+	}
+	sim.relayChecks++
+	if minVersion := sim.history.newestAckedBy(sim.now.Add(-sim.bounds.ConfigApply())); r.generation < minVersion {
+		sim.recordViolation("relay %d has version %d, %d was acknowledged at least %v ago",
+			r.number, r.generation, minVersion, sim.bounds.ConfigApply())
+	}
+	instances := r.subscriber.Instances()
+	for _, e := range sim.endpoints {
+		if e.ended || e.drainAckedAt.IsZero() || sim.now.Sub(e.drainAckedAt) <= sim.bounds.Drain() {
+			continue // an endpoint that has ended can't be reached; it is checked at the end of the walk
+		}
+		if stateOf(instances, e.id) == registry.StateReady {
+			sim.recordViolation("relay %d considers endpoint %s ready, %v after its departure was acknowledged",
+				r.number, e.id, sim.now.Sub(e.drainAckedAt))
+		}
+	}
+	for zone, order := range sim.history.zones {
+		hasEvacuation := slices.ContainsFunc(r.subscriber.Config().Evacuated, func(e distribution.Evacuation) bool { return e.Zone == zone })
+		if order.acked && order.evacuated && sim.now.Sub(order.at) > sim.bounds.Evac() && !hasEvacuation {
+			sim.recordViolation("relay %d does not consider %s evacuated, %v after the order was acknowledged",
+				r.number, zone, sim.now.Sub(order.at))
+		}
+	}
+}
+
+// endpointMachine is one run of an endpoint.
+type endpointMachine struct {
+	sim          *simulation
+	id           string
+	zone         string
+	heartbeat    registry.Heartbeat
+	control      *controlMachine // to which it sends heartbeats
+	drainAckedAt time.Time
+	draining     bool
+	ended        bool
+}
+
+func (sim *simulation) addEndpoint() {
+	number := len(sim.endpoints)
+	e := &endpointMachine{sim: sim, id: fmt.Sprintf("i-%d", number), zone: sim.zones[number%len(sim.zones)]}
+	e.heartbeat = registry.Heartbeat{
+		ID: e.id, Backend: "b", Address: fmt.Sprintf("10.9.0.%d:80", number), Zone: e.zone, Slots: 4, State: registry.StateReady,
+	}
+	sim.endpoints = append(sim.endpoints, e)
+	sim.schedule(2*time.Second+sim.randomDuration(time.Second), e.sendHeartbeat)
+}
+
+// sendHeartbeat sends a heartbeat, and schedules the next one. The endpoint switches to another control process if its own one is down.
+func (e *endpointMachine) sendHeartbeat() {
+	sim := e.sim
+	if e.ended {
+		return
+	}
+	interval := 1200 * time.Millisecond
+	if e.control == nil || !e.control.up || e.control.removed {
+		e.control = sim.controls[sim.random.Intn(len(sim.controls))]
+		interval = 200 * time.Millisecond
+	}
+	c := e.control
+	if c.up && !c.frozen {
+		e.heartbeat.Seq++
+		heartbeat := e.heartbeat
+		e.sendChange(c, registry.StateDraining, func(now time.Time) registry.Change { return c.process.instances.Heartbeat(now, heartbeat) })
+	}
+	sim.schedule(interval, e.sendHeartbeat)
+}
+
+// drain makes the endpoint announce its departure. Once that is acknowledged, it serves for a while longer and ends.
+func (e *endpointMachine) drain() {
+	if e.draining || e.ended {
+		return
+	}
+	e.draining = true
+	e.heartbeat.State = registry.StateDraining
+	e.control = nil
+}
+
+// leave ends the endpoint, and reports that it is gone to random control processes until one acknowledges it.
+func (e *endpointMachine) leave() {
+	sim := e.sim
+	e.ended = true
+	c := sim.controls[sim.random.Intn(len(sim.controls))]
+	if c.up && !c.frozen {
+		e.sendChange(c, registry.StateGone, func(now time.Time) registry.Change { return c.process.instances.Leave(now, e.id) })
+	}
+	sim.schedule(time.Second, func() {
+		if e.drainAckedAt.IsZero() {
+			e.leave()
+		}
+	})
+}
+
+// sendChange applies a report of the endpoint at a control process, and waits for replication as the HTTP handler does.
+func (e *endpointMachine) sendChange(c *controlMachine, state registry.State, apply func(now time.Time) registry.Change) {
+	sim := e.sim
+	incarnation := c.incarnation
+	replicated, id := c.process.propagateChange(apply)
+	draining := e.draining
+	sim.poll(replicationTimeout, func() bool {
+		switch {
+		case c.incarnation != incarnation:
+			return true
+		case replicated == nil:
+		default:
+			select {
+			case <-replicated:
+			default:
+				return false
+			}
+		}
+		if draining && e.drainAckedAt.IsZero() {
+			e.drainAckedAt = sim.now
+			sim.schedule(sim.bounds.Drain()+sim.randomDuration(4*time.Second), e.leave)
+		}
+		return true
+	}, func() {
+		if c.incarnation == incarnation {
+			c.process.replicationWaits.remove(id)
+		}
+		if e.control == c {
+			e.control = nil
+		}
+	})
+}
+
+// poll calls done every few milliseconds until it returns true. After the timeout it calls onTimeout instead.
+func (sim *simulation) poll(timeout time.Duration, done func() bool, onTimeout func()) {
+	const interval = 5 * time.Millisecond
+	if done() {
+		return
+	}
+	if timeout <= 0 {
+		onTimeout()
+		return
+	}
+	sim.schedule(interval, func() { sim.poll(timeout-interval, done, onTimeout) })
+}
+
+// history records the answers that operators got, and the versions seen in force.
+type history struct {
+	versions       map[uint64]*versionRecord
+	currentVersion uint64 // newest version that an operator knows to be committed
+	acks           []ackedVersion
+	zones          map[string]zoneOrder
+}
+
+// versionRecord is what is known about one version of the configuration.
+type versionRecord struct {
+	name     string   // of the change that became this version
+	rejected []string // names of changes that were rejected
+	acked    bool
+}
+
+type ackedVersion struct {
+	number uint64
+	at     time.Time
+}
+
+// zoneOrder is the newest order to evacuate or restore a zone.
+type zoneOrder struct {
+	evacuated bool
+	acked     bool
+	at        time.Time // of the acknowledgement
+}
+
+func (h *history) version(number uint64) *versionRecord {
+	if h.versions[number] == nil {
+		h.versions[number] = &versionRecord{}
+	}
+	return h.versions[number]
+}
+
+// observe records that a change was seen as a version. Each version must be a single change, and not one that was rejected.
+func (h *history) observe(sim *simulation, number uint64, name, where string) {
+	known := h.version(number)
+	if known.name != "" && known.name != name {
+		sim.recordViolation("version %d is %s and at %s %s", number, known.name, where, name)
+	}
+	known.name = name
+	if slices.Contains(known.rejected, name) {
+		sim.recordViolation("version %d at %s is %s, which was rejected", number, where, name)
+	}
+}
+
+// newestAckedBy returns the newest version that was acknowledged at or before a time.
+func (h *history) newestAckedBy(by time.Time) uint64 {
+	newest := uint64(0)
+	for _, ack := range h.acks {
+		if !ack.at.After(by) {
+			newest = max(newest, ack.number)
+		}
+	}
+	return newest
+}
+
+// operatorMachine sends one order after the other. It retries each at random processes until the answer is conclusive.
+type operatorMachine struct {
+	sim          *simulation
+	number       int
+	orders       int
+	attempts     int
+	order        config.Order
+	name         string
+	target       uint64 // version that the order creates
+	handleAnswer func(status int, body []byte) bool
+}
+
+func (sim *simulation) addOperator(number int) {
+	o := &operatorMachine{sim: sim, number: number}
+	sim.operators = append(sim.operators, o)
+	sim.schedule(1500*time.Millisecond, o.nextOrder)
+}
+
+// documentName returns the name of the change that created a document, which is the name of its only route.
+func documentName(document []byte) string {
+	parsed, err := config.Parse(document)
+	if err != nil || len(parsed.Routes) == 0 {
+		return ""
+	}
+	return parsed.Routes[0].Name
+}
+
+func documentOf(generation uint64, name string) []byte {
+	return fmt.Appendf(nil, `{"generation":%d,"routes":[{"name":%q,"host":"h","pathPrefix":"/a/","kind":"safe","timeoutMs":10,"backend":"b"}],`+
+		`"backends":[{"name":"b"}]}`, generation, name)
+}
+
+func patchOf(generation uint64, before, name string) []byte {
+	return fmt.Appendf(nil, `{"generation":%d,"upsert":{"routes":[{"name":%q,"host":"h","pathPrefix":"/a/","kind":"safe","timeoutMs":10,"backend":"b"}]},`+
+		`"delete":{"routes":[%q]}}`, generation, name, before)
+}
+
+// nextOrder starts another order: a change of the newest known version, as a whole document or a patch, an evacuation or its end, or a
+// read.
+func (o *operatorMachine) nextOrder() {
+	sim := o.sim
+	o.orders++
+	o.name = fmt.Sprintf("op%d-%d", o.number, o.orders)
+	base := sim.history.currentVersion
+	switch kind := sim.random.Intn(10); {
+	case kind == 0 && base > 0:
+		o.read()
+		return
+	case kind == 1 && base > 0 && o.number == 0:
+		o.evacuate()
+	default:
+		o.change(base, kind%2 == 0)
+	}
+	o.send()
+}
+
+func (o *operatorMachine) change(base uint64, patch bool) {
+	sim := o.sim
+	o.target = base + 1 + uint64(sim.random.Intn(2))
+	o.order = config.Order{Kind: config.Put, Match: base, HasMatch: true, Body: documentOf(o.target, o.name)}
+	if before := sim.history.version(base).name; patch && before != "" {
+		o.order.Kind, o.order.Body = config.Patch, patchOf(o.target, before, o.name)
+	}
+	target, name := o.target, o.name
+	o.handleAnswer = func(status int, body []byte) bool {
+		switch status {
+		case http.StatusOK:
+			sim.ackedOrders++
+			if callback := sim.onNextAck; callback != nil {
+				sim.onNextAck = nil
+				callback()
+			}
+			sim.history.observe(sim, target, name, "an acknowledgement")
+			sim.history.version(target).acked = true
+			sim.history.acks = append(sim.history.acks, ackedVersion{target, sim.now})
+			sim.history.currentVersion = max(sim.history.currentVersion, target)
+			return true
+		case http.StatusPreconditionFailed, http.StatusBadRequest:
+			known := sim.history.version(target)
+			known.rejected = append(known.rejected, name)
+			if known.name == name {
+				sim.recordViolation("%s was rejected with %d %s and is version %d", name, status, body, target)
+			}
+			sim.history.currentVersion = max(sim.history.currentVersion, currentVersionIn(body))
+			return true
+		}
+		return false
+	}
+}
+
+// currentVersionIn parses the current version from the text of a rejection.
+func currentVersionIn(body []byte) uint64 {
+	var number uint64
+	if _, err := fmt.Sscanf(string(body), "version %d is current", &number); err != nil {
+		return 0
+	}
+	return number
+}
+
+func (o *operatorMachine) evacuate() {
+	sim := o.sim
+	if sim.history.zones == nil {
+		sim.history.zones = make(map[string]zoneOrder)
+	}
+	zone := sim.zones[sim.random.Intn(len(sim.zones))]
+	order := zoneOrder{evacuated: !sim.history.zones[zone].evacuated}
+	o.order = config.Order{Kind: config.Restore, Zone: zone}
+	if order.evacuated {
+		o.order.Kind = config.Evacuate
+	}
+	sim.history.zones[zone] = order
+	o.handleAnswer = func(status int, body []byte) bool {
+		if status != http.StatusOK {
+			return false
+		}
+		sim.history.zones[zone] = zoneOrder{evacuated: order.evacuated, acked: true, at: sim.now}
+		return true
+	}
+}
+
+// randomProcess returns a random control machine, possibly one that has been removed.
+func (o *operatorMachine) randomProcess() *controlMachine {
+	return o.sim.controls[o.sim.random.Intn(len(o.sim.controls))]
+}
+
+func (o *operatorMachine) send() {
+	sim := o.sim
+	o.attempts++
+	attempt := o.attempts
+	retryAfter := func(delay time.Duration) {
+		sim.schedule(delay, func() {
+			if o.attempts == attempt {
+				sim.retriedOrders++
+				o.send()
+			}
+		})
+	}
+	c := o.randomProcess()
+	if !c.up || c.frozen {
+		retryAfter(100*time.Millisecond + sim.randomDuration(200*time.Millisecond))
+		return
+	}
+	retryAfter(time.Second)
+	const lostAnswerDivisor = 6 // one answer in this many is lost
+	lost := sim.random.Intn(lostAnswerDivisor) == 0
+	order := o.order
+	if order.Zone != "" {
+		order = c.process.zoneOrder(order.Kind, order.Zone)
+	}
+	sim.callChain(c, c.process.submission(order), func(answer chain.Answer) {
+		status, body := orderResponse(answer)
+		if o.attempts != attempt || lost {
+			return
+		}
+		if !o.handleAnswer(status, body) {
+			retryAfter(50*time.Millisecond + sim.randomDuration(200*time.Millisecond))
+			return
+		}
+		o.attempts++
+		sim.schedule(sim.randomDuration(150*time.Millisecond), o.nextOrder)
+	})
+}
+
+// callChain starts a request to the chain at a process, and waits for the answer as the HTTP handler does.
+func (sim *simulation) callChain(c *controlMachine, call chainCall, done func(chain.Answer)) {
+	incarnation := c.incarnation
+	request, answers := c.process.startChainCall(call)
+	sim.poll(answerTimeout, func() bool {
+		if c.incarnation != incarnation {
+			return true
+		}
+		select {
+		case answer := <-answers:
+			done(answer)
+			return true
+		default:
+			return false
+		}
+	}, func() {
+		if c.incarnation == incarnation {
+			c.process.abandonChainCall(request)
+			done(chain.Answer{Request: request})
+		}
+	})
+}
+
+// read reads the configuration at a random process. The answer must not be older than what was acknowledged before the read; a refusal is
+// allowed.
+func (o *operatorMachine) read() {
+	sim := o.sim
+	c := o.randomProcess()
+	minVersion := sim.history.newestAckedBy(sim.now)
+	sim.schedule(sim.randomDuration(300*time.Millisecond), o.nextOrder)
+	if !c.up || c.frozen {
+		return
+	}
+	sim.callChain(c, c.process.chain.Read, func(answer chain.Answer) {
+		status, body := readResponse(answer)
+		if status != http.StatusOK {
+			return
+		}
+		sim.answeredReads++
+		document, err := config.Parse(body)
+		if err != nil {
+			sim.recordViolation("cannot parse the configuration: %v", err)
+			return
+		}
+		if document.Generation < minVersion {
+			sim.recordViolation("machine %d answered version %d, %d was acknowledged before", c.number, document.Generation, minVersion)
+		}
+		sim.history.observe(sim, document.Generation, documentName(body), "an answer")
+	})
+}
--- a/internal/control/socket_test.go
+++ b/internal/control/socket_test.go
@@ -23,19 +23,19 @@
 	"wallflow/internal/transport"
 )
 
-// socketCore is a core of control processes as in service, with real sockets on loopback addresses, real files and the system's clock.
-// Loopback has no cut, so what one process sends to another can be dropped before it is sent.
-type socketCore struct {
+// socketCluster runs control processes as in production, with real sockets on loopback addresses, real files and the system clock. Since
+// loopback links cannot be cut, messages between processes are dropped at the sender instead.
+type socketCluster struct {
 	t        *testing.T
 	machines []*socketMachine
 	client   http.Client
-	acked    atomic.Uint64 // the newest version that was acknowledged
+	acked    atomic.Uint64 // newest acknowledged version
 
-	mu  sync.Mutex
-	cut map[[2]string]bool // from, to, by internal address
+	mu   sync.Mutex
+	cuts map[[2]string]bool // by the internal addresses of sender and receiver
 }
 
-// socketMachine is one control process with its API.
+// socketMachine is one control process with an HTTP server for its API.
 type socketMachine struct {
 	settings *settings.Settings
 	process  *Process
@@ -45,27 +45,27 @@
 
 const (
 	socketCallTimeout = 2 * time.Second
-	socketStartTries  = 20
-	socketUpWithin    = 20 * time.Second
+	maxSocketStarts   = 20               // attempts to find a loopback subnet whose ports are free
+	socketTimeout     = 20 * time.Second // for a version to be acknowledged and for all processes to vote
 )
 
-func newSocketCore(t *testing.T, count int) *socketCore {
+func newSocketCluster(t *testing.T, count int) *socketCluster {
 	t.Helper()
-	c := &socketCore{t: t, cut: make(map[[2]string]bool), client: http.Client{Timeout: socketCallTimeout}}
-	t.Cleanup(c.end)
+	c := &socketCluster{t: t, cuts: make(map[[2]string]bool), client: http.Client{Timeout: socketCallTimeout}}
+	t.Cleanup(c.close)
 	var err error
-	for range socketStartTries {
+	for range maxSocketStarts {
 		if err = c.startAll(count); err == nil {
 			return c
 		}
-		c.end()
+		c.close()
 	}
-	t.Fatalf("no core on loopback addresses: %v", err)
+	t.Fatalf("cannot start control processes on loopback addresses: %v", err)
 	return nil
 }
 
-// startAll starts every process for the first time, on addresses drawn by chance.
-func (c *socketCore) startAll(count int) error {
+// startAll starts every process for the first time, in a random loopback subnet.
+func (c *socketCluster) startAll(count int) error {
 	subnet := fmt.Sprintf("127.%d.%d", 64+rand.IntN(180), 1+rand.IntN(250))
 	regions := map[string]string{"a": "a", "b": "b", "c": "c"}
 	var seeds []string
@@ -74,14 +74,15 @@
 	}
 	for number := range count {
 		zone := string(rune('a' + number%len(regions)))
-		set := &settings.Settings{
+		cfg := &settings.Settings{
 			Node: fmt.Sprintf("control-%d", number), IP: fmt.Sprintf("%s.%d", subnet, 11+number), Zone: zone, Region: zone,
 			PortRange: [2]int{internalPort, internalPort + 9}, Seeds: seeds, Bootstrap: true, HeartbeatMs: 1200, Zones: regions,
 			DataDir: c.t.TempDir(), Tolerate: settings.Tolerate{Machines: 1},
-			Bounds: settings.Bounds{ContactMs: 4000, AckMs: 5000, SyncS: 4, DrainMs: 3000, ConfigApplyMs: 3000, EvacMs: 5000, RecoveryS: 12, TTLMaxS: 5},
+			Bounds: settings.Bounds{ContactMs: 4000, AckMs: 5000, SyncS: 4, DrainMs: 3000, ConfigApplyMs: 3000,
+				EvacMs: 5000, RecoveryS: 12, TTLMaxS: 5},
 		}
-		set.Listen.Control = fmt.Sprintf("%s:%d", set.IP, controlPort)
-		machine := &socketMachine{settings: set}
+		cfg.Listen.Control = fmt.Sprintf("%s:%d", cfg.IP, controlPort)
+		machine := &socketMachine{settings: cfg}
 		if err := c.start(machine); err != nil {
 			return err
 		}
@@ -90,13 +91,13 @@
 	return nil
 }
 
-func (c *socketCore) start(m *socketMachine) error {
+func (c *socketCluster) start(m *socketMachine) error {
 	process, err := Start(m.settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		return err
 	}
 	process.mu.Lock()
-	process.network = droppingNetwork{core: c, from: m.settings.InternalAddress(), below: process.network}
+	process.network = droppingNetwork{cluster: c, from: m.settings.InternalAddress(), inner: process.network}
 	process.mu.Unlock()
 	ctx, stop := context.WithCancel(context.Background())
 	go process.Run(ctx)
@@ -104,7 +105,7 @@
 	return nil
 }
 
-func (c *socketCore) end() {
+func (c *socketCluster) close() {
 	for _, m := range c.machines {
 		m.stop()
 		m.server.CloseClientConnections()
@@ -114,48 +115,48 @@
 	c.machines = nil
 }
 
-// droppingNetwork leaves out what a cut does not let through.
+// droppingNetwork drops the messages on links that are cut.
 type droppingNetwork struct {
-	core  *socketCore
-	from  string
-	below network
+	cluster *socketCluster
+	from    string
+	inner   network
 }
 
-func (n droppingNetwork) passes(to string) bool {
-	n.core.mu.Lock()
-	defer n.core.mu.Unlock()
-	return !n.core.cut[[2]string{n.from, to}]
+func (n droppingNetwork) allows(to string) bool {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	return !n.cluster.cuts[[2]string{n.from, to}]
 }
 
 func (n droppingNetwork) Send(to string, kind transport.Kind, message proto.Message) {
-	if n.passes(to) {
-		n.below.Send(to, kind, message)
+	if n.allows(to) {
+		n.inner.Send(to, kind, message)
 	}
 }
 
 func (n droppingNetwork) SendDatagram(to string, kind transport.Kind, message proto.Message) {
-	if n.passes(to) {
-		n.below.SendDatagram(to, kind, message)
+	if n.allows(to) {
+		n.inner.SendDatagram(to, kind, message)
 	}
 }
 
 func (n droppingNetwork) Batch(kind transport.Kind) batch {
-	return droppingBatch{network: n, below: n.below.Batch(kind)}
+	return droppingBatch{network: n, inner: n.inner.Batch(kind)}
 }
 
 type droppingBatch struct {
 	network droppingNetwork
-	below   batch
+	inner   batch
 }
 
 func (b droppingBatch) Send(to string, message proto.Message) {
-	if b.network.passes(to) {
-		b.below.Send(to, message)
+	if b.network.allows(to) {
+		b.inner.Send(to, message)
 	}
 }
 
-// isolate drops what others send to a process, what it sends, or both.
-func (c *socketCore) isolate(m *socketMachine, heard, hears bool) {
+// isolate sets whether a process can send to the others and receive from them.
+func (c *socketCluster) isolate(m *socketMachine, canSend, canReceive bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, other := range c.machines {
@@ -163,31 +164,31 @@
 			continue
 		}
 		own, theirs := m.settings.InternalAddress(), other.settings.InternalAddress()
-		c.cut[[2]string{own, theirs}] = !heard
-		c.cut[[2]string{theirs, own}] = !hears
+		c.cuts[[2]string{own, theirs}] = !canSend
+		c.cuts[[2]string{theirs, own}] = !canReceive
 	}
 }
 
-// split cuts the first processes off from the others.
-func (c *socketCore) split(first int) {
+// split cuts the links between the first firstSize processes and the others.
+func (c *socketCluster) split(firstSize int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, one := range c.machines[:first] {
-		for _, other := range c.machines[first:] {
+	for _, one := range c.machines[:firstSize] {
+		for _, other := range c.machines[firstSize:] {
 			own, theirs := one.settings.InternalAddress(), other.settings.InternalAddress()
-			c.cut[[2]string{own, theirs}], c.cut[[2]string{theirs, own}] = true, true
+			c.cuts[[2]string{own, theirs}], c.cuts[[2]string{theirs, own}] = true, true
 		}
 	}
 }
 
-func (c *socketCore) heal() {
+func (c *socketCluster) heal() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	clear(c.cut)
+	clear(c.cuts)
 }
 
-// call sends one request to a process; status 0: there was no answer.
-func (c *socketCore) call(m *socketMachine, method, path, match, body string) (status int, answer []byte) {
+// call sends one request to a process. Status 0 means that there was no complete answer.
+func (c *socketCluster) call(m *socketMachine, method, path, match, body string) (status int, answer []byte) {
 	request, err := http.NewRequestWithContext(context.Background(), method, m.server.URL+path, strings.NewReader(body))
 	if err != nil {
 		c.t.Error(err)
@@ -207,18 +208,19 @@
 	return response.StatusCode, answer
 }
 
-// operate has an operator change the configuration again and again, each change at all processes in turn until it is acknowledged.
-func (c *socketCore) operate(end <-chan struct{}) (ended <-chan struct{}) {
+// runOperator runs an operator until stop is closed. It changes the configuration repeatedly, and sends each change to the processes in
+// turn until it is acknowledged.
+func (c *socketCluster) runOperator(stop <-chan struct{}) (finished <-chan struct{}) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for try, version := 0, uint64(1); ; try++ {
+		for attempt, version := 0, uint64(1); ; attempt++ {
 			select {
-			case <-end:
+			case <-stop:
 				return
 			case <-time.After(10 * time.Millisecond):
 			}
-			m := c.machines[try%len(c.machines)]
+			m := c.machines[attempt%len(c.machines)]
 			status, answer := c.call(m, http.MethodPut, "/config", fmt.Sprint(version-1), string(documentOf(version, fmt.Sprint("v", version))))
 			switch {
 			case status == http.StatusOK:
@@ -233,26 +235,27 @@
 	return done
 }
 
-// read reads the configuration at a process. It may not be older than what was acknowledged before the question.
-func (c *socketCore) read(m *socketMachine) (status int) {
-	least := c.acked.Load()
+// read reads the configuration at a process, and returns the status. The configuration must not be older than what was acknowledged
+// before the request.
+func (c *socketCluster) read(m *socketMachine) (status int) {
+	minVersion := c.acked.Load()
 	status, answer := c.call(m, http.MethodGet, "/config", "", "")
 	if status != http.StatusOK {
 		return status
 	}
 	document, err := config.Parse(answer)
 	if err != nil {
-		c.t.Errorf("a configuration that can't be read: %v", err)
+		c.t.Errorf("cannot parse the configuration: %v", err)
 		return status
 	}
-	if document.Generation < least {
-		c.t.Errorf("%s answers version %d, %d was acknowledged before", m.settings.Node, document.Generation, least)
+	if document.Generation < minVersion {
+		c.t.Errorf("%s answered version %d, %d was acknowledged before", m.settings.Node, document.Generation, minVersion)
 	}
 	return status
 }
 
-// machineOf finds the process that has a part in the newest view.
-func (c *socketCore) machineOf(wanted part) *socketMachine {
+// machineWithRole returns a process that has the role in the newest view.
+func (c *socketCluster) machineWithRole(role chainRole) *socketMachine {
 	var newest chain.View
 	identities := make(map[*socketMachine]chain.Identity)
 	for _, m := range c.machines {
@@ -266,64 +269,67 @@
 	for _, m := range c.machines {
 		identity := identities[m]
 		switch {
-		case wanted == partHead && newest.Head() == identity, wanted == partTail && newest.Tail() == identity,
-			wanted == partVoter && newest.Place(identity) < 0:
+		case role == roleHead && newest.Head() == identity, role == roleTail && newest.Tail() == identity,
+			role == roleVoter && newest.Place(identity) < 0:
 			return m
 		}
 	}
-	c.t.Fatalf("no %v in %+v", wanted, newest)
+	c.t.Fatalf("no %v in %+v", role, newest)
 	return nil
 }
 
-// awaitAcked waits until a version is acknowledged.
-func (c *socketCore) awaitAcked(version uint64) {
+// awaitAcked waits until the version is acknowledged.
+func (c *socketCluster) awaitAcked(version uint64) {
 	c.t.Helper()
 	for began := time.Now(); c.acked.Load() < version; time.Sleep(10 * time.Millisecond) {
-		assert.Assert(c.t, time.Since(began) < socketUpWithin, "version %d is not acknowledged", version)
+		assert.Assert(c.t, time.Since(began) < socketTimeout, "version %d is not acknowledged", version)
 	}
 }
 
 // socketCut is one way to cut a process off.
 type socketCut struct {
-	part         part
-	heard, hears bool // by the others, and the others
+	role                chainRole
+	canSend, canReceive bool // to and from the other processes
 }
 
+// String returns the name of the sub-test: heard means that the process can send, hears that it can receive.
 func (s socketCut) String() string {
-	return fmt.Sprintf("%v heard %v hears %v", s.part, s.heard, s.hears)
+	return fmt.Sprintf("%v heard %v hears %v", s.role, s.canSend, s.canReceive)
 }
 
-// A control process as in service is cut off for twenty seconds. It answers nothing old, takes and refuses no order and acknowledges no
-// departure; the others go on. After the cut its first answer is up to date.
-func TestCutOffForTwentySecondsOverSockets(t *testing.T) {
-	cuts := []socketCut{{partHead, false, false}, {partTail, false, false}, {partVoter, false, false}, {partTail, false, true}, {partHead, true, false}}
+// A real control process is cut off for twenty seconds. Meanwhile it must not answer with stale data, accept or reject orders, or
+// acknowledge departures, while the others continue. Its first answer after the cut must be up to date.
+func TestIsolationForTwentySecondsOverSockets(t *testing.T) {
+	cuts := []socketCut{{roleHead, false, false}, {roleTail, false, false}, {roleVoter, false, false},
+		{roleTail, false, true}, {roleHead, true, false}}
 	for _, cut := range cuts {
 		t.Run(cut.String(), func(t *testing.T) {
 			t.Parallel()
-			c := newSocketCore(t, 5)
-			end := make(chan struct{})
-			ended := c.operate(end)
-			defer func() { close(end); <-ended }()
+			c := newSocketCluster(t, 5)
+			stop := make(chan struct{})
+			finished := c.runOperator(stop)
+			defer func() { close(stop); <-finished }()
 			c.awaitAcked(5)
-			c.playCut(cut)
+			c.runCut(cut)
 		})
 	}
 }
 
-func (c *socketCore) playCut(cut socketCut) {
+// runCut cuts a process off, checks its answers during the cut and ends the cut.
+func (c *socketCluster) runCut(cut socketCut) {
 	c.t.Helper()
-	const noticedWithin, cutFor, backWithin = 3 * time.Second, 20 * time.Second, 5 * time.Second
-	m := c.machineOf(cut.part)
+	const noticeTimeout, cutDuration, recoveryTimeout = 3 * time.Second, 20 * time.Second, 5 * time.Second
+	m := c.machineWithRole(cut.role)
 	before, began := c.acked.Load(), time.Now()
-	c.isolate(m, cut.heard, cut.hears)
+	c.isolate(m, cut.canSend, cut.canReceive)
 	for c.read(m) == http.StatusOK {
-		assert.Assert(c.t, time.Since(began) < noticedWithin, "still answers")
+		assert.Assert(c.t, time.Since(began) < noticeTimeout, "still answers")
 	}
 	refusing := time.Since(began)
-	for time.Since(began) < noticedWithin {
+	for time.Since(began) < noticeTimeout {
 		time.Sleep(50 * time.Millisecond)
 	}
-	for round := 0; time.Since(began) < cutFor; round++ {
+	for round := 0; time.Since(began) < cutDuration; round++ {
 		assert.Assert(c.t, c.read(m) != http.StatusOK, "answers a read, %v after the cut", time.Since(began))
 		c.orderWhileCutOff(m, round)
 	}
@@ -332,17 +338,19 @@
 	c.heal()
 	healed := time.Now()
 	for c.read(m) != http.StatusOK {
-		assert.Assert(c.t, time.Since(healed) < backWithin, "does not answer again")
+		assert.Assert(c.t, time.Since(healed) < recoveryTimeout, "does not answer again")
 	}
-	c.t.Logf("503 after %v, %d changes meanwhile, up to date %v after the cut", refusing, during, time.Since(healed))
+	c.t.Logf("503 after %v, %d changes during the cut, up to date %v after it", refusing, during, time.Since(healed))
 	c.awaitAcked(c.acked.Load() + 5)
 }
 
-// orderWhileCutOff sends what a process that is cut off must neither take nor refuse.
-func (c *socketCore) orderWhileCutOff(m *socketMachine, round int) {
+// orderWhileCutOff sends an order or a departure, which an isolated process must neither accept nor reject: it answers 503.
+func (c *socketCluster) orderWhileCutOff(m *socketMachine, round int) {
 	newest := c.acked.Load()
 	name := fmt.Sprint("cut off ", round)
-	draining := fmt.Sprintf(`{"id":"i-%d","backend":"b","address":"127.0.0.1:%d","zone":"a","generation":"1","slots":4,"state":"draining","warmupMs":0,"seq":1}`, round, 1000+round)
+	draining := fmt.Sprintf(
+		`{"id":"i-%d","backend":"b","address":"127.0.0.1:%d","zone":"a","generation":"1","slots":4,"state":"draining","warmupMs":0,"seq":1}`,
+		round, 1000+round)
 	orders := []struct{ method, path, match, body string }{
 		{http.MethodPut, "/config", fmt.Sprint(newest), string(documentOf(newest+1, name))},
 		{http.MethodPut, "/config", "0", string(documentOf(1, name))},
@@ -355,25 +363,25 @@
 	assert.Equal(c.t, status, http.StatusServiceUnavailable, "%s %s: %s", order.method, order.path, answer)
 }
 
-// The core is cut in two. A half without a majority answers nothing, and one with a majority goes on. Where neither has one, service rests, and
-// goes on with all that was acknowledged once the halves have met.
-func TestCoreInTwoHalvesOverSockets(t *testing.T) {
+// The control processes are partitioned in two. A side without a majority must refuse every read, and one with a majority must continue.
+// If neither has a majority, service is interrupted. Once the partition has healed, service resumes with all that was acknowledged.
+func TestPartitionOverSockets(t *testing.T) {
 	for _, sizes := range [][2]int{{2, 3}, {2, 2}, {1, 2}} {
 		t.Run(fmt.Sprintf("%d and %d", sizes[0], sizes[1]), func(t *testing.T) {
 			t.Parallel()
-			c := newSocketCore(t, sizes[0]+sizes[1])
-			end := make(chan struct{})
-			ended := c.operate(end)
-			defer func() { close(end); <-ended }()
+			c := newSocketCluster(t, sizes[0]+sizes[1])
+			stop := make(chan struct{})
+			finished := c.runOperator(stop)
+			defer func() { close(stop); <-finished }()
 			c.awaitAcked(5)
 			c.awaitVoters(len(c.machines))
-			c.playHalves(sizes[0], sizes[1] > sizes[0])
+			c.runPartition(sizes[0], sizes[1] > sizes[0])
 		})
 	}
 }
 
-// awaitVoters waits until so many processes vote.
-func (c *socketCore) awaitVoters(count int) {
+// awaitVoters waits until the view has the given number of voters.
+func (c *socketCluster) awaitVoters(count int) {
 	c.t.Helper()
 	for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 		c.machines[0].process.mu.Lock()
@@ -382,36 +390,37 @@
 		if voters == count {
 			return
 		}
-		assert.Assert(c.t, time.Since(began) < socketUpWithin, "%d of %d vote", voters, count)
+		assert.Assert(c.t, time.Since(began) < socketTimeout, "%d of %d processes are voters", voters, count)
 	}
 }
 
-func (c *socketCore) playHalves(first int, otherGoesOn bool) {
+// runPartition partitions the processes after the first firstSize ones, checks their answers and ends the partition.
+func (c *socketCluster) runPartition(firstSize int, otherHasMajority bool) {
 	c.t.Helper()
-	const noticedWithin, cutFor, backWithin = 3 * time.Second, 9 * time.Second, 5 * time.Second
-	c.split(first)
+	const noticeTimeout, cutDuration, recoveryTimeout = 3 * time.Second, 9 * time.Second, 5 * time.Second
+	c.split(firstSize)
 	began := time.Now()
-	for time.Since(began) < noticedWithin {
+	for time.Since(began) < noticeTimeout {
 		for _, m := range c.machines {
 			c.read(m)
 		}
 	}
 	before := c.acked.Load()
-	for time.Since(began) < cutFor {
+	for time.Since(began) < cutDuration {
 		for number, m := range c.machines {
 			status := c.read(m)
-			assert.Assert(c.t, number >= first && otherGoesOn || status != http.StatusOK, "%s answers without a majority", m.settings.Node)
+			assert.Assert(c.t, number >= firstSize && otherHasMajority || status != http.StatusOK, "%s answers without a majority", m.settings.Node)
 		}
 	}
 	during := c.acked.Load() - before
-	assert.Equal(c.t, during > 0, otherGoesOn, "%d changes acknowledged", during)
+	assert.Equal(c.t, during > 0, otherHasMajority, "%d changes acknowledged", during)
 	c.heal()
 	healed := time.Now()
 	for _, m := range c.machines {
 		for c.read(m) != http.StatusOK {
-			assert.Assert(c.t, time.Since(healed) < backWithin, "%s does not answer again", m.settings.Node)
+			assert.Assert(c.t, time.Since(healed) < recoveryTimeout, "%s does not answer again", m.settings.Node)
 		}
 	}
-	c.t.Logf("%d changes while in two halves, all answer %v after they met", during, time.Since(healed))
+	c.t.Logf("%d changes during the partition, all processes answer %v after it", during, time.Since(healed))
 	c.awaitAcked(c.acked.Load() + 5)
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -15,7 +15,7 @@
 	"wallflow/internal/swim"
 )
 
-// status answers GET /status: what this process holds and sees. It reads and changes nothing, and asks no other process.
+// status handles GET /status with the state of this process and its view of the others. It is read-only and asks no other process.
 func (p *Process) status(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	httpapi.AnswerJSON(w, http.StatusOK, p.describe(p.clock()))
 }
@@ -23,30 +23,30 @@
 func (p *Process) describe(now time.Time) operator.Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	own := p.chain.Status()
+	chainStatus := p.chain.Status()
 	status := operator.Status{
 		Node:      p.settings.Node,
-		Identity:  string(own.Identity),
-		Role:      string(own.Role),
+		Identity:  string(chainStatus.Identity),
+		Role:      string(chainStatus.Role),
 		Fresh:     p.chain.Fresh(now),
 		View:      describeView(p.chain.View()),
-		Position:  own.Position,
-		Committed: own.Committed,
-		Impaired:  own.Impaired,
-		Failed:    own.Failed,
+		Position:  chainStatus.Position,
+		Committed: chainStatus.Committed,
+		Impaired:  chainStatus.Impaired,
+		Failed:    chainStatus.Failed,
 		Members:   describeMembers(p.members.Members()),
 		Services:  countServices(now, p.instances.Instances()),
 		Followers: p.feed.Subscribers(),
 	}
 	state, _ := p.chain.Committed()
-	if current, ok := state.(replicated); ok {
+	if current, ok := state.(replicatedConfig); ok {
 		status.Generation = current.state.Generation()
 		status.Evacuated = current.state.Evacuated()
 	}
 	return status
 }
 
-// describeView names the members of a view.
+// describeView lists the members of a view by name; a member of the chain that does not vote is listed by its identity.
 func describeView(view chain.View) operator.View {
 	described := operator.View{Epoch: view.Epoch}
 	for _, voter := range view.Voters {
@@ -81,7 +81,7 @@
 	return described
 }
 
-// countServices counts endpoints by service and state.
+// countServices counts endpoints by service and state, sorted by service.
 func countServices(now time.Time, instances []registry.Instance) []operator.Service {
 	counted := make(map[string]*operator.Service)
 	for _, instance := range instances {
--- a/internal/control/status_test.go
+++ b/internal/control/status_test.go
@@ -12,7 +12,7 @@
 	"wallflow/internal/swim"
 )
 
-func TestAStatusCountsEndpointsByServiceAndState(t *testing.T) {
+func TestStatusCountsEndpointsByServiceAndState(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	services := countServices(now, []registry.Instance{
 		{ID: "1", Backend: "b", State: registry.StateReady},
@@ -27,7 +27,7 @@
 	})
 }
 
-func TestAStatusNamesTheChainInItsOrder(t *testing.T) {
+func TestStatusListsTheChainInOrder(t *testing.T) {
 	view := describeView(chain.View{
 		Epoch:  3,
 		Voters: []chain.Member{{Identity: "i1", Name: "one"}, {Identity: "i2", Name: "two"}},
@@ -36,9 +36,10 @@
 	assert.DeepEqual(t, view, operator.View{Epoch: 3, Voters: []string{"one", "two"}, Chain: []string{"two", "one", "i9"}})
 }
 
-func TestAStatusListsMembersByName(t *testing.T) {
+func TestStatusListsMembersByName(t *testing.T) {
 	members := describeMembers([]swim.Member{
-		{Name: "relay", Address: "127.0.0.2:1", Status: swim.Suspect, Meta: swim.Meta{Role: "proxy", Zone: "z", Region: "r", Front: "127.0.0.2:2", Serving: true}},
+		{Name: "relay", Address: "127.0.0.2:1", Status: swim.Suspect,
+			Meta: swim.Meta{Role: "proxy", Zone: "z", Region: "r", Front: "127.0.0.2:2", Serving: true}},
 		{Name: "core", Address: "127.0.0.1:1", Meta: swim.Meta{Control: "127.0.0.1:3"}},
 	})
 	assert.DeepEqual(t, members, []operator.Member{
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -9,27 +9,28 @@
 	"wallflow/internal/logfile"
 )
 
-// openedStore is the log of the chain as it was found.
+// openedStore is the chain's log as found on disk.
 type openedStore struct {
 	file      *logfile.File
 	records   []logfile.Record
-	discarded bool // what was there was damaged before its end: the process joins as an empty one
+	discarded bool // the log was damaged before its end and was deleted; the process joins with an empty one
 }
 
-// openStore opens the log of the chain in a folder. One in which something synced is damaged is thrown away, since its votes and
-// entries can't be trusted any more: the process joins with an empty store and a new identity, and says so.
+// openStore opens the chain's log in a directory. A log in which synced data is damaged is discarded, since its votes and entries can no
+// longer be trusted: the process joins with an empty store and a new identity, and logs an error. An incomplete record at the end, left by
+// a crash during a write, is truncated.
 func openStore(directory string, log *slog.Logger) (openedStore, error) {
 	file, records, report, err := logfile.Open(directory, logfile.Limits{})
 	var damage *logfile.DamageError
 	if errors.As(err, &damage) {
-		log.Error("store is damaged and thrown away; joining with an empty one", "error", err)
+		log.Error("store is damaged and was discarded; joining with an empty store", "error", err)
 		return replaceStore(directory)
 	}
 	if err != nil {
 		return openedStore{}, trace.Wrap(err)
 	}
 	if report.TornKind != "" {
-		log.Warn("store had a torn tail, which was cut off", "path", report.Path, "at", report.TornAt, "kind", report.TornKind)
+		log.Warn("store ended with an incomplete record, which was truncated", "path", report.Path, "at", report.TornAt, "kind", report.TornKind)
 	}
 	return openedStore{file: file, records: records}, nil
 }
--- a/internal/control/writer.go
+++ b/internal/control/writer.go
@@ -7,26 +7,27 @@
 	"wallflow/internal/logfile"
 )
 
-// writer carries out the writes of the chain one after the other, off the lock of the process, since a disk may hang.
+// writer executes the chain's writes one after the other in a goroutine of its own, without the lock of the process, since a disk may
+// hang.
 type writer struct {
-	store *logfile.File
-	done  func(token uint64, err error)
+	store     *logfile.File
+	onWritten func(token uint64, err error)
 
-	mu      sync.Mutex
-	waiting []chain.Write
-	wake    chan struct{}
-	closed  chan struct{}
-	ended   chan struct{}
-	once    sync.Once
+	mu        sync.Mutex
+	pending   []chain.Write
+	wake      chan struct{}
+	closed    chan struct{}
+	finished  chan struct{}
+	closeOnce sync.Once
 }
 
-func newWriter(store *logfile.File, done func(token uint64, err error)) *writer {
+func newWriter(store *logfile.File, onWritten func(token uint64, err error)) *writer {
 	w := &writer{
-		store:  store,
-		done:   done,
-		wake:   make(chan struct{}, 1),
-		closed: make(chan struct{}),
-		ended:  make(chan struct{}),
+		store:     store,
+		onWritten: onWritten,
+		wake:      make(chan struct{}, 1),
+		closed:    make(chan struct{}),
+		finished:  make(chan struct{}),
 	}
 	go w.run()
 	return w
@@ -35,7 +36,7 @@
 // add queues a write.
 func (w *writer) add(write chain.Write) {
 	w.mu.Lock()
-	w.waiting = append(w.waiting, write)
+	w.pending = append(w.pending, write)
 	w.mu.Unlock()
 	select {
 	case w.wake <- struct{}{}:
@@ -43,34 +44,34 @@
 	}
 }
 
-// close ends the writer. A write that hangs is left behind: the process is ending.
+// close stops the writer. It does not wait for a write that hangs, since the process is ending.
 func (w *writer) close() {
-	w.once.Do(func() { close(w.closed) })
+	w.closeOnce.Do(func() { close(w.closed) })
 }
 
 func (w *writer) run() {
-	defer close(w.ended)
+	defer close(w.finished)
 	for {
 		select {
 		case <-w.closed:
 			return
 		case <-w.wake:
 		}
-		for _, write := range w.take() {
-			w.done(write.Token, w.carryOut(write))
+		for _, write := range w.takePending() {
+			w.onWritten(write.Token, w.execute(write))
 		}
 	}
 }
 
-func (w *writer) take() []chain.Write {
+func (w *writer) takePending() []chain.Write {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	waiting := w.waiting
-	w.waiting = nil
-	return waiting
+	pending := w.pending
+	w.pending = nil
+	return pending
 }
 
-func (w *writer) carryOut(write chain.Write) error {
+func (w *writer) execute(write chain.Write) error {
 	if write.Rewrite {
 		return w.store.Rewrite(write.Records)
 	}
--- a/internal/dataplane/directory.go
+++ b/internal/dataplane/directory.go
@@ -7,18 +7,18 @@
 	"wallflow/internal/swim"
 )
 
-// DirectoryHandler serves clients that ask where to go.
+// DirectoryHandler serves clients that ask for relays.
 func (p *Process) DirectoryHandler() http.Handler {
 	return directory.New(directory.Options{
 		Members: p.listMembers,
-		HoldMax: p.settings.Bounds.TTLMax(),
+		MaxTTL:  p.settings.Bounds.TTLMax(),
 		Region:  p.settings.Region,
 
 		HomeRegions: p.homeRegions,
 	}).Handler()
 }
 
-// homeRegions returns the sets of home regions of a host's routes, by the configuration in force here.
+// homeRegions returns the sets of home regions of a host's routes, according to the configuration in force at this relay.
 func (p *Process) homeRegions(host string) [][]string {
 	compiled := p.compiled.Load()
 	if compiled == nil {
--- a/internal/dataplane/feed.go
+++ b/internal/dataplane/feed.go
@@ -9,35 +9,36 @@
 	"wallflow/internal/registry"
 )
 
-// evacuationView is what the selector was last told of evacuations.
-type evacuationView struct {
-	restored map[string]uint64 // revision of the newest restoration of a zone that was taken on
+// evacuationTracker remembers which restorations of evacuated zones have been passed to the selector.
+type evacuationTracker struct {
+	appliedRestorations map[string]uint64 // by zone: revision of the newest restoration that was applied
 }
 
-// takeFeed carries out what the subscriber wants and takes on what has changed.
-func (p *Process) takeFeed(now time.Time, output distribution.Output) {
-	p.deliver(output.Sends)
+// applyFeedOutput sends the subscriber's messages, applies changes of configuration and instances, and forwards them to the relays that
+// this one feeds.
+func (p *Process) applyFeedOutput(now time.Time, output distribution.Output) {
+	p.sendFeed(output.Sends)
 	if output.ConfigChanged {
-		p.takeConfig(now)
+		p.applyConfig(now)
 		if output.AppliedUpdate != nil {
-			p.deliver(p.home.SetConfig(now, *output.AppliedUpdate).Sends)
+			p.sendFeed(p.homePublisher.SetConfig(now, *output.AppliedUpdate).Sends)
 		}
 	}
 	if len(output.InstancesChanged) > 0 {
-		p.takeInstances(now, output.InstancesChanged)
-		p.deliver(p.home.SetInstances(now, output.InstancesChanged).Sends)
+		p.applyInstances(now, output.InstancesChanged)
+		p.sendFeed(p.homePublisher.SetInstances(now, output.InstancesChanged).Sends)
 	}
 }
 
-// takeConfig puts the newest configuration and the evacuations in force.
-func (p *Process) takeConfig(now time.Time) {
+// applyConfig puts the newest configuration and the current evacuations into force.
+func (p *Process) applyConfig(now time.Time) {
 	state := p.subscriber.Config()
 	compiled := p.compiled.Load()
 	changed := false
 	if state.Document != nil && (compiled == nil || compiled.Generation() != state.Generation) {
-		document, err := p.documents.Read(state.Document)
+		document, err := p.documentReader.Read(state.Document)
 		if err != nil {
-			p.log.Error("the configuration can't be read", "revision", state.Revision, "error", err)
+			p.log.Error("cannot parse the configuration", "revision", state.Revision, "error", err)
 			return
 		}
 		compiled, changed = config.Compile(document), true
@@ -46,7 +47,7 @@
 	if changed {
 		p.selector.SetConfig(now, compiled)
 	}
-	p.zones.apply(now, p, state)
+	p.evacuations.apply(now, p, state)
 	proxy.WakeAll(p.selector)
 	p.selectorLock.Unlock()
 	if changed {
@@ -56,38 +57,38 @@
 	}
 }
 
-// apply tells the selector which zones are evacuated. A zone whose evacuation began and ended unseen is told as both, so that
-// its endpoints count as cold. Callers hold the selector's lock.
-func (v *evacuationView) apply(now time.Time, p *Process, state distribution.ConfigState) {
+// apply tells the selector which zones are evacuated. For a zone that was evacuated and restored between two updates it reports both the
+// evacuation and its end, so that the zone's endpoints count as cold. Callers hold selectorLock.
+func (t *evacuationTracker) apply(now time.Time, p *Process, state distribution.ConfigState) {
 	zones := make([]string, 0, len(state.Evacuated))
 	for _, evacuation := range state.Evacuated {
 		zones = append(zones, evacuation.Zone)
 	}
-	unseen := zones
+	withMissed := zones
 	for _, restoration := range state.Restored {
-		if v.restored[restoration.Zone] >= restoration.Revision {
+		if t.appliedRestorations[restoration.Zone] >= restoration.Revision {
 			continue
 		}
-		if v.restored == nil {
-			v.restored = make(map[string]uint64)
+		if t.appliedRestorations == nil {
+			t.appliedRestorations = make(map[string]uint64)
 		}
-		v.restored[restoration.Zone] = restoration.Revision
-		unseen = append(unseen, restoration.Zone)
+		t.appliedRestorations[restoration.Zone] = restoration.Revision
+		withMissed = append(withMissed, restoration.Zone)
 	}
-	if len(unseen) > len(zones) {
-		p.selector.SetEvacuated(now, unseen)
+	if len(withMissed) > len(zones) {
+		p.selector.SetEvacuated(now, withMissed)
 	}
 	p.selector.SetEvacuated(now, zones)
 }
 
-// takeInstances tells the selector and the connections what has changed.
-func (p *Process) takeInstances(now time.Time, changed []registry.Instance) {
+// applyInstances passes changed instances to the selector and drops the connections to those that are gone.
+func (p *Process) applyInstances(now time.Time, changed []registry.Instance) {
 	p.selectorLock.Lock()
 	for _, instance := range changed {
 		if instance.State == registry.StateGone {
-			delete(p.zoneOf, instance.ID)
+			delete(p.zoneByInstance, instance.ID)
 		} else {
-			p.zoneOf[instance.ID] = instance.Zone
+			p.zoneByInstance[instance.ID] = instance.Zone
 		}
 		p.selector.SetInstance(now, instance)
 	}
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -11,22 +11,22 @@
 	"wallflow/internal/workload"
 )
 
-// figures are the counts of this relay since its start and how things stand, for GET /metrics. They are of this relay alone.
-func (p *Process) figures() []*dto.MetricFamily {
+// collectMetrics returns the metrics of this relay for GET /metrics: counters since its start and gauges of its current state.
+func (p *Process) collectMetrics() []*dto.MetricFamily {
 	now := time.Now()
 	p.selectorLock.Lock()
 	counts := p.selector.Counts(now)
-	speeds := p.selector.Speeds()
+	prefillRates := p.selector.Speeds()
 	p.selectorLock.Unlock()
 	p.mu.Lock()
 	loads := p.loads.Stats(now)
 	p.mu.Unlock()
 	families := requestFamilies(p.server.Stats())
 	families = append(families, endpointFamilies(&counts)...)
-	families = append(families, speedFamilies(speeds)...)
+	families = append(families, prefillRateFamilies(prefillRates)...)
 	families = append(families, loadFamilies(loads)...)
-	sent := p.mesh.Counters()
-	return append(families, sent.Families("wallflow_relay")...)
+	transportCounters := p.mesh.Counters()
+	return append(families, transportCounters.Families("wallflow_relay")...)
 }
 
 func requestFamilies(stats proxy.Stats) []*dto.MetricFamily {
@@ -40,7 +40,8 @@
 		metrics.Counter("wallflow_relay_refused_total", "requests answered with 503: they did not run", stats.Refused),
 		metrics.Counter("wallflow_relay_attempts_total", "sends to endpoints", stats.Attempts),
 		metrics.Counter("wallflow_relay_resumed_total", "streams that went on at another endpoint", stats.Resumed),
-		metrics.Family("wallflow_relay_late_total", "requests that were late or had no answer, by what weighed most", dto.MetricType_COUNTER, late...),
+		metrics.Family("wallflow_relay_late_total", "requests that were late or had no answer, by what weighed most",
+			dto.MetricType_COUNTER, late...),
 		metrics.Gauge("wallflow_relay_clients", "connections of clients", float64(stats.Clients)),
 		metrics.Gauge("wallflow_relay_upstream_connections", "connections to endpoints", float64(stats.Upstream.Open)),
 		metrics.Counter("wallflow_relay_dials_total", "connections to endpoints that were opened", stats.Upstream.Dials),
@@ -62,22 +63,25 @@
 	if len(matched) == 0 {
 		return families
 	}
-	return append(families, metrics.Family("wallflow_relay_failure_rules_total", "failure rules that matched", dto.MetricType_COUNTER, matched...))
+	return append(families, metrics.Family("wallflow_relay_failure_rules_total", "failure rules that matched",
+		dto.MetricType_COUNTER, matched...))
 }
 
-func speedFamilies(speeds []selector.Speed) []*dto.MetricFamily {
-	var reading, answers []*dto.Metric
-	for _, speed := range speeds {
-		label := metrics.Label("service", speed.Service)
-		reading = append(reading, metrics.GaugeMetric(speed.TokensPerMs, label))
-		answers = append(answers, metrics.GaugeMetric(speed.Answers, label))
+func prefillRateFamilies(prefillRates []selector.Speed) []*dto.MetricFamily {
+	var rateMetrics, sampleCountMetrics []*dto.Metric
+	for _, prefillRate := range prefillRates {
+		label := metrics.Label("service", prefillRate.Service)
+		rateMetrics = append(rateMetrics, metrics.GaugeMetric(prefillRate.TokensPerMs, label))
+		sampleCountMetrics = append(sampleCountMetrics, metrics.GaugeMetric(prefillRate.Answers, label))
 	}
-	if len(speeds) == 0 {
+	if len(prefillRates) == 0 {
 		return nil
 	}
 	return []*dto.MetricFamily{
-		metrics.Family("wallflow_relay_reading_tokens_per_ms", "prompt tokens that an engine reads in a millisecond, as learned", dto.MetricType_GAUGE, reading...),
-		metrics.Family("wallflow_relay_reading_answers", "answers of all relays that this rests on, faded", dto.MetricType_GAUGE, answers...),
+		metrics.Family("wallflow_relay_reading_tokens_per_ms", "prompt tokens that an engine reads in a millisecond, as learned",
+			dto.MetricType_GAUGE, rateMetrics...),
+		metrics.Family("wallflow_relay_reading_answers", "answers of all relays that this rests on, faded",
+			dto.MetricType_GAUGE, sampleCountMetrics...),
 	}
 }
 
--- a/internal/dataplane/metrics_test.go
+++ b/internal/dataplane/metrics_test.go
@@ -16,15 +16,15 @@
 	"wallflow/internal/workload"
 )
 
-// What a scraper reads of a relay's figures is what they are.
-func TestFiguresAreWrittenAsAScraperReadsThem(t *testing.T) {
+// A scraper reads the metrics of a relay with their values and labels.
+func TestMetricsAreReadableByAScraper(t *testing.T) {
 	stats := proxy.Stats{Requests: 7, Refused: 2}
 	stats.LateByCause[proxy.CausePrefill] = 3
 	counts := selector.Counts{Warm: 5, Skipped: 1, Matched: []selector.RuleCount{{Rule: "full", Times: 4}}}
 	var families []*dto.MetricFamily
 	families = append(families, requestFamilies(stats)...)
 	families = append(families, endpointFamilies(&counts)...)
-	families = append(families, speedFamilies([]selector.Speed{{Service: "m", TokensPerMs: 37.9, Answers: 12}})...)
+	families = append(families, prefillRateFamilies([]selector.Speed{{Service: "m", TokensPerMs: 37.9, Answers: 12}})...)
 	families = append(families, loadFamilies(workload.Stats{Hub: true, Zones: 2})...)
 	recorder := httptest.NewRecorder()
 	metrics.Write(recorder, families)
@@ -47,5 +47,5 @@
 	assert.Equal(t, value("wallflow_relay_failure_rules_total", "full"), 4.0)
 	assert.Equal(t, value("wallflow_relay_reading_tokens_per_ms", "m"), 37.9)
 	assert.Equal(t, value("wallflow_relay_load_hub", ""), 1.0)
-	assert.Assert(t, speedFamilies(nil) == nil)
+	assert.Assert(t, prefillRateFamilies(nil) == nil)
 }
--- a/internal/dataplane/carry.go
+++ b/internal/dataplane/output.go
@@ -6,8 +6,8 @@
 	"wallflow/internal/transport"
 )
 
-// spread sends what membership wants.
-func (p *Process) spread(output swim.Output) {
+// sendMembership sends the messages that the membership state machine has produced.
+func (p *Process) sendMembership(output swim.Output) {
 	for _, datagram := range output.Datagrams {
 		p.mesh.SendDatagram(datagram.To, transport.KindSwim, datagram.Message)
 	}
@@ -16,8 +16,8 @@
 	}
 }
 
-// deliver sends messages of the feed.
-func (p *Process) deliver(sends []distribution.Send) {
+// sendFeed sends messages of the configuration and endpoint feed.
+func (p *Process) sendFeed(sends []distribution.Send) {
 	batch := p.mesh.Batch(transport.KindFeed)
 	for _, send := range sends {
 		batch.Send(send.To, send.Message)
--- a/internal/dataplane/ownership.go
+++ b/internal/dataplane/ownership.go
@@ -6,37 +6,37 @@
 	"wallflow/internal/distribution"
 )
 
-// ownAfter is how long a relay must have been in touch before it owns cold endpoints: one that has just started sees itself alone,
-// and so do the others that started with it.
-const ownAfter = 1500 * time.Millisecond
+// ownershipDelay is how long the feed must have been fresh before a relay may own cold endpoints. A relay that has just started knows
+// only itself, and so do the others that started at the same time.
+const ownershipDelay = 1500 * time.Millisecond
 
-// ownership says whether this relay may own cold endpoints. One that is cut off may not, since the others have passed on what it
-// owned; while they find that out there are two owners, for which the bound of a cold endpoint has room.
+// ownership decides whether this relay may own cold endpoints. An isolated relay may not, since the others have reassigned what it
+// owned. Until they agree, an endpoint can have two owners; the load limit of a cold endpoint allows for that.
 type ownership struct {
-	since time.Time // since when the feed has been fresh; zero: it is not
+	freshSince time.Time // when the feed became fresh; zero: it is not fresh
 }
 
-// update takes whether the feed is fresh.
+// update records whether the feed is fresh and returns whether this relay may own cold endpoints.
 func (o *ownership) update(now time.Time, fresh bool) (mayOwn bool) {
 	if !fresh {
-		o.since = time.Time{}
+		o.freshSince = time.Time{}
 		return false
 	}
-	if o.since.IsZero() {
-		o.since = now
+	if o.freshSince.IsZero() {
+		o.freshSince = now
 	}
-	return now.Sub(o.since) >= ownAfter
+	return now.Sub(o.freshSince) >= ownershipDelay
 }
 
-// owner is the one relay that may call a cold endpoint: one of the endpoint's zone, or, where that has none, of all relays. It is
-// empty while this relay may own nothing.
+// owner returns the name of the only relay that may send to a cold endpoint: one in the endpoint's zone, or any relay if the zone has
+// none. It returns the empty string while this relay may not own endpoints.
 func (v peerView) owner(zone, instanceID string) string {
 	if !v.mayOwn {
 		return ""
 	}
-	relays := v.zones[zone]
+	relays := v.byZone[zone]
 	if len(relays) == 0 {
-		relays = v.all
+		relays = v.names
 	}
 	return distribution.Home(zone, relays, instanceID)
 }
--- a/internal/dataplane/ownership_test.go
+++ b/internal/dataplane/ownership_test.go
@@ -8,30 +8,30 @@
 	"gotest.tools/v3/assert"
 )
 
-var begin = time.Unix(1_000_000, 0)
+var testStart = time.Unix(1_000_000, 0)
 
-func TestARelayThatJustStartedOwnsNothing(t *testing.T) {
+func TestNewRelayOwnsNoColdEndpoint(t *testing.T) {
 	var o ownership
-	assert.Assert(t, !o.update(begin, false))
-	assert.Assert(t, !o.update(begin.Add(time.Second), true))
-	assert.Assert(t, !o.update(begin.Add(2*time.Second), true))
-	assert.Assert(t, o.update(begin.Add(2500*time.Millisecond), true))
+	assert.Assert(t, !o.update(testStart, false))
+	assert.Assert(t, !o.update(testStart.Add(time.Second), true))
+	assert.Assert(t, !o.update(testStart.Add(2*time.Second), true))
+	assert.Assert(t, o.update(testStart.Add(2500*time.Millisecond), true))
 }
 
-func TestARelayThatIsCutOffOwnsNothing(t *testing.T) {
-	o := ownership{since: begin}
-	now := begin.Add(time.Minute)
+func TestIsolatedRelayOwnsNoColdEndpoint(t *testing.T) {
+	o := ownership{freshSince: testStart}
+	now := testStart.Add(time.Minute)
 	assert.Assert(t, o.update(now, true))
 	assert.Assert(t, !o.update(now.Add(time.Second), false))
-	assert.Assert(t, !o.update(now.Add(2*time.Second), true), "it waits again")
+	assert.Assert(t, !o.update(now.Add(2*time.Second), true), "the delay starts again")
 	assert.Assert(t, o.update(now.Add(4*time.Second), true))
 }
 
-func TestRelaysThatSeeTheSameAgreeOnTheOwner(t *testing.T) {
+func TestRelaysWithEqualViewsAgreeOnTheOwner(t *testing.T) {
 	view := peerView{
 		mayOwn: true,
-		zones:  map[string][]string{"a": {"edge-1", "edge-2", "edge-3"}, "b": {"edge-4"}},
-		all:    []string{"edge-1", "edge-2", "edge-3", "edge-4"},
+		byZone: map[string][]string{"a": {"edge-1", "edge-2", "edge-3"}, "b": {"edge-4"}},
+		names:  []string{"edge-1", "edge-2", "edge-3", "edge-4"},
 	}
 	owners := map[string]int{}
 	for number := range 300 {
--- a/internal/dataplane/peers.go
+++ b/internal/dataplane/peers.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	// homeFrom is the number of relays in a zone from which on one of them, the home, subscribes for the others. In a smaller
-	// zone that saves less than the second hop costs.
-	homeFrom = 12
-	// homeKey is the key of the zone's feed.
-	homeKey = "feed"
+	// minRelaysForHome is the number of relays in a zone from which one of them, the home relay, subscribes to the feed for the
+	// others. In a smaller zone this saves less than the second hop costs.
+	minRelaysForHome = 12
+	// feedHomeKey is the hash key by which the home relay of a zone is chosen.
+	feedHomeKey = "feed"
 )
 
-// peerView is what the selector was last told of the relays around.
+// peerView is the set of known relays as last passed to the selector.
 type peerView struct {
-	mayOwn bool                // this relay is in touch, and has been for a while
-	zones  map[string][]string // names of the relays by zone
-	all    []string
-	relays []workload.Member
+	mayOwn  bool                // this relay may own cold endpoints; see ownership
+	byZone  map[string][]string // names of the relays by zone
+	names   []string
+	members []workload.Member
 }
 
-// takeSources orders the processes that this relay may take its feed from: the home of a large zone, then control processes of
-// the zone, of the region, and elsewhere. Among equals each relay has an order of its own, so that the load spreads.
-func (p *Process) takeSources(now time.Time) {
+// updateSources orders the processes from which this relay may receive the feed: the home relay of a large zone, then control processes
+// of the same zone, of the same region, and of other regions. Ties are ordered differently at each relay, which spreads the load.
+func (p *Process) updateSources(now time.Time) {
 	members := p.members.Members()
 	ordered := p.controlSources(members)
 	if len(ordered) == 0 {
-		ordered = p.settings.SeedInternalAddresses() // until membership knows any
+		ordered = p.settings.SeedInternalAddresses() // until membership knows any control process
 	}
 	if home := p.homeAddress(members); home != "" && home != p.settings.InternalAddress() {
 		ordered = append([]string{home}, ordered...)
@@ -43,25 +43,26 @@
 		return
 	}
 	p.sources = ordered
-	p.takeFeed(now, p.subscriber.SetSources(now, ordered))
+	p.applyFeedOutput(now, p.subscriber.SetSources(now, ordered))
 }
 
+// controlSources returns the internal addresses of the control processes in the order in which this relay prefers them.
 func (p *Process) controlSources(members []swim.Member) []string {
 	type candidate struct {
-		address string
-		ring    int
+		address  string
+		distance int
 	}
 	var candidates []candidate
 	for _, member := range members {
 		if member.Meta.Control != "" {
-			candidates = append(candidates, candidate{member.Address, p.ring(member)})
+			candidates = append(candidates, candidate{member.Address, p.distance(member)})
 		}
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
-		if a.ring != b.ring {
-			return cmp.Compare(a.ring, b.ring)
+		if a.distance != b.distance {
+			return cmp.Compare(a.distance, b.distance)
 		}
-		if distribution.Home(p.settings.Node, []string{a.address, b.address}, homeKey) == a.address {
+		if distribution.Home(p.settings.Node, []string{a.address, b.address}, feedHomeKey) == a.address {
 			return -1
 		}
 		return 1
@@ -73,8 +74,8 @@
 	return ordered
 }
 
-// ring is how far away a member is.
-func (p *Process) ring(member swim.Member) int {
+// distance ranks a member: 0 in the same zone, 1 in the same region, 2 elsewhere.
+func (p *Process) distance(member swim.Member) int {
 	switch {
 	case member.Meta.Zone == p.settings.Zone:
 		return 0
@@ -84,7 +85,8 @@
 	return 2
 }
 
-// homeAddress is the internal address of the relay that feeds this zone; empty where the zone is small.
+// homeAddress returns the internal address of the home relay of this zone. It is empty if the zone has fewer than minRelaysForHome
+// relays.
 func (p *Process) homeAddress(members []swim.Member) string {
 	var addresses []string
 	for _, member := range members {
@@ -92,89 +94,90 @@
 			addresses = append(addresses, member.Address)
 		}
 	}
-	if len(addresses) < homeFrom {
+	if len(addresses) < minRelaysForHome {
 		return ""
 	}
-	return distribution.Home(p.settings.Zone, addresses, homeKey)
+	return distribution.Home(p.settings.Zone, addresses, feedHomeKey)
 }
 
-// takePeers tells the selector of the relays around when they have changed.
-func (p *Process) takePeers(now time.Time) {
-	p.takeDoubts()
-	p.logDarkZones()
-	view := p.viewPeers()
+// updatePeers passes the known relays and the suspected zones to the selector when they have changed.
+func (p *Process) updatePeers(now time.Time) {
+	p.updateSuspectedZones()
+	p.logUnreachableZones()
+	view := p.currentPeers()
 	view.mayOwn = p.ownership.update(now, p.subscriber.Fresh(now))
 	if view.equal(p.peers) {
 		return
 	}
 	p.peers = view
-	p.relays.Store(int64(len(view.all)))
-	p.loads.SetMembers(view.relays)
+	p.relayCount.Store(int64(len(view.names)))
+	p.loads.SetMembers(view.members)
 	p.selectorLock.Lock()
 	defer p.selectorLock.Unlock()
-	p.selector.SetPeers(now, len(view.zones[p.settings.Zone]), p.owns(view))
+	p.selector.SetPeers(now, len(view.byZone[p.settings.Zone]), p.ownershipCheck(view))
 	proxy.WakeAll(p.selector)
 }
 
-// logDarkZones says which zones the selector leaves alone, when that has changed.
-func (p *Process) logDarkZones() {
+// logUnreachableZones logs the zones that the selector avoids as unreachable, when they have changed.
+func (p *Process) logUnreachableZones() {
 	p.selectorLock.Lock()
-	dark := p.selector.UnreachableZones()
+	unreachable := p.selector.UnreachableZones()
 	p.selectorLock.Unlock()
-	if slices.Equal(dark, p.darkZones) {
+	if slices.Equal(unreachable, p.unreachableZones) {
 		return
 	}
-	p.darkZones = dark
-	p.log.Info("zones from which nothing comes", "zones", dark)
+	p.unreachableZones = unreachable
+	p.log.Info("unreachable zones changed", "zones", unreachable)
 }
 
-// takeDoubts tells the selector in which other zones nobody is heard any more, of those where somebody was.
-func (p *Process) takeDoubts() {
+// updateSuspectedZones tells the selector which other zones had live members before and have none now.
+func (p *Process) updateSuspectedZones() {
 	alive := make(map[string]bool)
 	for _, member := range p.members.Members() {
 		if member.Status == swim.Alive {
 			alive[member.Meta.Zone] = true
 		}
 	}
-	doubted := make(map[string]bool)
+	suspected := make(map[string]bool)
 	for zone := range p.seenZones {
 		if !alive[zone] && zone != p.settings.Zone {
-			doubted[zone] = true
+			suspected[zone] = true
 		}
 	}
 	for zone := range alive {
 		p.seenZones[zone] = true
 	}
-	if maps.Equal(doubted, p.doubted) {
+	if maps.Equal(suspected, p.suspectedZones) {
 		return
 	}
-	p.doubted = doubted
+	p.suspectedZones = suspected
 	p.selectorLock.Lock()
 	defer p.selectorLock.Unlock()
-	p.selector.SetSuspectedZones(doubted)
+	p.selector.SetSuspectedZones(suspected)
 }
 
-// viewPeers lists the relays that are alive.
-func (p *Process) viewPeers() peerView {
-	view := peerView{zones: make(map[string][]string)}
+// currentPeers returns the relays in the member list.
+func (p *Process) currentPeers() peerView {
+	view := peerView{byZone: make(map[string][]string)}
 	for _, member := range p.members.Members() {
 		if member.Meta.Front == "" {
 			continue
 		}
-		view.all = append(view.all, member.Name)
-		view.relays = append(view.relays, workload.Member{Address: member.Address, Zone: member.Meta.Zone})
-		view.zones[member.Meta.Zone] = append(view.zones[member.Meta.Zone], member.Name)
+		view.names = append(view.names, member.Name)
+		view.members = append(view.members, workload.Member{Address: member.Address, Zone: member.Meta.Zone})
+		view.byZone[member.Meta.Zone] = append(view.byZone[member.Meta.Zone], member.Name)
 	}
 	return view
 }
 
 func (v peerView) equal(other peerView) bool {
-	return v.mayOwn == other.mayOwn && slices.Equal(v.all, other.all) && slices.Equal(v.relays, other.relays)
+	return v.mayOwn == other.mayOwn && slices.Equal(v.names, other.names) && slices.Equal(v.members, other.members)
 }
 
-// owns tells whether this relay is the one that may call a cold endpoint.
-func (p *Process) owns(view peerView) func(instanceID string) bool {
+// ownershipCheck returns a function that reports whether this relay is the owner of an endpoint. The caller of that function must
+// hold selectorLock, since the function reads zoneByInstance.
+func (p *Process) ownershipCheck(view peerView) func(instanceID string) bool {
 	return func(instanceID string) bool {
-		return view.owner(p.zoneOf[instanceID], instanceID) == p.settings.Node
+		return view.owner(p.zoneByInstance[instanceID], instanceID) == p.settings.Node
 	}
 }
--- a/internal/dataplane/process.go
+++ b/internal/dataplane/process.go
@@ -1,5 +1,5 @@
-// Package dataplane is the relay process: it joins membership, the feed of configuration and endpoints, and the selector to the
-// proxy that serves clients.
+// Package dataplane implements the relay process. It connects membership, the feed of configuration and endpoints, and the selector to
+// the proxy that serves clients.
 package dataplane
 
 import (
@@ -27,104 +27,104 @@
 	"wallflow/internal/workload"
 )
 
-// tickEvery is how often the cores are told the time.
-const tickEvery = 100 * time.Millisecond
+// tickInterval is the period of the timer that drives the state machines.
+const tickInterval = 100 * time.Millisecond
 
-// Process is one relay.
+// Process is a running relay.
 type Process struct {
-	settings *settings.Settings
-	log      *slog.Logger
-	mesh     *transport.Mesh
-	traffic  transport.Reporter
-	pool     *upstream.Pool
-	server   *proxy.Server
-
-	// mu guards the cores of the control traffic. It is taken before selectorLock where both are needed.
-	mu         sync.Mutex
-	members    *swim.Node
-	subscriber *distribution.Subscriber
-	home       *distribution.Publisher // feeds the other relays of a large zone
-	peers      peerView                // as the selector was last told
-	sources    []string
-	seenZones  map[string]bool // zones in which a process was alive at some time
-	darkZones  []string        // as logged last
-	doubted    map[string]bool // of those, the ones in which none is now
-	ownership  ownership
-	leaving    bool
-	loads      *workload.Node // what relays tell each other of their requests at endpoints
-
-	selectorLock sync.Mutex
-	selector     *selector.Selector
-	zoneOf       map[string]string // zone by instance
-
-	documents config.Reader // of the configurations; guarded by mu
-	compiled  atomic.Pointer[config.Compiled]
-	ready     atomic.Bool
-	relays    atomic.Int64 // of the whole system, as far as is known
-	zones     evacuationView
+	settings        *settings.Settings
+	log             *slog.Logger
+	mesh            *transport.Mesh
+	trafficReporter transport.Reporter
+	pool            *upstream.Pool
+	server          *proxy.Server
+
+	// mu guards the state machines of the control traffic. Code that needs both locks takes mu before selectorLock.
+	mu               sync.Mutex
+	members          *swim.Node
+	subscriber       *distribution.Subscriber
+	homePublisher    *distribution.Publisher // feeds the other relays of the zone while this one is the home relay
+	peers            peerView                // as last passed to the selector
+	sources          []string                // addresses from which to receive the feed, in order of preference
+	seenZones        map[string]bool         // zones in which a member has been alive at some time
+	unreachableZones []string                // as last logged
+	suspectedZones   map[string]bool         // zones of seenZones without a live member now
+	ownership        ownership
+	stopping         bool           // set by Stop
+	loads            *workload.Node // the relays' reports of their requests at endpoints
+
+	selectorLock   sync.Mutex
+	selector       *selector.Selector
+	zoneByInstance map[string]string // by instance ID; written under mu and selectorLock, read under either
+
+	documentReader config.Reader                   // parses configurations; guarded by mu
+	compiled       atomic.Pointer[config.Compiled] // the configuration in force; nil: none yet
+	ready          atomic.Bool                     // announced to the other processes as serving
+	relayCount     atomic.Int64                    // number of known relays in the whole system
+	evacuations    evacuationTracker
 }
 
-// Start joins a relay to the system.
-func Start(set *settings.Settings, log *slog.Logger, options Options) (*Process, error) {
+// Start starts a relay and joins it to the system.
+func Start(cfg *settings.Settings, log *slog.Logger, options Options) (*Process, error) {
 	now := time.Now()
-	seed := processSeed(set, now)
-	p := &Process{settings: set, log: log, zoneOf: make(map[string]string), seenZones: make(map[string]bool)}
+	seed := processSeed(cfg, now)
+	p := &Process{settings: cfg, log: log, zoneByInstance: make(map[string]string), seenZones: make(map[string]bool)}
 	disabled, err := selector.ParseMechanisms(options.Disabled)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	if len(disabled) > 0 {
-		log.Warn("mechanisms of the decision are switched off", "disabled", disabled)
+		log.Warn("selection mechanisms are disabled", "disabled", disabled)
 	}
-	p.pool = upstream.NewPool(upstream.Options{OnConnect: p.connected})
+	p.pool = upstream.NewPool(upstream.Options{OnConnect: p.recordConnectTime})
 	p.selector = selector.New(selector.Options{
-		Zone:   set.Zone,
-		Region: set.Region,
-		Zones:  set.Zones,
+		Zone:   cfg.Zone,
+		Region: cfg.Region,
+		Zones:  cfg.Zones,
 		Random: rand.New(rand.NewPCG(seed, seed>>32)),
 		Budget: budget.NewRetryBudget(budget.Options{
-			Ratio:  set.Bounds.RetryRatio,
-			Window: set.Bounds.RetryWindow(),
+			Ratio:  cfg.Bounds.RetryRatio,
+			Window: cfg.Bounds.RetryWindow(),
 		}),
-		WarmupOvershoot: set.Bounds.WarmupOvershoot,
-		WarmupSlack:     set.Bounds.WarmupSlack,
+		WarmupOvershoot: cfg.Bounds.WarmupOvershoot,
+		WarmupSlack:     cfg.Bounds.WarmupSlack,
 		HasConnection:   p.pool.HasIdle,
 		Disabled:        disabled,
 	})
 	p.members = swim.New(swim.Options{
 		Self: swim.Member{
-			Name:    set.Node,
-			Address: set.InternalAddress(),
+			Name:    cfg.Node,
+			Address: cfg.InternalAddress(),
 			Meta:    p.meta(false),
 		},
-		Seeds:        set.SeedInternalAddresses(),
-		ContactBound: set.Bounds.Contact(),
+		Seeds:        cfg.SeedInternalAddresses(),
+		ContactBound: cfg.Bounds.Contact(),
 		Random:       rand.New(rand.NewPCG(seed>>1, seed)),
 	}, now)
 	p.subscriber = distribution.NewSubscriber(distribution.SubscriberOptions{
-		Self:       set.InternalAddress(),
+		Self:       cfg.InternalAddress(),
 		ApplyPatch: config.ApplyTrustedPatch,
 	}, now)
 	p.loads = workload.New(workload.Options{
-		Self:               workload.Member{Address: set.InternalAddress(), Zone: set.Zone},
+		Self:               workload.Member{Address: cfg.InternalAddress(), Zone: cfg.Zone},
 		Life:               seed,
-		LinkBytesPerSecond: set.Limits.LinkBytes(),
+		LinkBytesPerSecond: cfg.Limits.LinkBytes(),
 	})
-	p.home = distribution.NewPublisher(set.Node+now.Format(time.RFC3339Nano), now)
+	p.homePublisher = distribution.NewPublisher(cfg.Node+now.Format(time.RFC3339Nano), now)
 	p.server = proxy.New(p.serverOptions())
-	mesh, err := transport.Listen(transport.Options{Address: set.InternalAddress(), Handler: p.receive, Logger: log})
+	mesh, err := transport.Listen(transport.Options{Address: cfg.InternalAddress(), Handler: p.receive, Logger: log})
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	p.mesh = mesh
-	p.traffic = transport.Reporter{Mesh: mesh, Log: log}
+	p.trafficReporter = transport.Reporter{Mesh: mesh, Log: log}
 	return p, nil
 }
 
-// processSeed differs between processes and between lives of one process.
-func processSeed(set *settings.Settings, now time.Time) uint64 {
+// processSeed returns a random seed that differs between processes and between runs of one process.
+func processSeed(cfg *settings.Settings, now time.Time) uint64 {
 	hash := fnv.New64a()
-	hash.Write([]byte(set.Node)) // a hash takes everything
+	hash.Write([]byte(cfg.Node)) // never returns an error
 	return hash.Sum64() ^ uint64(now.UnixNano()) ^ uint64(os.Getpid())<<40
 }
 
@@ -136,47 +136,48 @@
 		Pool:        p.pool,
 		IsReady:     p.ready.Load,
 		IsLocal:     func(instance *registry.Instance) bool { return p.settings.Zones[instance.Zone] == p.settings.Region },
-		BodyMemory:  int64(p.settings.Limits.MemoryMB) << 20 / bodyShare,
+		BodyMemory:  int64(p.settings.Limits.MemoryMB) << 20 / bodyMemoryDivisor,
 		GracePeriod: p.settings.Bounds.Grace(),
-		MaxConns:    p.connectionShare,
+		MaxConns:    p.maxConnections,
 		Log:         p.log,
 	}
 }
 
 const (
-	// connectionPart is the part of an endpoint's connections that the relays use together.
-	connectionPart = 0.9
-	// connectionsLeast is what a relay may open however many relays there are: most use few endpoints at a time.
-	connectionsLeast = 8
+	// usableConnectionFraction is the fraction of an endpoint's connection limit that all relays together may use.
+	usableConnectionFraction = 0.9
+	// minConnections is the number of connections that a relay may always open, however many relays there are: most relays use few
+	// endpoints at a time.
+	minConnections = 8
 )
 
-// connectionShare is how many connections to an endpoint this relay may hold.
-func (p *Process) connectionShare(service *config.Backend) int {
-	relays := max(1, p.relays.Load())
-	return max(connectionsLeast, int(connectionPart*float64(service.MaxConns))/int(relays))
+// maxConnections returns how many connections this relay may hold to one endpoint of a service.
+func (p *Process) maxConnections(service *config.Backend) int {
+	relays := max(1, p.relayCount.Load())
+	return max(minConnections, int(usableConnectionFraction*float64(service.MaxConns))/int(relays))
 }
 
-// bodyShare is the divisor of the memory limit that gives the memory for bodies of requests.
-const bodyShare = 4
+// bodyMemoryDivisor divides the memory limit of the process to give the memory limit for request bodies.
+const bodyMemoryDivisor = 4
 
-// meta is what the other processes are told of this one.
+// meta returns the metadata that membership announces for this process.
 func (p *Process) meta(serving bool) swim.Meta {
-	set := p.settings
+	cfg := p.settings
 	return swim.Meta{
-		Class:     set.MachineClass,
-		Role:      set.Role,
-		Zone:      set.Zone,
-		Region:    set.Region,
-		Front:     set.Listen.Front,
-		Ready:     set.Listen.Ready,
-		Directory: set.Listen.Directory,
+		Class:     cfg.MachineClass,
+		Role:      cfg.Role,
+		Zone:      cfg.Zone,
+		Region:    cfg.Region,
+		Front:     cfg.Listen.Front,
+		Ready:     cfg.Listen.Ready,
+		Directory: cfg.Listen.Directory,
 		Serving:   serving,
 	}
 }
 
-// Run drives the timers until the context ends.
+// Run drives the state machines until the context is canceled.
 func (p *Process) Run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -184,12 +185,12 @@
 			return
 		case now := <-ticker.C:
 			p.tick(now)
-			p.traffic.Tick(now)
+			p.trafficReporter.Tick(now)
 		}
 	}
 }
 
-// SetSeeds takes on other seeds, from changed settings.
+// SetSeeds replaces the seeds of membership after a change of the settings.
 func (p *Process) SetSeeds(seeds []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -199,20 +200,20 @@
 func (p *Process) tick(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.spread(p.members.Tick(now))
-	p.takeSources(now)
-	p.takeFeed(now, p.subscriber.Tick(now))
-	p.takePeers(now)
-	p.home.SetFresh(p.subscriber.Fresh(now))
-	p.home.SetComplete(p.subscriber.Complete())
-	p.deliver(p.home.Tick(now).Sends)
-	p.announce(now)
+	p.sendMembership(p.members.Tick(now))
+	p.updateSources(now)
+	p.applyFeedOutput(now, p.subscriber.Tick(now))
+	p.updatePeers(now)
+	p.homePublisher.SetFresh(p.subscriber.Fresh(now))
+	p.homePublisher.SetComplete(p.subscriber.Complete())
+	p.sendFeed(p.homePublisher.Tick(now).Sends)
+	p.updateServing(now)
 }
 
-// Close tells the others that the process is gone and ends its connections.
+// Close announces to the other processes that this one leaves, and closes its connections.
 func (p *Process) Close() {
 	p.mu.Lock()
-	p.spread(p.members.Leave(time.Now()))
+	p.sendMembership(p.members.Leave(time.Now()))
 	p.mu.Unlock()
 	p.mesh.Close()
 }
--- a/internal/dataplane/program.go
+++ b/internal/dataplane/program.go
@@ -12,64 +12,65 @@
 	"wallflow/internal/proxy"
 )
 
-// Options are what the command line of a relay says.
+// Options holds the command-line options of a relay.
 type Options struct {
-	Disabled []string // mechanisms of the decision that are switched off
+	Disabled []string // names of selection mechanisms to disable
 }
 
-// Serve runs a relay until the context ends, and ends it in order: every request that was read gets its answer.
+// Serve runs a relay until the context is canceled, and then shuts it down gracefully: requests that have been read are answered
+// within the grace period.
 func (o *Options) Serve(ctx context.Context, environment program.Environment) error {
-	set, log := environment.Settings, environment.Log
-	process, err := Start(set, log, *o)
+	cfg, log := environment.Settings, environment.Log
+	process, err := Start(cfg, log, *o)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	defer process.Close()
-	front, err := proxy.Listen(set.Listen.Front)
+	frontListener, err := proxy.Listen(cfg.Listen.Front)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	ready, err := proxy.Listen(set.Listen.Ready)
+	readyListener, err := proxy.Listen(cfg.Listen.Ready)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	platform := process.server.MonitoringServer(process.figures)
-	failed := make(chan error, 3)
-	if set.Listen.Directory != "" {
-		directory, err := httpapi.Listen(set.Listen.Directory, process.DirectoryHandler())
+	readyServer := process.server.MonitoringServer(process.collectMetrics)
+	serveErrors := make(chan error, 3)
+	if cfg.Listen.Directory != "" {
+		directory, err := httpapi.Listen(cfg.Listen.Directory, process.DirectoryHandler())
 		if err != nil {
 			return trace.Wrap(err)
 		}
 		defer directory.ShutDown()
-		go func() { failed <- directory.Serve() }()
+		go func() { serveErrors <- directory.Serve() }()
 	}
-	go func() { failed <- process.server.Serve(front) }()
-	go func() { failed <- platform.Serve(ready) }()
-	running, stop := context.WithCancel(context.Background())
+	go func() { serveErrors <- process.server.Serve(frontListener) }()
+	go func() { serveErrors <- readyServer.Serve(readyListener) }()
+	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go process.Run(running)
-	go process.shareLoads(running)
-	log.Info("relay started", "node", set.Node, "front", set.Listen.Front)
+	go process.Run(runCtx)
+	go process.exchangeLoads(runCtx)
+	log.Info("relay started", "node", cfg.Node, "front", cfg.Listen.Front)
 	for {
 		select {
-		case err = <-failed:
+		case err = <-serveErrors:
 			return trace.Wrap(err)
 		case changed := <-environment.Changed:
 			process.SetSeeds(changed.SeedInternalAddresses())
 		case <-ctx.Done():
-			process.drain(platform)
+			process.drain(readyServer)
 			return nil
 		}
 	}
 }
 
-// drain ends the serving of clients.
-func (p *Process) drain(platform *http.Server) {
+// drain stops serving clients and waits for the requests in flight, for at most the grace period.
+func (p *Process) drain(readyServer *http.Server) {
 	p.Stop(time.Now())
 	ctx, cancel := context.WithTimeout(context.Background(), p.settings.Bounds.Grace())
 	defer cancel()
 	if !p.server.Drain(ctx) {
-		p.log.Warn("some requests had no answer at the end")
+		p.log.Warn("grace period ended with unanswered requests")
 	}
-	platform.Close()
+	readyServer.Close()
 }
--- a/internal/dataplane/receive.go
+++ b/internal/dataplane/receive.go
@@ -9,14 +9,14 @@
 	"wallflow/internal/workload/workloadpb"
 )
 
-// receive takes a message of another process.
+// receive handles a message from another process.
 func (p *Process) receive(from string, kind transport.Kind, payload []byte) {
 	now := time.Now()
 	inbox := transport.Inbox{Lock: &p.mu, Log: p.log}
 	switch kind {
 	case transport.KindSwim:
 		message := new(swimpb.Message)
-		inbox.Take(from, payload, message, func() { p.spread(p.members.Receive(now, from, message)) })
+		inbox.Take(from, payload, message, func() { p.sendMembership(p.members.Receive(now, from, message)) })
 	case transport.KindFeed:
 		message := new(feedpb.FeedMessage)
 		inbox.Take(from, payload, message, func() { p.receiveFeed(now, from, message) })
@@ -26,11 +26,11 @@
 	}
 }
 
-// receiveFeed gives a message to the side that it is for: questions to the publisher, answers to the subscriber.
+// receiveFeed passes a message to the side of the feed it is meant for: subscriptions to the publisher, updates to the subscriber.
 func (p *Process) receiveFeed(now time.Time, from string, message *feedpb.FeedMessage) {
 	if message.GetSubscribe() != nil || message.GetUnsubscribe() != nil {
-		p.deliver(p.home.Receive(now, from, message).Sends)
+		p.sendFeed(p.homePublisher.Receive(now, from, message).Sends)
 		return
 	}
-	p.takeFeed(now, p.subscriber.Receive(now, from, message))
+	p.applyFeedOutput(now, p.subscriber.Receive(now, from, message))
 }
--- a/internal/dataplane/workload.go
+++ b/internal/dataplane/workload.go
@@ -9,8 +9,9 @@
 	"wallflow/internal/workload"
 )
 
-// shareLoads tells the other relays what this one has at endpoints, and the selector what they have, until the context ends.
-func (p *Process) shareLoads(ctx context.Context) {
+// exchangeLoads periodically reports this relay's load at endpoints to the other relays, and passes their load to the selector, until
+// the context is canceled.
+func (p *Process) exchangeLoads(ctx context.Context) {
 	ticker := time.NewTicker(workload.LocalInterval)
 	defer ticker.Stop()
 	for {
@@ -25,28 +26,28 @@
 
 func (p *Process) tickLoads(now time.Time) {
 	p.selectorLock.Lock()
-	own := p.selector.TakeReport(now)
+	report := p.selector.TakeReport(now)
 	p.selectorLock.Unlock()
 
 	p.mu.Lock()
-	sends := p.loads.Tick(now, own)
-	others, sums, known := p.loads.Others(now)
-	readings := p.loads.TakePrefills()
+	sends := p.loads.Tick(now, report)
+	otherLoads, otherSums, known := p.loads.Others(now)
+	prefillSamples := p.loads.TakePrefills()
 	p.mu.Unlock()
 	for _, send := range sends {
 		p.mesh.Send(send.To, transport.KindWorkload, send.Message)
 	}
 	p.selectorLock.Lock()
 	defer p.selectorLock.Unlock()
-	p.selector.SetOtherLoads(now, others, known)
-	p.selector.SetOtherSpeedSums(sums)
-	p.selector.RecordPrefills(now, readings)
+	p.selector.SetOtherLoads(now, otherLoads, known)
+	p.selector.SetOtherSpeedSums(otherSums)
+	p.selector.RecordPrefills(now, prefillSamples)
 	proxy.WakeAll(p.selector)
 }
 
-// connected tells the selector how long it took to connect to an endpoint.
-func (p *Process) connected(instanceID string, took time.Duration) {
+// recordConnectTime reports to the selector how long connecting to an endpoint took.
+func (p *Process) recordConnectTime(instanceID string, elapsed time.Duration) {
 	p.selectorLock.Lock()
 	defer p.selectorLock.Unlock()
-	p.selector.RecordConnectTime(instanceID, took)
+	p.selector.RecordConnectTime(instanceID, elapsed)
 }
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,4 +1,5 @@
-// Package directory tells clients which relays to go to. Control processes and relays serve it alike, from membership.
+// Package directory answers clients that ask for the addresses of relays. Control processes and relays both serve it, from the member
+// list of the membership protocol.
 package directory
 
 import (
@@ -13,65 +14,68 @@
 )
 
 const (
-	// holdFor is how long a client may hold an answer.
-	holdFor = 2 * time.Second
-	// mostAddresses is the largest number of addresses that a client takes.
-	mostAddresses = 64
+	// defaultTTL is how long a client may cache an answer.
+	defaultTTL = 2 * time.Second
+	// maxAddresses is the largest number of addresses that a client accepts in one answer.
+	maxAddresses = 64
 )
 
-// Options are what a directory answers from.
+// Options configures a Directory.
 type Options struct {
-	Members func() []swim.Member // all that are believed to live; called from several goroutines
-	HoldMax time.Duration        // the longest time that a client holds an answer; 0: no bound
+	Members func() []swim.Member // returns the members that are not known to be dead; called from several goroutines
+	MaxTTL  time.Duration        // upper bound of the TTL of an answer; 0: no bound
 	Region  string               // of this process
-	// HomeRegions returns the sets of home regions of a host's routes; nil: no route has homes. Called from several goroutines.
+	// HomeRegions returns the sets of home regions of a host's routes, one per route that has any; nil: no route has home regions.
+	// Called from several goroutines.
 	HomeRegions func(host string) [][]string
-	// InTouch tells whether this process is in touch with a majority of the control processes; nil: it always is.
-	InTouch func() bool
-	Now     func() time.Time // nil: the time of day
+	// HasQuorum reports whether this process has contact with a majority of the control processes; nil: it always has.
+	HasQuorum func() bool
+	Now       func() time.Time // current time; nil: time.Now
 }
 
-// Directory answers clients that ask where to go.
+// Directory answers clients that ask for relays.
 type Directory struct {
 	options Options
-	memory  memory
+	history relayHistory
 }
 
-// New returns a directory.
+// New returns a directory that answers from the given options.
 func New(options Options) *Directory {
 	if options.Now == nil {
 		options.Now = time.Now
 	}
-	return &Directory{options: options, memory: memory{region: options.Region}}
+	return &Directory{options: options, history: relayHistory{region: options.Region}}
 }
 
-// Note looks at the members, so that the directory remembers them if they get lost. It is to be called every second or so.
-func (d *Directory) Note() {
-	d.memory.note(d.options.Now(), d.options.Members())
+// RecordMembers records the current members, so that the directory can still return relays that disappear from the member list later.
+// It is called about once a second.
+func (d *Directory) RecordMembers() {
+	d.history.record(d.options.Now(), d.options.Members())
 }
 
-// addresses are the relays for a client. A directory that is cut off from all other regions names the relays that it has lost as well:
-// clients may reach them, and those near may be unable to serve what has its home elsewhere.
+// addresses returns the addresses of the relays for a client. A directory that is isolated from all other regions adds the relays with
+// which it has lost contact: clients may still reach them, and the nearby relays may be unable to serve routes whose home regions are
+// elsewhere.
 func (d *Directory) addresses(host, zone, region string) []string {
 	members := d.options.Members()
 	now := d.options.Now()
-	d.memory.note(now, members)
-	query := query{zone: zone, region: region, homes: d.homesOf(host)}
-	nearest := query.nearest(members, func() bool { return d.memory.returning(now, query) })
-	if d.options.InTouch == nil || d.options.InTouch() {
+	d.history.record(now, members)
+	query := query{zone: zone, region: region, homeRegions: d.homeRegionsOf(host)}
+	nearest := query.nearest(members, func() bool { return d.history.expectsReturn(now, query) })
+	if d.options.HasQuorum == nil || d.options.HasQuorum() {
 		return sample(nearest)
 	}
-	return sample(append(nearest, d.memory.lost(now, query.homes)...))
+	return sample(append(nearest, d.history.lostRelays(now, query.homeRegions)...))
 }
 
-func (d *Directory) homesOf(host string) homes {
+func (d *Directory) homeRegionsOf(host string) homeRegions {
 	if d.options.HomeRegions == nil {
 		return nil
 	}
 	return d.options.HomeRegions(host)
 }
 
-// Resolution is the answer of the directory.
+// Resolution is the answer to GET /resolve.
 type Resolution struct {
 	Addresses []string `json:"addresses"`
 	TTLS      int      `json:"ttlS"`
@@ -87,24 +91,24 @@
 			httpapi.Refuse(w, http.StatusServiceUnavailable, "no relay is ready")
 			return
 		}
-		httpapi.AnswerJSON(w, http.StatusOK, Resolution{Addresses: addresses, TTLS: d.options.holdSeconds()})
+		httpapi.AnswerJSON(w, http.StatusOK, Resolution{Addresses: addresses, TTLS: d.options.ttlSeconds()})
 	})
 	return router
 }
 
-func (o Options) holdSeconds() int {
-	hold := holdFor
-	if o.HoldMax > 0 {
-		hold = min(hold, o.HoldMax)
+func (o Options) ttlSeconds() int {
+	ttl := defaultTTL
+	if o.MaxTTL > 0 {
+		ttl = min(ttl, o.MaxTTL)
 	}
-	return max(1, int(hold.Seconds()))
+	return max(1, int(ttl.Seconds()))
 }
 
-// sample draws as many of the addresses as a client takes.
+// sample returns at most maxAddresses of the addresses, chosen at random.
 func sample(addresses []string) []string {
-	if len(addresses) <= mostAddresses {
+	if len(addresses) <= maxAddresses {
 		return addresses
 	}
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-	return addresses[:mostAddresses]
+	return addresses[:maxAddresses]
 }
--- a/internal/directory/query.go
+++ b/internal/directory/query.go
@@ -2,83 +2,87 @@
 
 import "wallflow/internal/swim"
 
-// query is what a client asks for: its own place, and the homes of the host's routes.
+// query describes a client's request: the client's zone and region, and the home regions of the routes of the requested host.
 type query struct {
-	zone   string
-	region string
-	homes  homes
+	zone        string
+	region      string
+	homeRegions homeRegions
 }
 
-// candidate is a relay that takes traffic.
+// candidate is a relay that serves clients.
 type candidate struct {
-	front  string
+	front  string // client-facing address
 	region string
 }
 
-// rings are the relays that take traffic, by what speaks for them. The first ring with a relay is the answer.
-type rings struct {
-	inZone           []candidate
-	inRegion         []candidate
-	inHomes          []candidate // in other regions, where a route of the host may be served
-	suspected        []candidate // where the client may be sent, but under suspicion
-	outside          []candidate // in regions that are neither the client's nor a home
-	suspectedOutside []candidate
+// candidateGroups holds the serving relays in groups, from the most to the least preferred. The answer is the first group that is not
+// empty.
+type candidateGroups struct {
+	inZone                []candidate
+	inRegion              []candidate
+	inHomeRegions         []candidate // in other regions that are home regions of a route of the host
+	suspected             []candidate // suspected by the membership protocol, in regions that are allowed
+	outsideHomes          []candidate // in regions that are neither the client's nor a home region
+	suspectedOutsideHomes []candidate // suspected, in such regions
 }
 
-// nearest lists the relays of the first ring that has any. While relays that the client may be sent to are only stopped for a moment by
-// planned work, as returning tells, none outside of the homes is named in their place.
-func (q query) nearest(members []swim.Member, returning func() bool) []string {
-	found := q.divide(members)
-	for _, ring := range [][]candidate{found.inZone, found.inRegion, q.homes.best(found.inHomes), found.suspected} {
-		if len(ring) > 0 {
-			return fronts(ring)
+// nearest returns the addresses of the first group that is not empty. While a relay in an allowed region is only stopped for planned
+// work, as reported by expectsReturn, no relay outside the home regions is returned in its place.
+func (q query) nearest(members []swim.Member, expectsReturn func() bool) []string {
+	groups := q.group(members)
+	for _, candidates := range [][]candidate{groups.inZone, groups.inRegion,
+		q.homeRegions.preferMostSets(groups.inHomeRegions), groups.suspected} {
+		if len(candidates) > 0 {
+			return frontAddresses(candidates)
 		}
 	}
-	if returning() {
+	if expectsReturn() {
 		return nil
 	}
-	if len(found.outside) > 0 {
-		return fronts(found.outside)
+	if len(groups.outsideHomes) > 0 {
+		return frontAddresses(groups.outsideHomes)
 	}
-	return fronts(found.suspectedOutside)
+	return frontAddresses(groups.suspectedOutsideHomes)
 }
 
-func (q query) divide(members []swim.Member) rings {
-	var found rings
+// group divides the serving relays among members into groups.
+func (q query) group(members []swim.Member) candidateGroups {
+	var groups candidateGroups
 	for _, member := range members {
 		if member.Meta.Front == "" || !member.Meta.Serving {
 			continue
 		}
-		ring := q.ringOf(&found, member)
-		*ring = append(*ring, candidate{front: member.Meta.Front, region: member.Meta.Region})
+		target := q.groupOf(&groups, member)
+		*target = append(*target, candidate{front: member.Meta.Front, region: member.Meta.Region})
 	}
-	return found
+	return groups
 }
 
-func (q query) ringOf(found *rings, member swim.Member) *[]candidate {
+// groupOf returns the group to which a member belongs.
+func (q query) groupOf(groups *candidateGroups, member swim.Member) *[]candidate {
 	alive := member.Status == swim.Alive
-	admitted := q.admits(member.Meta.Region)
+	allowed := q.allows(member.Meta.Region)
 	switch {
-	case !alive && admitted:
-		return &found.suspected
+	case !alive && allowed:
+		return &groups.suspected
 	case !alive:
-		return &found.suspectedOutside
+		return &groups.suspectedOutsideHomes
 	case member.Meta.Zone == q.zone:
-		return &found.inZone
+		return &groups.inZone
 	case member.Meta.Region == q.region:
-		return &found.inRegion
-	case admitted:
-		return &found.inHomes
+		return &groups.inRegion
+	case allowed:
+		return &groups.inHomeRegions
 	}
-	return &found.outside
+	return &groups.outsideHomes
 }
 
-// admits tells whether a client may be sent to a region.
-func (q query) admits(region string) bool {
-	return region == q.region || q.homes.admit(region)
+// allows reports whether a client may be sent to a region.
+func (q query) allows(region string) bool {
+	return region == q.region || q.homeRegions.allow(region)
 }
 
-func fronts(relays []candidate) []string {
+func frontAddresses(relays []candidate) []string {
 	var addresses []string
 	for _, relay := range relays {
 		addresses = append(addresses, relay.front)
--- a/internal/mutation/listed.go
+++ b/internal/mutation/listed.go
@@ -255,18 +255,19 @@
 	const process = "internal/control/process.go"
 	return []mistake{
 		{"seeds: a process that starts again does not look for the voters", process,
-			"\t\tif !slices.Contains(joined, voter.Address) {", "\t\tif false {", controlTests},
+			"\t\tif !slices.Contains(addresses, voter.Address) {", "\t\tif false {", controlTests},
 		{"control: the feed says fresh while out of touch", process, "\tp.feed.SetFresh(fresh)\n", "\tp.feed.SetFresh(true)\n", controlTests},
 		{"control: a ready endpoint is acknowledged by a process that is cut off", "internal/control/heartbeats.go",
 			"\tg.refusals[instance] = now\n\treturn true\n", "\tg.refusals[instance] = now\n\treturn false\n", controlTests},
 		{"control: an endpoint that finds no other process is never acknowledged", "internal/control/heartbeats.go",
-			"\tif refused && since >= returnedAfter", "\tif refused && since >= returnedAfter && g.inTouch", controlTests},
+			"\tif refused && since >= minReturnDelay", "\tif refused && since >= minReturnDelay && g.hasQuorum", controlTests},
 		{"control: instances expire while out of touch", process,
 			"\tp.instances.SetInTouch(now, fresh)\n", "\tp.instances.SetInTouch(now, true)\n", controlTests},
 		{"control: a discarded store founds a system", "internal/control/build.go",
-			"set.Bootstrap && !store.discarded", "set.Bootstrap", controlTests},
+			"cfg.Bootstrap && !store.discarded", "cfg.Bootstrap", controlTests},
 		{"control: a departure is acknowledged without waiting", "internal/control/instances.go",
-			"if safe != nil && !awaitChange(safe, replicatedWithin) {", "if safe != nil && !awaitChange(safe, 0) && id == 0 {", controlTests},
+			"if replicated != nil && !awaitReplication(replicated, replicationTimeout) {",
+			"if replicated != nil && !awaitReplication(replicated, 0) && id == 0 {", controlTests},
 		{"control: damage of the store ends the process", "internal/control/store.go",
 			"\tif errors.As(err, &damage) {", "\tif errors.As(err, &damage) && log == nil {", controlTests},
 	}
