--- a/internal/relay/peers_test.go
+++ b/internal/relay/clients_test.go
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// handInHead is a proper hand-in up to the header fields that frame its body.
-func handInHead(id string) string {
+// submissionHeader returns a valid submission up to the header fields that frame its body.
+func submissionHeader(id string) string {
 	return "POST /order HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: " + id + "\r\nX-Qos: order\r\nX-Customer: bolt\r\n" +
 		"X-Expires-In-Ms: 5000\r\nIdempotency-Key: k-" + id + "\r\nEnvelope: dest=7\r\n"
 }
 
-// serveTest serves a test relay's clients on a loopback port. The loop does not run: what is taken in waits
-// among its events.
-func serveTest(t *testing.T, r *Relay) (addr string) {
+// serveWithoutLoop serves a test relay's clients on a loopback port. The loop does not run: submissions stay in its event
+// queue.
+func serveWithoutLoop(t *testing.T, r *Relay) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,40 +36,40 @@
 	return l.Addr().String()
 }
 
-// Two readers of one request may disagree about where its body ends; what stands in it must never be taken for
-// a request, and the connection is not to be trusted any further.
-func TestABodyIsNeverReadAsARequest(t *testing.T) {
-	inner := handInHead("inner") + "Content-Length: 0\r\n\r\n"
+// Request smuggling: a proxy and the relay may disagree about where the body of a request ends. The contents of a body must
+// never be handled as a request, and the connection must be closed.
+func TestBodyIsNeverReadAsRequest(t *testing.T) {
+	inner := submissionHeader("inner") + "Content-Length: 0\r\n\r\n"
 	for name, text := range map[string]string{
-		"both framings":         handInHead("outer") + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + inner,
-		"the other way around":  handInHead("outer") + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + inner,
+		"both framings":         submissionHeader("outer") + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + inner,
+		"the other way around":  submissionHeader("outer") + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + inner,
 		"at the health check":   "GET /_health HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + inner,
 		"at an unknown path":    "PUT /a/b HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + inner,
-		"two lengths":           handInHead("outer") + "Content-Length: 0\r\nContent-Length: 400\r\n\r\n" + inner,
-		"a length that is none": handInHead("outer") + "Content-Length: +0\r\n\r\n" + inner,
-		"a malformed hand-in": strings.Replace(handInHead("outer"), "dest=7", "dest=x", 1) +
+		"two lengths":           submissionHeader("outer") + "Content-Length: 0\r\nContent-Length: 400\r\n\r\n" + inner,
+		"a length that is none": submissionHeader("outer") + "Content-Length: +0\r\n\r\n" + inner,
+		"a malformed hand-in": strings.Replace(submissionHeader("outer"), "dest=7", "dest=x", 1) +
 			fmt.Sprintf("Content-Length: %d\r\n\r\n", len(inner)) + inner,
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRelay(t)
-			conn, err := net.Dial("tcp", serveTest(t, r))
+			conn, err := net.Dial("tcp", serveWithoutLoop(t, r))
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			conn.SetDeadline(time.Now().Add(patience))
+			conn.SetDeadline(time.Now().Add(testTimeout))
 			if _, err := io.WriteString(conn, text); err != nil {
 				t.Fatal(err)
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			go func() { // in the loop's place, so that no hand-in is left without an answer
+			go func() { // stands in for the loop, so that a submission would be answered
 				for {
 					select {
 					case e := <-r.events:
-						if in, ok := e.(*handIn); ok {
-							t.Errorf("%s was taken in", in.m.Trace)
-							in.reply <- answer{status: http.StatusAccepted}
+						if sub, ok := e.(*submission); ok {
+							t.Errorf("%s was accepted", sub.msg.Trace)
+							sub.reply <- answer{status: http.StatusAccepted}
 						}
 					case <-ctx.Done():
 						return
@@ -86,7 +86,7 @@
 				t.Errorf("status %d, %q, %v", res.StatusCode, body, err)
 			}
 			if rest, err := io.ReadAll(answers); len(rest) > 0 || isTimeout(err) {
-				t.Errorf("the connection goes on: %q, %v", rest, err)
+				t.Errorf("the connection stays open: %q, %v", rest, err)
 			}
 		})
 	}
@@ -97,7 +97,7 @@
 	return ok && n.Timeout()
 }
 
-// pipeListener hands out connections in memory, for servers under a clock of the test's own.
+// pipeListener is a listener for in-memory connections, for servers in a synctest bubble.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -120,26 +120,27 @@
 func (l *pipeListener) Close() error   { l.once.Do(func() { close(l.done) }); return nil }
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
+// dial returns the client's end of a new connection.
 func (l *pipeListener) dial() net.Conn {
 	here, there := net.Pipe()
 	l.conns <- there
 	return here
 }
 
-// A peer that is silent, slow or deaf is owed a close or an error within 3 s of its connection's opening, and
-// what it holds here is free again then.
-func TestOddPeersAreEndedInTime(t *testing.T) {
-	head := handInHead("m1")
+// A peer that is silent, slow or sends invalid data gets an error or a close within 3 s of opening its connection, and then
+// uses no resources any more.
+func TestMisbehavingPeersAreDisconnected(t *testing.T) {
+	head := submissionHeader("m1")
 	for name, peer := range map[string]struct {
 		text  string
-		every time.Duration // between its bytes; 0: all at once
+		every time.Duration // pause between bytes; 0: none
 	}{
 		"silent":            {"", 0},
 		"half a line":       {"POST /ord", 0},
-		"a slow head":       {head, 300 * time.Millisecond},
-		"a head and no end": {head, 0},
+		"a slow header":     {head, 300 * time.Millisecond},
+		"an endless header": {head, 0},
 		"a short body":      {head + "Content-Length: 10\r\n\r\nabc", 0},
-		"a body in drops":   {head + "Content-Length: 99\r\n\r\n", 5 * time.Millisecond},
+		"a slow body":       {head + "Content-Length: 99\r\n\r\n", 5 * time.Millisecond},
 		"a body of 60 MB":   {head + "Content-Length: 60000000\r\n\r\nabc", 0},
 		"binary":            {strings.Repeat("\x16\x03\x01\x00", 40), 0},
 	} {
@@ -175,7 +176,7 @@
 					t.Errorf("closed after %v", took)
 				}
 				if len(r.events) > 0 {
-					t.Error("a message was taken in")
+					t.Error("a message was accepted")
 				}
 				conn.Close()
 				server.Close()
@@ -186,8 +187,8 @@
 	}
 }
 
-// A peer that sends requests and reads no answers holds its connection no longer than one write may take.
-func TestADeafPeerIsEnded(t *testing.T) {
+// A peer that sends requests and does not read the answers is disconnected after the write timeout.
+func TestPeerThatReadsNoAnswersIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTestRelay(t)
 		l, server := newPipeListener(), r.newServer()
@@ -207,18 +208,18 @@
 	})
 }
 
-// However many peers connect and say nothing, a client gets its turn at once, and no more connections are held
-// than the cap.
-func TestSilentPeersKeepNoClientOut(t *testing.T) {
+// However many peers connect and send nothing, a client is served at once, and the number of connections stays within the
+// limit.
+func TestSilentPeersDoNotBlockClients(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const most = 8
 		r := newTestRelay(t)
-		r.listed.Store(true)
+		r.hasList.Store(true)
 		l, server := newPipeListener(), r.newServer()
-		d := newDoor(l, r.log, most)
-		server.ConnState = d.note
+		cl := newClientListener(l, r.log, most)
+		server.ConnState = cl.connStateChanged
 		served := make(chan struct{})
-		go func() { defer close(served); server.Serve(d) }()
+		go func() { defer close(served); server.Serve(cl) }()
 		ask := func(conn net.Conn) time.Duration {
 			began := time.Now()
 			go io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -233,13 +234,13 @@
 		var conns []net.Conn
 		for range 10 * most {
 			conns = append(conns, l.dial())
-			time.Sleep(100 * time.Millisecond) // the cap is full of them after 700 ms
+			time.Sleep(100 * time.Millisecond) // the limit is reached after 700 ms
 			synctest.Wait()
-			d.mu.Lock()
-			if n := len(d.visits); n > most {
+			cl.mu.Lock()
+			if n := len(cl.conns); n > most {
 				t.Errorf("%d connections held", n)
 			}
-			d.mu.Unlock()
+			cl.mu.Unlock()
 		}
 		fresh := l.dial()
 		if took := ask(fresh); took > 0 {
@@ -256,8 +257,9 @@
 	})
 }
 
-// A stranger's request under a client's id must not be taken on in the client's place.
-func TestAQueryThatNoClassAsksForIsRefused(t *testing.T) {
+// A request with an unexpected query comes from an unknown sender and may use the id of a client's message. It must not be
+// accepted instead of the client's message.
+func TestUnknownQueryIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		query   string
 		ordered bool
@@ -275,7 +277,7 @@
 	} {
 		r := newTestRelay(t)
 		r.names.Load().classes["order"].terms.Ordered = c.ordered
-		req := handInRequest(t.Context(), "m1")
+		req := submissionRequest(t.Context(), "m1")
 		target, err := req.URL.Parse("/order" + c.query)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -15,38 +15,38 @@
 	"wallflow/policy"
 )
 
-// tickMost bounds the tick, so that no setting makes clients wait for their answers.
-const tickMost = 20 * time.Millisecond
+// maxTick limits the configured tick, so that clients do not wait too long for their answers.
+const maxTick = 20 * time.Millisecond
 
-// Config is all that a relay is told at its start.
+// Config is the configuration of a relay, from a file and the environment.
 type Config struct {
-	Name      string
-	Listen    string // where clients connect
-	Mgmt      string // where operators ask; empty: nowhere
-	Discovery string // address of discovery's agent
-	StateDir  string // the folder that outlasts the process
-	Seed      uint64
-	Limits    Limits
-	Known     List // hosts as this relay last had them; may be old or empty
-	Settings  policy.Settings
+	Name       string
+	Listen     string // address for clients
+	Mgmt       string // management address for operators; empty: none
+	Discovery  string // address of discovery's agent
+	StateDir   string // folder for persistent state: the write-ahead log and the takeover socket
+	Seed       uint64
+	Limits     Limits
+	KnownHosts HostList // host list to start with; may be outdated or empty
+	Settings   policy.Settings
 
 	Classes   []string
-	Customers []string // empty: the site has none
+	Customers []string // empty: messages carry no customer
 	Zones     []string
 	Kinds     []string
 
 	ConnectTimeout time.Duration
-	KeepAlive      time.Duration // hosts close a connection that stood idle for so long
-	Tick           time.Duration // the module is asked no more often than this
-	MayDuplicate   bool          // two attempts of a message may be out at once
-	Reports        []string      // fields of the hosts' load reports; empty: none are sent
+	KeepAlive      time.Duration // hosts close connections that have been idle for this long
+	Tick           time.Duration // least time between two steps of the loop
+	MayDuplicate   bool          // two attempts of a message may be in flight at once
+	ReportFields   []string      // fields of the hosts' load reports; empty: hosts send none
 
-	FleetAgent string // address of the agent that tells the fleet's policy; empty: there is none
+	FleetAgent string // address of the agent that reports the fleet policy; empty: no fleet
 
-	tree map[string]any // the file as it stands, to see what another one lacks
+	raw map[string]any // the parsed file, to check a new one for missing keys
 }
 
-// Limits are those of the relay's machine.
+// Limits are the resources that the relay may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -54,21 +54,24 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// setting is a part of the configuration that the environment may hold as well.
-type setting struct {
+// envSetting is a setting that may come from an environment variable or from the file.
+type envSetting struct {
 	variable, key string
 	field         func(*Config) *string
-	wanted        string // what it has to be; empty: it may be left out
-	fileFirst     bool   // the file's value goes before the variable's
+	description   string // of the value, for the error if it is missing; empty: it is optional
+	fileWins      bool   // the file takes precedence over the variable
 }
 
-// ownSettings are all of them. The ROUTER_ variables go before the file, but for ROUTER_DISCOVERY: the file may be replaced
-// while the relay runs, and what it says of discovery is newer then.
-var ownSettings = []setting{
+// envSettings lists all settings with a ROUTER_ variable. The variable takes precedence over the file, except for
+// ROUTER_DISCOVERY: the file may be replaced while the relay runs, and its address of discovery is newer then.
+var envSettings = []envSetting{
 	{"ROUTER_NAME", "name", func(c *Config) *string { return &c.Name }, "", false},
-	{"ROUTER_LISTEN", "listen", func(c *Config) *string { return &c.Listen }, "the address where clients connect, such as 127.0.0.1:3000", false},
-	{"ROUTER_DISCOVERY", "discovery", func(c *Config) *string { return &c.Discovery }, "the address of discovery's agent, such as 127.0.0.1:8500", true},
-	{"ROUTER_STATE", "", func(c *Config) *string { return &c.StateDir }, "the folder that lasts, which holds the journal", false},
+	{"ROUTER_LISTEN", "listen", func(c *Config) *string { return &c.Listen },
+		"the address where clients connect, such as 127.0.0.1:3000", false},
+	{"ROUTER_DISCOVERY", "discovery", func(c *Config) *string { return &c.Discovery },
+		"the address of discovery's agent, such as 127.0.0.1:8500", true},
+	{"ROUTER_STATE", "", func(c *Config) *string { return &c.StateDir },
+		"the folder for persistent state, which holds the journal of messages", false},
 	{"ROUTER_MGMT", "mgmt", func(c *Config) *string { return &c.Mgmt }, "", false},
 }
 
@@ -86,39 +89,41 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("ROUTER_CONFIG: %s: %w", path, err)
 	}
-	for _, s := range ownSettings {
+	for _, s := range envSettings {
 		field := s.field(&c)
-		if v := getenv(s.variable); v != "" && (!s.fileFirst || *field == "") {
+		if v := getenv(s.variable); v != "" && (!s.fileWins || *field == "") {
 			*field = v
 		}
-		if *field == "" && s.wanted != "" {
+		if *field == "" && s.description != "" {
 			if s.key != "" {
-				return Config{}, fmt.Errorf("%s is not set, and %s has no %q: %s", s.variable, path, s.key, s.wanted)
+				return Config{}, fmt.Errorf("%s is not set, and %s has no %q: %s", s.variable, path, s.key, s.description)
 			}
-			return Config{}, fmt.Errorf("%s is not set: %s", s.variable, s.wanted)
+			return Config{}, fmt.Errorf("%s is not set: %s", s.variable, s.description)
 		}
 	}
 	return c, nil
 }
 
-// placed adds to an error of the JSON library's where in the file it is: by line and column, and with the key.
-func placed(err error, data []byte, from int64) error {
+// locateJSONError adds the line and column in the file, and the key if it is known, to an error of package json. offset is
+// where the decoded value starts in data.
+func locateJSONError(err error, data []byte, offset int64) error {
 	var syntax *json.SyntaxError
-	var wrong *json.UnmarshalTypeError
+	var wrongType *json.UnmarshalTypeError
 	switch {
-	case errors.As(err, &syntax) && from+syntax.Offset >= int64(len(data)):
-		return fmt.Errorf("%s: the file ends too early: %w", place(data, int64(len(data))), err)
+	case errors.As(err, &syntax) && offset+syntax.Offset >= int64(len(data)):
+		return fmt.Errorf("%s: the file ends too early: %w", position(data, int64(len(data))), err)
 	case errors.As(err, &syntax):
-		return fmt.Errorf("%s: %w", place(data, from+syntax.Offset), err)
-	case errors.As(err, &wrong):
-		return fmt.Errorf("%s: %s: wanted is %s, not a JSON %s", place(data, from+wrong.Offset), wrong.Field, wrong.Type, wrong.Value)
+		return fmt.Errorf("%s: %w", position(data, offset+syntax.Offset), err)
+	case errors.As(err, &wrongType):
+		return fmt.Errorf("%s: %s: wanted is %s, not a JSON %s",
+			position(data, offset+wrongType.Offset), wrongType.Field, wrongType.Type, wrongType.Value)
 	}
 	return err
 }
 
-// place is where byte n of the file is, for people.
-func place(data []byte, n int64) string {
-	before := data[:max(0, min(n, int64(len(data))))]
+// position returns the line and column of an offset in the file.
+func position(data []byte, offset int64) string {
+	before := data[:max(0, min(offset, int64(len(data))))]
 	return fmt.Sprintf("line %d, column %d", 1+bytes.Count(before, []byte("\n")), len(before)-bytes.LastIndexByte(before, '\n'))
 }
 
@@ -137,17 +142,17 @@
 		} `json:"fleet"`
 	}
 	if err := json.Unmarshal(data, &file); err != nil {
-		return Config{}, placed(err, data, 0)
+		return Config{}, locateJSONError(err, data, 0)
 	}
 	if len(file.Settings) == 0 {
-		return Config{}, errors.New(`no "settings": wanted is the object with the fleet's terms`)
+		return Config{}, errors.New(`no "settings": wanted is an object with the fleet's settings`)
 	}
 	if file.Fleet != nil && file.Fleet.Agent == "" {
-		return Config{}, errors.New("fleet.agent: is missing: the address of the agent that tells the fleet's policy")
+		return Config{}, errors.New("fleet.agent: missing: wanted is the address of the agent that reports the fleet policy")
 	}
-	from := int64(bytes.Index(data, file.Settings))
-	// What the relay itself goes by; all decisions' settings are mapped by package wire.
-	var own struct {
+	settingsOffset := int64(bytes.Index(data, file.Settings))
+	// The settings that the relay itself uses. Package wire maps those of the decision module.
+	var relaySettings struct {
 		Services []struct{ Name string }
 		Realms   []struct{ Name string }
 		Zones    []string
@@ -163,67 +168,67 @@
 			MayDuplicate     bool    `json:"may_duplicate"`
 		}
 	}
-	if err := json.Unmarshal(file.Settings, &own); err != nil {
-		return Config{}, fmt.Errorf("settings: %w", placed(err, data, from))
+	if err := json.Unmarshal(file.Settings, &relaySettings); err != nil {
+		return Config{}, fmt.Errorf("settings: %w", locateJSONError(err, data, settingsOffset))
 	}
 	var tree any
 	if err := json.Unmarshal(file.Settings, &tree); err != nil {
-		return Config{}, fmt.Errorf("settings: %w", placed(err, data, from))
+		return Config{}, fmt.Errorf("settings: %w", locateJSONError(err, data, settingsOffset))
 	}
 	values := map[string]string{}
 	flatten(values, "", tree)
-	set, err := wire.Settings(values)
+	settings, err := wire.Settings(values)
 	if err != nil {
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
 	c := Config{
-		Name: file.Name, Listen: file.Listen, Mgmt: file.Mgmt, Discovery: file.Discovery, Limits: file.Limits, Settings: set,
-		Zones: own.Zones, Kinds: own.Kinds, MayDuplicate: own.Bounds.MayDuplicate,
-		ConnectTimeout: millis(own.Bounds.ConnectTimeoutMS), KeepAlive: millis(own.Bounds.KeepAliveMS),
-		Tick: min(millis(own.TickMS), tickMost),
+		Name: file.Name, Listen: file.Listen, Mgmt: file.Mgmt, Discovery: file.Discovery, Limits: file.Limits, Settings: settings,
+		Zones: relaySettings.Zones, Kinds: relaySettings.Kinds, MayDuplicate: relaySettings.Bounds.MayDuplicate,
+		ConnectTimeout: millis(relaySettings.Bounds.ConnectTimeoutMS), KeepAlive: millis(relaySettings.Bounds.KeepAliveMS),
+		Tick: min(millis(relaySettings.TickMS), maxTick),
 	}
 	if file.Fleet != nil {
 		c.FleetAgent = file.Fleet.Agent
 	}
-	// A seed that is no hexadecimal number still gives random numbers, the same at each start.
+	// An invalid seed is not an error: ParseUint still returns a fixed value, and random numbers are the same at each start.
 	c.Seed, _ = strconv.ParseUint(file.Seed, 16, 64)
-	for _, s := range own.Services {
+	for _, s := range relaySettings.Services {
 		c.Classes = append(c.Classes, s.Name)
 	}
-	for _, r := range own.Realms {
+	for _, r := range relaySettings.Realms {
 		c.Customers = append(c.Customers, r.Name)
 	}
-	if own.Stats.How == "answers" {
-		c.Reports = own.Stats.Fields
+	if relaySettings.Stats.How == "answers" {
+		c.ReportFields = relaySettings.Stats.Fields
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
-		if c.Known, err = parseList(file.Known); err != nil {
+		if c.KnownHosts, err = parseList(file.Known); err != nil {
 			return Config{}, fmt.Errorf("known: %w", err)
 		}
 	}
-	if err := json.Unmarshal(data, &c.tree); err != nil {
+	if err := json.Unmarshal(data, &c.raw); err != nil {
 		return Config{}, err
 	}
 	c.setDefaults()
-	if len(set.Classes) == 0 {
-		return Config{}, errors.New("settings.services: missing, or empty: wanted are the classes of message")
+	if len(settings.Classes) == 0 {
+		return Config{}, errors.New("settings.services: missing, or empty: wanted are the message classes")
 	}
 	for i, s := range c.Classes {
 		at := fmt.Sprintf("settings.services[%d]", i)
 		if s == "" || slices.Index(c.Classes, s) < i {
-			return Config{}, fmt.Errorf("%s.name: %q, where each wants a name of its own", at, s)
+			return Config{}, fmt.Errorf("%s.name: %q: each class needs a name of its own", at, s)
 		}
-		if i < len(set.Classes) && min(set.Classes[i].GiveUp, set.Classes[i].Aim) <= 0 {
+		if i < len(settings.Classes) && min(settings.Classes[i].GiveUp, settings.Classes[i].Aim) <= 0 {
 			return Config{}, fmt.Errorf("%s: goal_time_ms or give_up_ms is missing, or not above 0", at)
 		}
 	}
-	if c.Limits.Sockets < leastSockets {
-		return Config{}, fmt.Errorf("limits.sockets: %d, and no fewer than %d will do", c.Limits.Sockets, leastSockets)
+	if c.Limits.Sockets < minSockets {
+		return Config{}, fmt.Errorf("limits.sockets: %d: must be no fewer than %d", c.Limits.Sockets, minSockets)
 	}
 	return c, nil
 }
 
-// setDefaults fills in what a configuration may leave out.
+// setDefaults fills in optional settings.
 func (c *Config) setDefaults() {
 	setDefault(&c.ConnectTimeout, time.Second)
 	setDefault(&c.KeepAlive, 15*time.Second)
@@ -238,7 +243,7 @@
 	}
 }
 
-// flatten writes nested JSON as the paths and values of the simulator's wire.
+// flatten converts nested JSON into the paths and values of the simulator's wire format, which package wire reads.
 func flatten(values map[string]string, path string, x any) {
 	switch x := x.(type) {
 	case map[string]any:
@@ -252,7 +257,7 @@
 				flatten(values, fmt.Sprintf("%s.%d", path, i), v)
 				values[path+".count"] = strconv.Itoa(len(x))
 			} else {
-				plain = append(plain, scalar(v))
+				plain = append(plain, formatScalar(v))
 			}
 		}
 		if len(plain) > 0 {
@@ -260,11 +265,11 @@
 		}
 	case nil:
 	default:
-		values[path] = scalar(x)
+		values[path] = formatScalar(x)
 	}
 }
 
-func scalar(x any) string {
+func formatScalar(x any) string {
 	if f, ok := x.(float64); ok {
 		return strconv.FormatFloat(f, 'f', -1, 64)
 	}
@@ -273,15 +278,15 @@
 
 func millis(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
-// List is discovery's list of hosts, whole or changes to it.
-type List struct {
+// HostList is discovery's list of hosts, either complete (Full) or as changes to the previous version.
+type HostList struct {
 	Version int64
 	Full    bool
-	Entries []json.RawMessage // each is read by itself: one that cannot be read spoils no other
+	Entries []json.RawMessage // parsed one by one, so that an unreadable entry does not affect the others
 }
 
-// member is one entry of the list.
-type member struct {
+// hostEntry is the JSON form of a host in a list.
+type hostEntry struct {
 	ID     string  `json:"id"`
 	Addr   string  `json:"addr"`
 	Zone   string  `json:"zone"`
@@ -291,21 +296,21 @@
 	Weight float64 `json:"weight"`
 }
 
-func parseList(data []byte) (List, error) {
+func parseList(data []byte) (HostList, error) {
 	var l struct {
 		Version int64             `json:"version"`
 		Full    bool              `json:"full"`
 		Servers []json.RawMessage `json:"servers"`
 	}
 	if err := json.Unmarshal(data, &l); err != nil {
-		return List{}, err
+		return HostList{}, err
 	}
-	return List{Version: l.Version, Full: l.Full, Entries: l.Servers}, nil
+	return HostList{Version: l.Version, Full: l.Full, Entries: l.Servers}, nil
 }
 
-// listing reads one entry. Its id is returned also where the rest cannot be read.
-func (c *Config) listing(data json.RawMessage) (l policy.Listing, addr string, err error) {
-	var m member
+// parseHost parses one entry of a host list. If it fails, the listing still has the host's id if that could be read.
+func (c *Config) parseHost(data json.RawMessage) (l policy.Listing, addr string, err error) {
+	var m hostEntry
 	if err := json.Unmarshal(data, &m); err != nil {
 		return policy.Listing{Route: m.ID}, "", err
 	}
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	askSpan        = 75 * time.Millisecond // for each relay of the fleet, where calls for the list cost discovery work
-	noticeMost     = 256                   // lines in a request
-	noticeFirst    = 150 * time.Millisecond
-	noticeTimeout  = time.Second
-	noticeRetry    = 50 * time.Millisecond
-	noticeRetryTop = time.Second
-	watchLogEvery  = 10 * time.Second
+	askSpreadPerRelay = 75 * time.Millisecond // per relay of the fleet: how far calls are spread if they are costly for discovery
+	maxNoticeBatch    = 256                   // notices in a request
+	minNoticeTimeout  = 150 * time.Millisecond
+	maxNoticeTimeout  = time.Second
+	minNoticeRetry    = 50 * time.Millisecond
+	maxNoticeRetry    = time.Second
+	watchLogInterval  = 10 * time.Second
 )
 
-// newAgentClient returns a client for discovery's agent.
+// newAgentClient returns the HTTP client for discovery's agent.
 func newAgentClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -33,67 +33,68 @@
 	}}
 }
 
-// watcher follows discovery's list.
+// watcher follows discovery's host list by a streaming request, a watch, and starts a new one whenever it ends.
 type watcher struct {
-	log    *slog.Logger
-	client *http.Client
-	addr   string
-	clock  listClock
-	told   func(List)
-	before time.Duration // longest pause before the first watch; 0: there is none
-	rng    *rand.Rand
+	log           *slog.Logger
+	client        *http.Client
+	addr          string
+	timing        watchTiming
+	onList        func(HostList)
+	maxStartPause time.Duration // upper bound for the random pause before the first watch; 0: no pause
+	rng           *rand.Rand
 
-	loggedAt time.Time // when an ended watch was logged last
-	unlogged int       // and how many ended since
+	loggedAt time.Time // when the end of a watch was last logged
+	unlogged int       // watches that have ended since then
 }
 
-// run follows the list from version on until ctx ends. It pauses for a random part of a bound that doubles while
-// watches fail: what fails for many relays at one moment must not be asked for again by all at another.
+// run follows the list from version on until ctx ends. Between watches it pauses for a random part of a bound that
+// doubles while watches fail, so that relays whose watches failed at the same moment do not retry together.
 func (w *watcher) run(ctx context.Context, version int64) {
-	bound, answer := w.clock.first, w.clock.answer
-	if w.before > 0 { // it has a list, and all that started or moved together would ask together
-		sleep(ctx, w.upTo(w.before))
+	maxPause, answerTimeout := w.timing.firstPause, w.timing.answerTimeout
+	if w.maxStartPause > 0 { // spread the calls of relays that started, or were moved, at the same time
+		sleep(ctx, w.randomPause(w.maxStartPause))
 	}
 	for ctx.Err() == nil {
 		began := time.Now()
-		end, err := w.follow(ctx, &version, answer)
+		end, err := w.watchOnce(ctx, &version, answerTimeout)
 		if ctx.Err() != nil {
 			return
 		}
-		if end.held && time.Since(began) > bound {
-			bound = w.clock.first
+		if end.gotData && time.Since(began) > maxPause {
+			maxPause = w.timing.firstPause
 		}
 		if end.answered {
-			answer = w.clock.answer
-		} else if end.givenUp { // discovery may be slow, or this process be kept from its core
-			answer = min(w.clock.answerMost, 2*answer)
+			answerTimeout = w.timing.answerTimeout
+		} else if end.timedOut { // discovery may be slow, or this process short of CPU time
+			answerTimeout = min(w.timing.maxAnswerTimeout, 2*answerTimeout)
 		}
-		pause := w.upTo(bound)
-		if w.clock.apart && !end.held {
-			pause = bound/2 + pause/2
+		pause := w.randomPause(maxPause)
+		if w.timing.callsAreCostly && !end.gotData {
+			pause = maxPause/2 + pause/2
 		}
-		w.ended(version, err, pause)
+		w.logEnd(version, err, pause)
 		sleep(ctx, pause)
-		bound = min(w.clock.most, 2*bound)
+		maxPause = min(w.timing.maxPause, 2*maxPause)
 	}
 }
 
-// ended logs that a watch ended: the first at once, and those that follow soon as a number.
-func (w *watcher) ended(version int64, err error, pause time.Duration) {
+// logEnd logs that a watch ended. It logs at most once per watchLogInterval, with the number of watches since the last
+// line.
+func (w *watcher) logEnd(version int64, err error, pause time.Duration) {
 	w.unlogged++
-	if time.Since(w.loggedAt) < watchLogEvery {
+	if time.Since(w.loggedAt) < watchLogInterval {
 		return
 	}
 	w.log.Warn("watch ended", "addr", w.addr, "version", version, "err", err, "again_in", pause, "times", w.unlogged)
 	w.loggedAt, w.unlogged = time.Now(), 0
 }
 
-// upTo draws a pause.
-func (w *watcher) upTo(bound time.Duration) time.Duration {
+// randomPause returns a random pause below bound.
+func (w *watcher) randomPause(bound time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(bound)))
 }
 
-// sleep waits for d or ctx's end.
+// sleep waits for d, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -101,54 +102,54 @@
 	}
 }
 
-// follower keeps one watcher running, at the address that discovery has now.
-type follower struct {
+// discoveryFollower keeps one watcher running at the current address of discovery.
+type discoveryFollower struct {
 	watcher
-	version int64 // of the list told last; a watch at another address resumes there
+	version int64 // of the last list received; a watch at a new address resumes from it
 	stop    context.CancelFunc
 	done    chan struct{}
 }
 
-// move begins to watch at addr. The watch before has ended when it returns, so that lists come in their order.
-func (f *follower) move(ctx context.Context, addr string) {
-	f.end()
+// watchAt starts watching at addr. It first waits for the previous watcher to end, so that lists arrive in order.
+func (f *discoveryFollower) watchAt(ctx context.Context, addr string) {
+	f.stopWatch()
 	ctx, f.stop = context.WithCancel(ctx)
 	f.done = make(chan struct{})
 	w := f.watcher
 	w.addr = addr
-	f.before = w.clock.first // a later move is told sooner than a start
-	w.told = func(l List) { f.version = l.Version; f.told(l) }
+	f.maxStartPause = w.timing.firstPause // a move has less time than a start
+	w.onList = func(l HostList) { f.version = l.Version; f.onList(l) }
 	go func(version int64) {
 		defer close(f.done)
 		w.run(ctx, version)
 	}(f.version)
 }
 
-// end ends the watch, if there is one.
-func (f *follower) end() {
+// stopWatch stops the watcher, if there is one, and waits for its end.
+func (f *discoveryFollower) stopWatch() {
 	if f.stop != nil {
 		f.stop()
 		<-f.done
 	}
 }
 
-// watchEnd is how a watch went.
+// watchEnd describes how far a watch got.
 type watchEnd struct {
-	answered bool // its head came
-	held     bool // and a line or a list after it
-	givenUp  bool // it was silent for too long
+	answered bool // a response header was received
+	gotData  bool // and an empty line or a list after it
+	timedOut bool // nothing was received for too long
 }
 
-// follow is one watch, until its connection ends or falls silent. A connection that is cut off says nothing:
-// only the missing lines tell. version is kept up, so that the next watch resumes where this one ended; where the list
-// makes no sense it is 0, and the next one asks for all of it.
-func (w *watcher) follow(ctx context.Context, version *int64, answer time.Duration) (end watchEnd, err error) {
+// watchOnce runs one watch until its connection ends or falls silent. A connection that was cut without a FIN or RST can
+// only be detected by the missing lines. version is updated, so that the next watch resumes where this one ended; it is
+// set to 0 if the lists are inconsistent, and the next watch then requests the complete list.
+func (w *watcher) watchOnce(ctx context.Context, version *int64, answerTimeout time.Duration) (end watchEnd, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(answer, func() { cancel(errSilent) })
-	defer silence.Stop()
+	timer := time.AfterFunc(answerTimeout, func() { cancel(errSilent) })
+	defer timer.Stop()
 	defer func() {
-		if end.givenUp = context.Cause(ctx) == errSilent; end.givenUp {
+		if end.timedOut = context.Cause(ctx) == errSilent; end.timedOut {
 			err = errSilent
 		}
 	}()
@@ -166,28 +167,28 @@
 		return end, fmt.Errorf("discovery answers %s", res.Status)
 	}
 	end.answered = true
-	silence.Reset(w.clock.silence)
-	lists := newListReader(res.Body, func() { end.held = true; silence.Reset(w.clock.silence) })
+	timer.Reset(w.timing.silenceTimeout)
+	lists := newListReader(res.Body, func() { end.gotData = true; timer.Reset(w.timing.silenceTimeout) })
 	for {
 		l, err := lists.next()
 		if err != nil {
 			return end, err
 		}
-		if l.Version < *version && !l.Full { // changes to a list that this relay has not had
-			err := fmt.Errorf("version %d after %d: the whole list is wanted", l.Version, *version)
+		if l.Version < *version && !l.Full { // changes to a list that this relay does not have
+			err := fmt.Errorf("changes of version %d after version %d: requesting the complete list", l.Version, *version)
 			*version = 0
 			return end, err
 		}
 		*version = l.Version
-		w.told(l)
+		w.onList(l)
 	}
 }
 
-// finals delivers the final notices to the platform, each until it is taken.
-type finals struct {
-	log    *slog.Logger
-	client *http.Client
-	taken  func(ids []uint32)
+// noticeSender delivers final notices to the platform. It repeats each notice until the platform confirms it.
+type noticeSender struct {
+	log        *slog.Logger
+	client     *http.Client
+	onAccepted func(ids []uint32)
 
 	mu     sync.Mutex
 	url    string
@@ -197,79 +198,80 @@
 
 // notice tells the platform how a message ended.
 type notice struct {
-	id      uint32
-	ID      string `json:"id"`
-	Status  string `json:"status"`
-	AgainMS int64  `json:"again_ms,omitempty"`
+	messageID uint32
+	ID        string `json:"id"`
+	Status    string `json:"status"`
+	AgainMS   int64  `json:"again_ms,omitempty"`
 }
 
-func newFinals(log *slog.Logger, client *http.Client, addr string, taken func([]uint32)) *finals {
-	f := &finals{log: log, client: client, taken: taken, signal: make(chan struct{}, 1)}
-	f.move(addr)
-	return f
+func newNoticeSender(log *slog.Logger, client *http.Client, addr string, onAccepted func([]uint32)) *noticeSender {
+	s := &noticeSender{log: log, client: client, onAccepted: onAccepted, signal: make(chan struct{}, 1)}
+	s.setAddr(addr)
+	return s
 }
 
-// move has notices go to another address, those that the old one did not take among them.
-func (f *finals) move(addr string) {
-	f.mu.Lock()
-	f.url = "http://" + addr + "/v2/finals"
-	f.mu.Unlock()
+// setAddr changes the address for all notices that are not confirmed yet.
+func (s *noticeSender) setAddr(addr string) {
+	s.mu.Lock()
+	s.url = "http://" + addr + "/v2/finals"
+	s.mu.Unlock()
 }
 
-// add queues notices. It never waits, so that the loop does not.
-func (f *finals) add(ns ...notice) {
-	f.mu.Lock()
-	f.queue = append(f.queue, ns...)
-	f.mu.Unlock()
+// add queues notices. It does not block, since the loop calls it.
+func (s *noticeSender) add(ns ...notice) {
+	s.mu.Lock()
+	s.queue = append(s.queue, ns...)
+	s.mu.Unlock()
 	select {
-	case f.signal <- struct{}{}:
+	case s.signal <- struct{}{}:
 	default:
 	}
 }
 
-// run sends what is queued until ctx ends. A notice that the platform did not confirm goes again: one for a
-// message that is over does no harm, one that is missing loses a message. The platform answers at once: a connection that
-// has fallen silent is given up while there is still time for another, and only one try after the other gets longer.
-func (f *finals) run(ctx context.Context) {
-	pause, answer := noticeRetry, noticeFirst
+// run sends queued notices until ctx ends. It repeats a notice that was not confirmed: a duplicate is harmless, but
+// without its notice a message would be lost. The platform normally answers at once, so the first timeout is short enough
+// to try another connection in time if one has fallen silent; the timeout doubles with each further try.
+func (s *noticeSender) run(ctx context.Context) {
+	pause, timeout := minNoticeRetry, minNoticeTimeout
 	for {
-		f.mu.Lock()
-		batch := f.queue[:min(len(f.queue), noticeMost)]
-		f.mu.Unlock()
+		s.mu.Lock()
+		batch := s.queue[:min(len(s.queue), maxNoticeBatch)]
+		s.mu.Unlock()
 		if len(batch) == 0 {
 			select {
 			case <-ctx.Done():
 				return
-			case <-f.signal:
+			case <-s.signal:
 			}
 			continue
 		}
-		if err := f.post(ctx, batch, answer); err != nil {
-			f.log.Warn("notices not taken", "count", len(batch), "err", err)
+		if err := s.postBatch(ctx, batch, timeout); err != nil {
+			s.log.Warn("notices not accepted", "count", len(batch), "err", err)
 			select {
 			case <-ctx.Done():
 				return
 			case <-time.After(pause):
 			}
-			pause, answer = min(noticeRetryTop, 2*pause), min(noticeTimeout, 2*answer)
+			pause, timeout = min(maxNoticeRetry, 2*pause), min(maxNoticeTimeout, 2*timeout)
 			continue
 		}
-		pause, answer = noticeRetry, noticeFirst
+		pause, timeout = minNoticeRetry, minNoticeTimeout
 		ids := make([]uint32, 0, len(batch))
 		for _, n := range batch {
-			ids = append(ids, n.id)
+			ids = append(ids, n.messageID)
 		}
-		f.mu.Lock()
-		if f.queue = f.queue[len(batch):]; len(f.queue) == 0 {
-			f.queue = nil
+		s.mu.Lock()
+		if s.queue = s.queue[len(batch):]; len(s.queue) == 0 {
+			s.queue = nil
 		}
-		f.mu.Unlock()
-		f.taken(ids)
+		s.mu.Unlock()
+		s.onAccepted(ids)
 	}
 }
 
-func (f *finals) post(ctx context.Context, batch []notice, answer time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, answer)
+// postBatch sends notices in one request.
+func (s *noticeSender) postBatch(ctx context.Context, batch []notice, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var lines bytes.Buffer
 	enc := json.NewEncoder(&lines)
@@ -278,19 +280,19 @@
 			return err
 		}
 	}
-	f.mu.Lock()
-	url := f.url
-	f.mu.Unlock()
+	s.mu.Lock()
+	url := s.url
+	s.mu.Unlock()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, &lines)
 	if err != nil {
 		return err
 	}
-	res, err := f.client.Do(req)
+	res, err := s.client.Do(req)
 	if err != nil {
 		return err
 	}
 	defer res.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, answerMost)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxAnswerBytes)); err != nil {
 		return err
 	}
 	if res.StatusCode != http.StatusNoContent {
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -1,6 +1,7 @@
 package relay
 
-// This file holds what each event means to the decision module: messages that come and go, calls that end, lists.
+// This file translates what happens into events for the decision module (package policy): accepted and withdrawn
+// messages, finished calls, host lists.
 
 import (
 	"net/http"
@@ -10,185 +11,189 @@
 	"wallflow/policy"
 )
 
-// attend has the client side do what the module decided.
-func (r *Relay) attend(does policy.ListenerState) {
-	r.log.Info("door", "ready", does.Ready, "keep", does.KeepAlive, "listen", does.Listen, "send", does.Send, "over", does.Exit)
-	r.does.Store(&does)
-	if r.entry != nil {
-		r.entry.attend(does)
+// applyListenerState applies the decision module's instructions for client connections.
+func (r *Relay) applyListenerState(state policy.ListenerState) {
+	r.log.Info("client listener state changed", "ready", state.Ready, "keep", state.KeepAlive,
+		"listen", state.Listen, "send", state.Send, "over", state.Exit)
+	r.listenerState.Store(&state)
+	if r.clients != nil {
+		r.clients.applyState(state)
 	}
 }
 
-// accept puts new messages in the log and returns those that the module is to be told of. The others have
-// their answers.
-func (r *Relay) accept(ins []*handIn) []*handIn {
-	var fresh []*handIn
-	var ms []*wal.Message
-	// Under which policy is asked of the clock now: a process that stood still meanwhile must not go by what held before.
-	takes := r.fleet == nil || r.fleet.takesUnder(r.follows, time.Now())
-	for _, in := range ins {
-		c := r.current(in.class)
+// acceptSubmissions writes new messages to the write-ahead log and returns the accepted ones, which the decision module
+// must be told of and which still need an answer. All others are answered here.
+func (r *Relay) acceptSubmissions(subs []*submission) []*submission {
+	var accepted []*submission
+	var msgs []*wal.Message
+	// Checked against the current time, since the process may have been suspended after it last checked: the policy that it
+	// follows may no longer be in force.
+	accepting := r.fleet == nil || r.fleet.acceptsUnder(r.policyNumber, time.Now())
+	for _, sub := range subs {
+		c := r.currentClass(sub.class)
 		switch {
-		case r.traces[in.m.Trace] != nil:
-			in.reply <- r.handedInAgain(r.traces[in.m.Trace])
+		case r.byTrace[sub.msg.Trace] != nil:
+			sub.reply <- r.answerResubmission(r.byTrace[sub.msg.Trace])
 		case c == nil || r.cfg.Settings.MaxHeld > 0 && r.held >= r.cfg.Settings.MaxHeld:
-			in.class.tally.count(handedBack)
-			in.reply <- answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
-		case !takes:
-			in.class.tally.count(handedBack)
-			in.reply <- answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
+			sub.class.counters.count(refused)
+			sub.reply <- answer{status: http.StatusServiceUnavailable, retryAfter: policy.RetryAdvice}
+		case !accepting:
+			sub.class.counters.count(refused)
+			sub.reply <- answer{status: http.StatusServiceUnavailable, retryAfter: policy.RetryAdvice}
 		default:
 			r.lastID++
-			in.m.ID, in.m.Terms, in.m.Policy = r.lastID, c.wal, max(0, r.follows)
+			sub.msg.ID, sub.msg.Terms, sub.msg.Policy = r.lastID, c.termsNumber, max(0, r.policyNumber)
 			if r.fleet != nil {
-				r.fleet.stamped(in.m.Policy)
+				r.fleet.checkStamp(sub.msg.Policy)
 			}
-			m := r.newMessage(in.m, c)
-			r.msgs[m.ID], r.traces[m.Trace] = m, m
+			m := r.newMessage(sub.msg, c)
+			r.msgs[m.ID], r.byTrace[m.Trace] = m, m
 			r.held++
-			fresh, ms = append(fresh, in), append(ms, in.m)
+			accepted, msgs = append(accepted, sub), append(msgs, sub.msg)
 		}
 	}
-	if len(ms) == 0 {
+	if len(msgs) == 0 {
 		return nil
 	}
-	if err := r.wal.Accept(ms...); err != nil {
-		// A full disk is no reason to die: what is held goes on, new work is refused.
-		if !r.full {
+	if err := r.wal.Accept(msgs...); err != nil {
+		// With a full disk the relay still delivers the messages that it holds, and refuses new ones.
+		if !r.walFull {
 			r.log.Warn("refusing new messages", "err", err)
 		}
-		r.full = true
-		for _, in := range fresh {
+		r.walFull = true
+		for _, sub := range accepted {
 			r.held--
-			delete(r.msgs, in.m.ID)
-			delete(r.traces, in.m.Trace)
-			in.class.tally.count(handedBack)
-			in.reply <- answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
+			delete(r.msgs, sub.msg.ID)
+			delete(r.byTrace, sub.msg.Trace)
+			sub.class.counters.count(refused)
+			sub.reply <- answer{status: http.StatusServiceUnavailable, retryAfter: policy.RetryAdvice}
 		}
 		return nil
 	}
-	r.full = false
-	return fresh
+	r.walFull = false
+	return accepted
 }
 
-// handedInAgain answers a message that came once more under its id: its answer was lost on the way, or its
-// connection was closed crosswise. From then on it is owed to the connection it came on last, whatever becomes
-// of the one before.
-func (r *Relay) handedInAgain(m *message) answer {
+// answerResubmission answers a message that a client sends again under the same id, because the first answer was lost
+// or its connection closed while the request was on its way. From then on the message belongs to the latest
+// connection: a disconnect of an earlier one no longer withdraws it.
+func (r *Relay) answerResubmission(m *message) answer {
 	if m.withdrawn {
-		return answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice} // over, and an attempt of it still out
+		return answer{status: http.StatusServiceUnavailable, retryAfter: policy.RetryAdvice} // ended, but an attempt is still in flight
 	}
-	m.again = true
-	return answer{status: http.StatusAccepted, policy: m.Policy}
+	m.resubmitted = true
+	return answer{status: http.StatusAccepted, policyNumber: m.Policy}
 }
 
-// clientLeft ends a message whose client has left before its answer, unless it has come again meanwhile.
-func (r *Relay) clientLeft(evs []policy.Event, id uint32) []policy.Event {
+// clientDisconnected ends a message whose client disconnected before it was answered, unless the client has submitted
+// the message again since.
+func (r *Relay) clientDisconnected(evs []policy.Event, id uint32) []policy.Event {
 	m := r.msgs[id]
-	if m == nil || m.again {
+	if m == nil || m.resubmitted {
 		return evs
 	}
 	m.withdrawn = true
 	m.count(withdrawn)
-	return r.withdraw(evs, id)
+	return r.endMessage(evs, id)
 }
 
-// withdraw ends a message that needs no further attempt.
-func (r *Relay) withdraw(evs []policy.Event, id uint32) []policy.Event {
+// endMessage ends a message that needs no further attempt, and tells the decision module.
+func (r *Relay) endMessage(evs []policy.Event, id uint32) []policy.Event {
 	m := r.msgs[id]
 	if m == nil {
 		return evs
 	}
-	r.done(m)
+	r.markEnded(m)
 	r.wal.End(m.Message)
-	r.retire(m)
+	r.forgetIfFinished(m)
 	return append(evs, policy.Event{Kind: policy.Withdrawn, ID: id})
 }
 
-// callEnded takes the end of a call.
+// callEnded handles the end of a call: it records the outcome of each of its attempts.
 func (r *Relay) callEnded(evs []policy.Event, e *callEnd) []policy.Event {
-	r.out--
-	delete(r.live, e.c)
-	for i, a := range e.c.attempts {
+	r.callsInFlight--
+	delete(r.liveCalls, e.call)
+	for i, a := range e.call.attempts {
 		evs = r.attemptEnded(evs, a, e.results[i])
 	}
 	return evs
 }
 
-// attemptEnded takes the outcome of an attempt: in the log, and for the module.
+// attemptEnded records the outcome of an attempt in the write-ahead log and reports it to the decision module.
 func (r *Relay) attemptEnded(evs []policy.Event, a *attempt, res result) []policy.Event {
-	m := a.m
+	m := a.msg
 	ok := res.outcome == policy.OK
-	if a.over {
-		// It was cut off, and its call went on for others. A delivery still ends the message.
+	if a.finished {
+		// The attempt timed out earlier, while its call went on for other messages. If it was delivered after all, the
+		// message ends now.
 		if ok {
 			m.count(delivered)
-			evs = r.withdraw(evs, m.ID)
+			evs = r.endMessage(evs, m.ID)
 		}
 		return evs
 	}
-	a.over = true
+	a.finished = true
 	if a.timer != nil {
 		a.timer.Stop()
 	}
-	m.out--
+	m.inFlight--
 	switch res.outcome {
 	case policy.Full, policy.ConnectFailed, policy.Moot:
-		r.wal.NeverRan(m.Message, a.n)
+		r.wal.NeverRan(m.Message, a.number)
 	}
-	if ok || res.gone {
-		if res.gone {
+	if ok || res.messageEnded {
+		if res.messageEnded {
 			m.count(failed)
 		} else {
 			m.count(delivered)
 		}
-		r.done(m)
+		r.markEnded(m)
 		r.wal.End(m.Message)
 	}
-	r.retire(m)
+	r.forgetIfFinished(m)
 	return append(evs, policy.Event{
-		Kind: policy.Finished, ID: m.ID, Attempt: a.n, Route: a.route, Outcome: res.outcome, Took: time.Since(a.sent),
-		Ended: ok || res.gone, RetryAfter: res.wait, Report: res.report,
+		Kind: policy.Finished, ID: m.ID, Attempt: a.number, Route: a.route, Outcome: res.outcome, Took: time.Since(a.sentAt),
+		Ended: ok || res.messageEnded, RetryAfter: res.retryAfter, Report: res.report,
 	})
 }
 
-// done books that the module has done with a message.
-func (r *Relay) done(m *message) {
+// markEnded notes that the decision module has finished with a message.
+func (r *Relay) markEnded(m *message) {
 	if m.ended {
 		return
 	}
 	m.ended = true
 	r.held--
-	if m.found {
-		r.recovered.ended(m, time.Now())
-		if r.recovered.left() == 0 {
-			r.log.Info("recovered messages have ended", "counts", r.recovered)
+	if m.recovered {
+		r.recoveryCounts.countEnd(m, time.Now())
+		if r.recoveryCounts.remaining() == 0 {
+			r.log.Info("all recovered messages have ended", "counts", r.recoveryCounts)
 		}
 	}
 }
 
-// retire forgets a message for which nothing is owed and nothing is out.
-func (r *Relay) retire(m *message) {
-	if m.out == 0 && m.ended && !r.wal.Owes(m.Message) {
+// forgetIfFinished drops a message that has ended, has no attempt in flight and no notice to deliver.
+func (r *Relay) forgetIfFinished(m *message) {
+	if m.inFlight == 0 && m.ended && !r.wal.Owes(m.Message) {
 		delete(r.msgs, m.ID)
-		if r.traces[m.Trace] == m {
-			delete(r.traces, m.Trace)
+		if r.byTrace[m.Trace] == m {
+			delete(r.byTrace, m.Trace)
 		}
 	}
 }
 
-// list takes a list of hosts, or changes to it. An entry that cannot be read is passed over; if it names a host
-// that is known, that host stays as it was.
-func (r *Relay) list(l List) policy.Event {
+// applyList applies a complete host list, or changes to the current one. An unreadable entry is ignored; if it names a
+// known host, that host stays as it was.
+func (r *Relay) applyList(l HostList) policy.Event {
 	e := policy.Event{Kind: policy.ListChanges}
 	if l.Full {
 		e.Kind = policy.ListWhole
 	}
-	routes := map[string]target{}
+	routes := map[string]listedHost{}
 	for _, raw := range l.Entries {
-		entry, addr, err := r.cfg.listing(raw)
+		entry, addr, err := r.cfg.parseHost(raw)
 		if err != nil {
-			r.oddEntry(raw, err)
+			r.logBadEntry(raw, err)
 			if known, ok := r.routes[entry.Route]; ok {
 				routes[entry.Route] = known
 				e.List = append(e.List, known.Listing)
@@ -199,29 +204,30 @@
 		if entry.Gone {
 			delete(r.routes, entry.Route)
 		} else {
-			routes[entry.Route] = target{entry, addr}
+			routes[entry.Route] = listedHost{entry, addr}
 		}
 	}
 	if l.Full {
 		r.routes = routes
 	} else {
-		for id, t := range routes {
-			r.routes[id] = t
+		for id, host := range routes {
+			r.routes[id] = host
 		}
 	}
 	if len(r.routes) > 0 {
-		r.listed.Store(true)
+		r.hasList.Store(true)
 	}
 	r.listVersion = l.Version
 	return e
 }
 
-// oddEntry says that an entry of a list cannot be read: once in a while, with how often that came.
-func (r *Relay) oddEntry(raw []byte, err error) {
-	r.oddEntries++
-	if time.Since(r.oddEntryAt) < oddEvery {
+// logBadEntry logs that an entry of a host list is unreadable. It logs at most once per badValueLogInterval, with the
+// number of such entries since the last line.
+func (r *Relay) logBadEntry(raw []byte, err error) {
+	r.badEntries++
+	if time.Since(r.badEntryLoggedAt) < badValueLogInterval {
 		return
 	}
-	r.log.Warn("unreadable entry of the list", "entry", string(raw[:min(len(raw), 200)]), "err", err, "times", r.oddEntries)
-	r.oddEntryAt, r.oddEntries = time.Now(), 0
+	r.log.Warn("unreadable entry in the host list", "entry", string(raw[:min(len(raw), 200)]), "err", err, "times", r.badEntries)
+	r.badEntryLoggedAt, r.badEntries = time.Now(), 0
 }
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -21,77 +21,83 @@
 	"wallflow/policy"
 )
 
-// A relay of a fleet takes messages on under the policy that its agent tells, and under none while it does not know which that
-// is. It speaks with its agent alone. Without the block "fleet" in the configuration nothing here runs.
+// This file holds the fleet membership of a relay. A relay of a fleet accepts messages only under the fleet policy that its
+// agent reports to be in force, and none while it does not know that policy. It talks only to its agent. Without a "fleet"
+// block in the configuration nothing of this runs.
+//
+// A change of policy takes two phases. The relay first reports whether it can follow the new policy, and then promises to
+// stop accepting messages under the old one after a given time unless it learns the outcome of the change by then.
 
 const (
-	wordFor     = 1500 * time.Millisecond // that an agent may wait for news
-	wordIn      = 3 * time.Second
-	wordMost    = 1 << 20
-	wordPause   = 200 * time.Millisecond
-	letInFor    = 3 * time.Second
-	turnRetried = 2 * time.Second
+	agentPollWait    = 1500 * time.Millisecond // how long the agent may delay its reply until something changes
+	agentTimeout     = 3 * time.Second
+	maxReplyBytes    = 1 << 20
+	agentRetryPause  = 200 * time.Millisecond
+	admissionTimeout = 3 * time.Second
+	policyRetryDelay = 2 * time.Second
 )
 
-// fleetLink is the relay's side of its agent.
-type fleetLink struct {
-	agent  string
-	log    *slog.Logger
-	client *http.Client
-	nudge  func() // has the loop look
+// fleetClient exchanges the relay's status and the fleet policy with the agent.
+type fleetClient struct {
+	agent       string
+	log         *slog.Logger
+	client      *http.Client
+	requestStep func() // asks the loop for a step
 
-	mu     sync.Mutex
-	base   Config // without a policy
-	gate   accord.Gate
-	docs   map[int64]*accord.Document // that the gate follows or will; nil: the policy has none
-	says   accord.Says
-	word   accord.Word // the last, of documents none
-	halted bool
-	kick   context.CancelFunc
-	said   string
+	mu         sync.Mutex
+	baseConfig Config // the configuration without a fleet policy
+	gate       accord.Gate
+	docs       map[int64]*accord.Document // of the policies that the gate follows or may follow; nil: the policy has none
+	status     accord.Says
+	lastReply  accord.Word        // without its documents
+	halted     bool               // the fleet no longer admits this relay
+	interrupt  context.CancelFunc // ends the exchange in progress, so that a new status is sent at once
+	lastError  string             // last logged error of an exchange
 }
 
-func newFleetLink(cfg Config, log *slog.Logger, nudge func()) (*fleetLink, error) {
+func newFleetClient(cfg Config, log *slog.Logger, requestStep func()) (*fleetClient, error) {
 	self, err := accord.Self()
 	if err != nil {
 		return nil, err
 	}
-	return &fleetLink{agent: cfg.FleetAgent, log: log, client: &http.Client{Timeout: wordIn, Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}},
-		nudge: nudge, base: cfg, docs: map[int64]*accord.Document{}, says: accord.Says{Process: self, Follows: -1}}, nil
+	return &fleetClient{agent: cfg.FleetAgent, log: log, client: &http.Client{Timeout: agentTimeout,
+		Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}}, requestStep: requestStep, baseConfig: cfg,
+		docs: map[int64]*accord.Document{}, status: accord.Says{Process: self, Follows: -1}}, nil
 }
 
-// rebase notes a new configuration: what a policy may name depends on it.
-func (f *fleetLink) rebase(base Config) {
+// setBaseConfig sets a new configuration. Which policies the relay can follow depends on it.
+func (f *fleetClient) setBaseConfig(base Config) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.base = base
+	f.baseConfig = base
 }
 
-// ready tells whether the relay knows the policy in force.
-func (f *fleetLink) ready() bool {
+// ready reports whether the relay knows the policy in force and is admitted.
+func (f *fleetClient) ready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.says.Follows >= 0 && !f.halted
+	return f.status.Follows >= 0 && !f.halted
 }
 
-// takesUnder tells whether a message may be taken on under a policy now.
-func (f *fleetLink) takesUnder(number int64, now time.Time) bool {
+// acceptsUnder reports whether messages may be accepted under the given policy now.
+func (f *fleetClient) acceptsUnder(number int64, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n, ok := f.gate.Takes(now)
 	return ok && n == number && !f.halted
 }
 
-// stamped checks a message's stamp. The gate may have gone over between its being asked and now, and never back.
-func (f *fleetLink) stamped(number int64) {
+// checkStamp checks the invariant that a message is not stamped with a policy newer than the one in force. The gate may
+// have switched to a newer policy since acceptsUnder, but never to an older one.
+func (f *fleetClient) checkStamp(number int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n, known := f.gate.Follows(time.Now())
 	invariant.Holds(invariant.StampFits, known && number <= n, number, n, known)
 }
 
-// turn returns the policy that messages are to be taken on under now, where it is not the one that the loop follows.
-func (f *fleetLink) turn(follows int64, now time.Time) (number int64, doc *accord.Document, turned bool) {
+// nextPolicy returns the policy under which messages must be accepted now, if it differs from the one that the loop follows.
+func (f *fleetClient) nextPolicy(follows int64, now time.Time) (number int64, doc *accord.Document, changed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n, known := f.gate.Follows(now)
@@ -101,164 +107,166 @@
 	return n, f.docs[n], true
 }
 
-// turned notes that the loop follows a policy, and tells the agent soon.
-func (f *fleetLink) turned(number int64) {
+// policyFollowed notes that the loop follows a policy, and reports that to the agent at once.
+func (f *fleetClient) policyFollowed(number int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.says.Follows = number
+	f.status.Follows = number
 	for n := range f.docs {
 		if n < number {
 			delete(f.docs, n)
 		}
 	}
-	if f.kick != nil {
-		f.kick()
+	if f.interrupt != nil {
+		f.interrupt()
 	}
 }
 
-// run speaks with the agent until ctx ends.
-func (f *fleetLink) run(ctx context.Context) {
+// run exchanges status and policy with the agent until ctx ends.
+func (f *fleetClient) run(ctx context.Context) {
 	defer f.client.CloseIdleConnections()
 	for ctx.Err() == nil {
 		err := f.exchange(ctx)
 		if err == nil || ctx.Err() != nil {
-			f.said = ""
+			f.lastError = ""
 			continue
 		}
-		if err.Error() != f.said {
-			f.said = err.Error()
-			f.log.Warn("the agent does not tell the fleet's policy", "agent", f.agent, "err", err)
+		if err.Error() != f.lastError {
+			f.lastError = err.Error()
+			f.log.Warn("no fleet policy from the agent", "agent", f.agent, "err", err)
 		}
-		sleep(ctx, wordPause/2+rand.N(wordPause))
+		sleep(ctx, agentRetryPause/2+rand.N(agentRetryPause))
 	}
 }
 
-// exchange says what there is to say, and takes the agent's word.
-func (f *fleetLink) exchange(ctx context.Context) error {
+// exchange sends the relay's status to the agent, with a promise if one is due, and handles the reply.
+func (f *fleetClient) exchange(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	f.mu.Lock()
-	asked := time.Now() // before anybody can know of a promise
-	if c := f.word.Change; c != nil && c.Phase == accord.Armed && f.says.Can == c.Number && f.says.Promised != c.Number {
-		f.gate.Promise(c.Number, asked, time.Duration(c.HoldMS)*time.Millisecond)
-		f.says.Promised = c.Number
+	askedAt := time.Now() // before anyone can know of the promise; its time limit counts from here
+	if c := f.lastReply.Change; c != nil && c.Phase == accord.Armed && f.status.Can == c.Number && f.status.Promised != c.Number {
+		f.gate.Promise(c.Number, askedAt, time.Duration(c.HoldMS)*time.Millisecond)
+		f.status.Promised = c.Number
 		f.log.Info("change of policy promised", "number", c.Number, "hold_ms", c.HoldMS)
 	}
-	says, have := f.says, f.word
-	kicked := false
-	f.kick = func() { kicked = true; cancel() }
+	status, have := f.status, f.lastReply
+	interrupted := false
+	f.interrupt = func() { interrupted = true; cancel() }
 	f.mu.Unlock()
-	w, err := say(ctx, f.client, f.agent, says, have, wordFor)
-	at := time.Now()
+	reply, err := sendStatus(ctx, f.client, f.agent, status, have, agentPollWait)
+	receivedAt := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.kick = nil
+	f.interrupt = nil
 	if err != nil {
-		if kicked {
+		if interrupted {
 			return nil
 		}
 		return err
 	}
-	return f.take(w, at)
+	return f.handleReply(reply, receivedAt)
 }
 
-// take takes the agent's word, which was there at a time. It is called with the lock held.
-func (f *fleetLink) take(w accord.Word, at time.Time) error {
-	if w.Halt && !f.halted {
-		f.halted, f.says.Halted = true, true
-		f.log.Error("nothing is taken on any more: the fleet has no place for this relay", "why", w.Why)
+// handleReply handles a reply of the agent that was received at receivedAt. The caller holds the lock.
+func (f *fleetClient) handleReply(reply accord.Word, receivedAt time.Time) error {
+	if reply.Halt && !f.halted {
+		f.halted, f.status.Halted = true, true
+		f.log.Error("accepting no more messages: the fleet does not admit this relay", "why", reply.Why)
 	}
-	if w.Admitted {
-		if err := f.inForce(w, at); err != nil {
+	if reply.Admitted {
+		if err := f.followInForce(reply, receivedAt); err != nil {
 			return err
 		}
 	}
 	for _, p := range f.gate.Promised() {
-		if p <= w.Decided && p > w.Policy.Number {
+		if p <= reply.Decided && p > reply.Policy.Number {
 			f.gate.Dropped(p)
 			f.log.Info("change of policy dropped", "number", p)
 		}
 	}
-	if c := w.Change; c != nil && c.Number != f.says.Can && c.Number != f.says.Cannot {
+	if c := reply.Change; c != nil && c.Number != f.status.Can && c.Number != f.status.Cannot {
 		doc, err := accord.Read(c.Document)
 		if err == nil {
-			_, err = f.base.under(doc)
+			_, err = f.baseConfig.withPolicy(doc)
 		}
 		if err != nil {
-			f.says.Cannot, f.says.Why = c.Number, err.Error()
+			f.status.Cannot, f.status.Why = c.Number, err.Error()
 			f.log.Warn("change of policy cannot be followed", "number", c.Number, "err", err)
 		} else {
-			f.says.Can = c.Number
+			f.status.Can = c.Number
 			f.docs[c.Number] = doc
 		}
 	}
-	f.word = w
-	f.word.Policy.Document = nil
-	if w.Change != nil {
-		c := *w.Change
+	f.lastReply = reply
+	f.lastReply.Policy.Document = nil
+	if reply.Change != nil {
+		c := *reply.Change
 		c.Document = nil
-		f.word.Change = &c
+		f.lastReply.Change = &c
 	}
 	return nil
 }
 
-// inForce has the gate follow the policy in force, once its time has come.
-func (f *fleetLink) inForce(w accord.Word, at time.Time) error {
-	n := w.Policy.Number
-	if follows, known := f.gate.Follows(at); known && n <= follows {
+// followInForce makes the gate follow the policy in force from the time when that begins.
+func (f *fleetClient) followInForce(reply accord.Word, receivedAt time.Time) error {
+	n := reply.Policy.Number
+	if follows, known := f.gate.Follows(receivedAt); known && n <= follows {
 		return nil
 	}
 	if _, ok := f.docs[n]; !ok {
 		var doc *accord.Document
 		if n > 0 {
 			var err error
-			if doc, err = accord.Read(w.Policy.Document); err == nil {
-				_, err = f.base.under(doc)
+			if doc, err = accord.Read(reply.Policy.Document); err == nil {
+				_, err = f.baseConfig.withPolicy(doc)
 			}
 			if err != nil {
-				return fmt.Errorf("policy %d is in force, and cannot be followed: %w", n, err)
+				return fmt.Errorf("policy %d is in force but cannot be followed: %w", n, err)
 			}
 		}
 		f.docs[n] = doc
 	}
-	begin := at.Add(time.Duration(w.BeginInMS) * time.Millisecond)
+	begin := receivedAt.Add(time.Duration(reply.BeginInMS) * time.Millisecond)
 	f.gate.Follow(n, begin)
-	time.AfterFunc(time.Until(begin), f.nudge) // ends by itself, and a loop that has ended takes no notice
+	time.AfterFunc(time.Until(begin), f.requestStep) // needs no Stop: an event for a loop that has ended is dropped
 	return nil
 }
 
-// say tells the agent what a process says, and returns its word.
-func say(ctx context.Context, client *http.Client, agent string, says accord.Says, have accord.Word, wait time.Duration) (w accord.Word, err error) {
+// sendStatus sends a process's status to the agent and returns the reply. The agent may delay the reply by up to wait if
+// it has nothing newer than have.
+func sendStatus(ctx context.Context, client *http.Client, agent string, status accord.Says, have accord.Word,
+	wait time.Duration) (reply accord.Word, err error) {
 	body, err := json.Marshal(struct {
 		accord.Says
 		Have   accord.Word `json:"have"`
 		WaitMS int64       `json:"wait_ms"`
-	}{says, have, wait.Milliseconds()})
+	}{status, have, wait.Milliseconds()})
 	if err != nil {
-		return w, err
+		return reply, err
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+agent+"/fleet/relay", bytes.NewReader(body))
 	if err != nil {
-		return w, err
+		return reply, err
 	}
 	req.Header.Set("Content-Type", "application/json")
 	res, err := client.Do(req)
 	if err != nil {
-		return w, err
+		return reply, err
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(res.Body, wordMost))
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
 	if err != nil {
-		return w, err
+		return reply, err
 	}
 	if res.StatusCode != http.StatusOK {
-		return w, fmt.Errorf("it answers %s", res.Status)
+		return reply, fmt.Errorf("agent answers %s", res.Status)
 	}
-	return w, json.Unmarshal(text, &w)
+	return reply, json.Unmarshal(text, &reply)
 }
 
-// letIn waits until the agent lets this process in, where the configuration has one.
-func letIn(ctx context.Context, cfg Config) error {
+// awaitAdmission waits until the agent admits this process to the fleet. It returns at once if the configuration has none.
+func awaitAdmission(ctx context.Context, cfg Config) error {
 	if cfg.FleetAgent == "" {
 		return nil
 	}
@@ -266,48 +274,49 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, letInFor)
+	ctx, cancel := context.WithTimeout(ctx, admissionTimeout)
 	defer cancel()
-	client := &http.Client{Timeout: wordIn, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: agentTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for have := (accord.Word{}); ; {
-		w, err := say(ctx, client, cfg.FleetAgent, accord.Says{Process: self, Follows: -1}, have, letInFor)
+		reply, err := sendStatus(ctx, client, cfg.FleetAgent, accord.Says{Process: self, Follows: -1}, have, admissionTimeout)
 		switch {
 		case err != nil:
-			return fmt.Errorf("the agent does not let this process in: %w", err)
-		case w.Admitted:
+			return fmt.Errorf("the agent does not admit this process: %w", err)
+		case reply.Admitted:
 			return nil
-		case w.Halt:
-			return errors.New("the agent does not let this process in: " + w.Why)
+		case reply.Halt:
+			return errors.New("the agent does not admit this process: " + reply.Why)
 		}
-		have = w
+		have = reply
 	}
 }
 
-// turnPolicy has the module go by the policy in force, where that is another one now.
-func (r *Relay) turnPolicy() []policy.Event {
+// switchPolicy applies the policy in force if it has changed, and returns the events for the decision module.
+func (r *Relay) switchPolicy() []policy.Event {
 	if r.fleet == nil {
 		return nil
 	}
-	number, doc, turned := r.fleet.turn(r.follows, time.Now())
-	if !turned {
+	number, doc, changed := r.fleet.nextPolicy(r.policyNumber, time.Now())
+	if !changed {
 		return nil
 	}
-	was := r.document
-	r.document = doc
-	evs := r.reconfigure(r.base)
-	if evs == nil { // its configuration was changed since it said that it can: nothing is taken on
-		r.document = was
-		time.AfterFunc(turnRetried, func() { r.post(nudge{}) })
+	previous := r.policyDocument
+	r.policyDocument = doc
+	evs := r.reconfigure(r.baseConfig)
+	if evs == nil { // the configuration has changed since the relay reported that it can follow: accept nothing until it fits
+		r.policyDocument = previous
+		time.AfterFunc(policyRetryDelay, func() { r.post(stepRequest{}) })
 		return nil
 	}
-	r.follows = number
-	r.fleet.turned(number)
-	r.log.Info("policy taken hold of", "number", number)
+	r.policyNumber = number
+	r.fleet.policyFollowed(number)
+	r.log.Info("following a new fleet policy", "number", number)
 	return evs
 }
 
-// under is the configuration as a policy changes it; the policy's place that it cannot follow is named.
-func (c Config) under(doc *accord.Document) (Config, error) {
+// withPolicy returns the configuration with a fleet policy applied. If the policy does not fit the configuration, the error
+// names the field of the policy that does not.
+func (c Config) withPolicy(doc *accord.Document) (Config, error) {
 	if doc == nil {
 		return c, nil
 	}
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -24,42 +24,43 @@
 	"wallflow/policy"
 )
 
-// idleShare is the share of the hosts' keep-alive limit after which the relay closes an idle connection itself.
-// Guards against a request that crosses the host's own close: it ends as a reset, which may have run.
-const idleShare = 0.8
+// idleFraction is the fraction of the hosts' keep-alive limit after which the relay closes an idle connection itself. A
+// request that crosses the host's own close would end as a reset, and could not be told from one that has run.
+const idleFraction = 0.8
 
-// answerMost is the most that is read of an answer.
-const answerMost = 1 << 20
+// maxAnswerBytes is how much of an answer's body is read.
+const maxAnswerBytes = 1 << 20
 
-// reportMost is more than any figure of a load report is, and oddEvery how often nonsense is logged at most.
+// maxReportValue is above any valid value in a load report. badValueLogInterval is the least time between two log lines
+// about invalid input from hosts, or from discovery.
 const (
-	reportMost = 1e6
-	oddEvery   = 10 * time.Second
+	maxReportValue      = 1e6
+	badValueLogInterval = 10 * time.Second
 )
 
-// restFor is how long the body of an answer may take behind its head, where it means nothing.
-const restFor = 100 * time.Millisecond
+// bodyTimeout is how long the body of an answer may take after its header if the body carries no information.
+const bodyTimeout = 100 * time.Millisecond
 
 var errTooManyConns = errors.New("all connections that the relay may hold are in use")
 
-// hosts makes the outbound calls and keeps their connections. It pools them itself, over http.ClientConn: a
-// Transport's own pool sends some requests again by itself, which a message that must not run twice can't bear,
-// and dials where nobody can look again before the request is written.
-type hosts struct {
+// hostPool makes the outbound calls and pools their connections. It has a pool of its own, on http.ClientConn, for two
+// reasons: http.Transport repeats some requests by itself, which is wrong for a message that must not run twice, and it
+// offers no way to check again between dialing and writing whether a request may still be sent.
+type hostPool struct {
 	transport      *http.Transport
 	connectTimeout time.Duration
-	idleFor        time.Duration
-	reports        []string
-	log            *slog.Logger // nil: nothing is said
+	idleTimeout    time.Duration
+	reportFields   []string
+	log            *slog.Logger // nil: nothing is logged
 
-	mu     sync.Mutex
-	most   int                            // connections
-	idle   map[string][]*idleConn         // by address, the last used last
-	open   int                            // connections, idle or not
-	lines  map[*http.ClientConn]*lineConn // of the open ones
-	closed bool
-	oddAt  time.Time // when nonsense in an answer was logged last
-	odd    int       // and how often it came since
+	mu               sync.Mutex
+	maxConns         int                            // limit on open connections
+	idle             map[string][]*idleConn         // by address, the most recently used last
+	open             int                            // connections, idle or not
+	hostConns        map[*http.ClientConn]*hostConn // of open connections
+	closed           bool
+	badValueLoggedAt time.Time // when an invalid value in an answer was last logged
+	badValues        int       // invalid values since then
 }
 
 type idleConn struct {
@@ -68,271 +69,276 @@
 	timer *time.Timer
 }
 
-// call is one request to a host, with one message or several.
+// call is one HTTP request to a host. It carries one message, or several as a bundle.
 type call struct {
-	id       int // this process's number for it
+	id       int // unique in this process
 	route    string
 	addr     string
 	zone     int
-	sent     time.Time
-	until    time.Time // given up then
-	leaveBy  time.Time // its first byte must not be written later: a message's deduplication window ends. Zero: at any time
+	sentAt   time.Time
+	deadline time.Time // of the whole call, its answer included
+	writeBy  time.Time // latest time to write the first byte: a message's deduplication window ends then; zero: no limit
 	attempts []*attempt
-	size     int // of the body, at most, if it carries several
+	size     int // upper bound for the size of a bundle's body in bytes
 }
 
 // attempt is one message's part in a call.
 type attempt struct {
 	*call
-	m     *message
-	n     int
-	until time.Time
-	timer *time.Timer // ends it before the rest of its call; nil if it ends with it
-	over  bool        // its outcome is told
+	msg      *message
+	number   int
+	deadline time.Time
+	timer    *time.Timer // times the attempt out before its call ends; nil if they have the same deadline
+	finished bool        // its outcome has been reported
 
-	// journaled tells that the log has it: nothing of it may be written before. It is the loop's; a call that waits for the loop's
-	// word may read it.
-	journaled bool
+	// recorded says that the attempt is in the write-ahead log. Nothing of it may be sent before. The loop sets it before it
+	// starts the call or while the call's goroutine waits for clearance, so that the goroutine reads it without a lock.
+	recorded bool
 }
 
 // result is how an attempt ended.
 type result struct {
-	outcome policy.Outcome
-	gone    bool // the message is over: nothing more is owed
-	wait    time.Duration
-	report  policy.Report
+	outcome      policy.Outcome
+	messageEnded bool // the host says that the message needs no further attempt and no notice
+	retryAfter   time.Duration
+	report       policy.Report
 }
 
-func newHosts(cfg Config) *hosts {
-	return &hosts{
-		// No proxy, no compression, no redirects: a ClientConn follows none.
+func newHostPool(cfg Config) *hostPool {
+	return &hostPool{
+		// No proxy and no compression. A ClientConn does not follow redirects.
 		transport: &http.Transport{
 			DialContext:            dialHost,
 			DisableCompression:     true,
 			MaxResponseHeaderBytes: 16 << 10,
 		},
 		connectTimeout: cfg.ConnectTimeout,
-		idleFor:        time.Duration(idleShare * float64(cfg.KeepAlive)),
-		reports:        cfg.Reports,
-		most:           shares(cfg.Limits.Sockets).hosts,
+		idleTimeout:    time.Duration(idleFraction * float64(cfg.KeepAlive)),
+		reportFields:   cfg.ReportFields,
+		maxConns:       connLimitsFor(cfg.Limits.Sockets).hosts,
 		idle:           map[string][]*idleConn{},
-		lines:          map[*http.ClientConn]*lineConn{},
+		hostConns:      map[*http.ClientConn]*hostConn{},
 	}
 }
 
-// do makes a call and tells the end of each of its attempts, in their order. clear is asked once more, before
-// the request is written, which of them may leave where a new connection had to come up first. A kept connection on which
-// the host's close, or rubbish, has come by then carries nothing: the call goes on the next one.
-func (h *hosts) do(ctx context.Context, c *call, clear func(*call) []*attempt) []result {
-	ctx, cancel := context.WithDeadline(ctx, c.until)
+// makeCall makes a call and returns the result of each of its attempts, in order. If it had to wait for a new connection,
+// it calls requestClearance before writing the request, to learn which attempts may still be sent. A pooled connection
+// that the host has closed by then, or on which it has sent unexpected data, is not used: the call is made on another one.
+func (h *hostPool) makeCall(ctx context.Context, c *call, requestClearance func(*call) []*attempt) []result {
+	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
-	for again := false; ; again = true {
-		conn, fresh, err := h.conn(ctx, c.addr)
+	for retrying := false; ; retrying = true {
+		conn, fresh, err := h.acquire(ctx, c.addr)
 		if err != nil {
-			return alike(c, result{outcome: policy.ConnectFailed})
+			return sameResult(c, result{outcome: policy.ConnectFailed})
 		}
-		going := c
-		if fresh || again || !c.journaled() {
-			// While the connection came up, a drain or a wait may have been told, or a message's time to be repeated ended.
-			// A host that was away answers the second try for a connection, a whole second after the first.
-			going = c.only(clear(c))
+		cleared := c
+		if fresh || retrying || !c.recorded() {
+			// Meanwhile the host may have been drained or have asked for a pause, or the time in which a message may be
+			// repeated may have ended: if a host has dropped the first SYN, connecting takes over a second.
+			cleared = c.subset(requestClearance(c))
 		}
-		if len(going.attempts) == 0 {
-			h.put(c.addr, conn)
-			return alike(c, result{outcome: policy.Moot})
+		if len(cleared.attempts) == 0 {
+			h.release(c.addr, conn)
+			return sameResult(c, result{outcome: policy.Moot})
 		}
-		req, err := newRequest(ctx, going)
+		req, err := newRequest(ctx, cleared)
 		if err != nil {
-			h.put(c.addr, conn)
-			return alike(c, result{outcome: policy.Moot})
+			h.release(c.addr, conn)
+			return sameResult(c, result{outcome: policy.Moot})
 		}
-		results, spent := h.exchange(req, going, conn)
-		if !spent && !c.leaveBy.IsZero() && time.Now().After(c.leaveBy) {
-			return alike(c, result{outcome: policy.Moot}) // and the host is not at fault
+		results, final := h.exchange(req, cleared, conn)
+		if !final && !c.writeBy.IsZero() && time.Now().After(c.writeBy) {
+			return sameResult(c, result{outcome: policy.Moot}) // writeBy has passed; that is not the host's fault
 		}
-		if spent || fresh || ctx.Err() != nil {
-			return c.all(going, results)
+		if final || fresh || ctx.Err() != nil {
+			return c.mergeResults(cleared, results)
 		}
 	}
 }
 
-// only is a call of some of its attempts.
-func (c *call) only(going []*attempt) *call {
-	if len(going) == len(c.attempts) {
+// subset returns a copy of the call with some of its attempts.
+func (c *call) subset(attempts []*attempt) *call {
+	if len(attempts) == len(c.attempts) {
 		return c
 	}
-	part := *c
-	part.attempts = going
-	return &part
+	sub := *c
+	sub.attempts = attempts
+	return &sub
 }
 
-// journaled tells whether the log has all of the call.
-func (c *call) journaled() bool {
-	return !slices.ContainsFunc(c.attempts, func(a *attempt) bool { return !a.journaled })
+// recorded reports whether all attempts of the call are in the write-ahead log.
+func (c *call) recorded() bool {
+	return !slices.ContainsFunc(c.attempts, func(a *attempt) bool { return !a.recorded })
 }
 
-// all gives every attempt of a call its end, those that did not go among them.
-func (c *call) all(going *call, ends []result) []result {
-	if going == c {
-		return ends
+// mergeResults returns a result for every attempt of c. made is the call that was made with some of c's attempts, and
+// results are theirs; the other attempts were not sent.
+func (c *call) mergeResults(made *call, results []result) []result {
+	if made == c {
+		return results
 	}
-	results := alike(c, result{outcome: policy.Moot})
-	for i, a := range going.attempts {
-		results[slices.Index(c.attempts, a)] = ends[i]
+	merged := sameResult(c, result{outcome: policy.Moot})
+	for i, a := range made.attempts {
+		merged[slices.Index(c.attempts, a)] = results[i]
 	}
-	return results
+	return merged
 }
 
-// exchange writes the request and reads its answer. Not spent is a request whose last byte was not written.
-func (h *hosts) exchange(req *http.Request, c *call, conn *http.ClientConn) (ends []result, spent bool) {
+// exchange writes the request and reads its answer. If final is false, the request was not written completely and may be
+// sent on another connection.
+func (h *hostPool) exchange(req *http.Request, c *call, conn *http.ClientConn) (results []result, final bool) {
 	ctx, cancel := context.WithCancel(req.Context())
 	defer cancel()
 	h.mu.Lock()
-	line := h.lines[conn]
+	hc := h.hostConns[conn]
 	h.mu.Unlock()
-	if line == nil {
-		line = &lineConn{wrote: true} // of a dial that is not dialHost's: nothing is known of its lines
-	} else if !line.begin(c.leaveBy) {
-		h.drop(conn)
-		return alike(c, result{outcome: policy.ConnectFailed}), false
+	if hc == nil {
+		hc = &hostConn{writeStarted: true} // the connection was not dialed by dialHost and is not tracked
+	} else if !hc.beginRequest(c.writeBy) {
+		h.closeConn(conn)
+		return sameResult(c, result{outcome: policy.ConnectFailed}), false
 	}
-	var written atomic.Bool // as far as the library knows, which still holds some of it back
+	var written atomic.Bool // according to net/http, which may still hold part of it in its buffer
 	trace := &httptrace.ClientTrace{WroteRequest: func(i httptrace.WroteRequestInfo) {
 		if i.Err != nil {
 			return
 		}
 		written.Store(true)
 		for _, a := range c.attempts {
-			a.m.tally.tried()
+			a.msg.counters.countTry()
 		}
 	}}
 	res, err := conn.RoundTrip(req.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	if err != nil {
-		h.drop(conn)
-		whole := written.Load() && !line.cut()
-		if written.Load() && !whole {
+		h.closeConn(conn)
+		complete := written.Load() && !hc.writeFailed()
+		if written.Load() && !complete {
 			for _, a := range c.attempts {
-				a.m.tally.untried()
+				a.msg.counters.uncountTry()
 			}
 		}
-		if len(c.attempts) == 1 && whole && line.ok() {
-			return alike(c, result{outcome: policy.OK}), true // the rest cannot be read, but it was delivered
+		if len(c.attempts) == 1 && complete && hc.statusOK() {
+			return sameResult(c, result{outcome: policy.OK}), true // the answer is unreadable, but its status line says 200
 		}
-		if whole && req.Context().Err() == nil && len(line.said()) > 0 {
-			h.oddity(c.route, "answer", err.Error()) // cut or malformed
+		if complete && req.Context().Err() == nil && len(hc.statusText()) > 0 {
+			h.logBadValue(c.route, "answer", err.Error()) // truncated or malformed
 		}
-		// The last byte tells: without it no host has begun. Whatever is doubtful may have run.
-		return alike(c, result{outcome: broken(req.Context(), whole)}), whole
+		// A host starts only once it has the last byte of the request. If that was written, the message may have run.
+		return sameResult(c, result{outcome: missingAnswerOutcome(req.Context(), complete)}), complete
 	}
-	if !line.answers() { // it came before the request did, and is no answer to it
+	if !hc.answersRequest() { // the host sent it before the request
 		res.Body.Close()
-		h.drop(conn)
-		return alike(c, result{outcome: policy.ConnectFailed}), false
+		h.closeConn(conn)
+		return sameResult(c, result{outcome: policy.ConnectFailed}), false
 	}
 	if len(c.attempts) == 1 {
-		// The head tells all: a body that does not come must keep neither the message nor the slot.
-		late := time.AfterFunc(restFor, cancel)
-		defer late.Stop()
+		// The status and header are enough: a body that never arrives must not delay the outcome or occupy a slot.
+		bodyTimer := time.AfterFunc(bodyTimeout, cancel)
+		defer bodyTimer.Stop()
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, answerMost))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	res.Body.Close()
 	if err != nil {
-		h.drop(conn)
+		h.closeConn(conn)
 		if req.Context().Err() == nil {
-			h.oddity(c.route, "body of an answer", err.Error())
+			h.logBadValue(c.route, "body of an answer", err.Error())
 		}
 	} else {
-		h.put(c.addr, conn)
+		h.release(c.addr, conn)
 	}
-	return h.results(req.Context(), c, res, body, err), true
+	return h.parseAnswer(req.Context(), c, res, body, err), true
 }
 
-// errStale is why a request was not written: on its connection the host has said something, or has closed it.
-var errStale = errors.New("the connection was not clean")
+// errStale means that a request was not written because the host had sent data on its connection, or closed it, or because
+// writeBy had passed.
+var errStale = errors.New("connection not usable for a request")
 
-// readerComes is how long a request waits for the connection's reader to have done with the answer before.
-const readerComes = 50 * time.Millisecond
+// readerTimeout is how long a request waits until net/http has consumed the previous answer on its connection.
+const readerTimeout = 50 * time.Millisecond
 
-// lineConn keeps the beginning of each answer on a connection to a host, its status line, for when the library
-// cannot make sense of what follows. And it has no request written on a connection on which something has come before it:
-// a close, or bytes that would be taken for its answer. The library looks for these too, but not in one step with the write.
-type lineConn struct {
+// hostConn is a connection to a host. It keeps the beginning of each answer, so that the status is known even if net/http
+// cannot parse what follows. It also prevents a request from being written after the host has closed the connection or
+// sent bytes that would be taken for the answer; net/http checks for these too, but not atomically with the write.
+type hostConn struct {
 	net.Conn
-	raw     syscall.RawConn // nil: it is no socket
-	mu      sync.Mutex
-	line    []byte
-	wrote   bool          // a request has begun to be written since begin
-	failed  bool          // a write of it did, or was turned down
-	leaveBy time.Time     // it must not begin to be written later; zero: at any time
-	reading bool          // the library waits for more: it has nothing left of the answer before
-	reads   chan struct{} // closed, and made anew, when it begins to
+	raw          syscall.RawConn // nil: Conn is not a socket
+	mu           sync.Mutex
+	statusLine   []byte
+	writeStarted bool          // writing of a request has started since beginRequest
+	failed       bool          // a write of the request has failed or was not allowed
+	writeBy      time.Time     // latest time to write the first byte of the request; zero: no limit
+	reading      bool          // net/http waits for data: it has consumed the previous answer
+	readStarted  chan struct{} // closed and replaced whenever reading becomes true
 }
 
-// okLine is how long the part of a status line is that tells of a delivery.
-const okLine = len("HTTP/1.1 200 ")
+// statusPrefixLen is the length of the part of a status line that shows a status of 200.
+const statusPrefixLen = len("HTTP/1.1 200 ")
 
-// lineKey is the key of a context under which a dial leaves its lineConn.
-type lineKey struct{}
+// hostConnKey is the context key of the channel on which dialHost returns its hostConn.
+type hostConnKey struct{}
 
+// dialHost connects to a host.
 func dialHost(ctx context.Context, network, addr string) (net.Conn, error) {
 	conn, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
-	return keepLine(ctx, conn), nil
+	return wrapHostConn(ctx, conn), nil
 }
 
-// keepLine puts a lineConn around a connection, and leaves it where the context says.
-func keepLine(ctx context.Context, conn net.Conn) *lineConn {
-	line := &lineConn{Conn: conn, raw: rawOf(conn), reads: make(chan struct{})}
-	if dialed, ok := ctx.Value(lineKey{}).(chan *lineConn); ok {
-		dialed <- line // has room for the one
+// wrapHostConn wraps a connection in a hostConn, and sends that to the channel in the context, if there is one.
+func wrapHostConn(ctx context.Context, conn net.Conn) *hostConn {
+	hc := &hostConn{Conn: conn, raw: rawConnOf(conn), readStarted: make(chan struct{})}
+	if dialed, ok := ctx.Value(hostConnKey{}).(chan *hostConn); ok {
+		dialed <- hc // buffered for one
 	}
-	return line
+	return hc
 }
 
-// begin forgets the call before; the next must not begin to be written after leaveBy. It tells whether the connection is clean: nothing is left of the answer before, for the library
-// reads on only then. The library must not wait for an answer yet.
-func (c *lineConn) begin(leaveBy time.Time) bool {
+// beginRequest prepares the connection for the next request, whose first byte must not be written after writeBy. It
+// returns false if net/http has not consumed the previous answer, so that a rest of it may be left; net/http reads
+// further only once it has. It must be called before the request is passed to net/http.
+func (c *hostConn) beginRequest(writeBy time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.reading {
-		reads, late := c.reads, time.NewTimer(readerComes)
-		defer late.Stop()
+		readStarted, timeout := c.readStarted, time.NewTimer(readerTimeout)
+		defer timeout.Stop()
 		c.mu.Unlock()
 		select {
-		case <-reads:
-		case <-late.C:
+		case <-readStarted:
+		case <-timeout.C:
 		}
 		c.mu.Lock()
 	}
-	c.line, c.wrote, c.failed, c.leaveBy = c.line[:0], false, false, leaveBy
+	c.statusLine, c.writeStarted, c.failed, c.writeBy = c.statusLine[:0], false, false, writeBy
 	return c.reading
 }
 
-func (c *lineConn) Read(b []byte) (int, error) {
+func (c *hostConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	c.reading = true
-	close(c.reads)
-	c.reads = make(chan struct{})
+	close(c.readStarted)
+	c.readStarted = make(chan struct{})
 	c.mu.Unlock()
-	return readBooked(c.Conn, c.raw, &c.mu, b, func(n int, err error) (int, error) { return c.took(b, n, err) })
+	return readAndRecord(c.Conn, c.raw, &c.mu, b, func(n int, err error) (int, error) { return c.recordRead(b, n, err) })
 }
 
-// took books what was read. Its caller has the lock.
-func (c *lineConn) took(b []byte, n int, err error) (int, error) {
+// recordRead records the result of a read. The caller holds the lock.
+func (c *hostConn) recordRead(b []byte, n int, err error) (int, error) {
 	c.reading = false
-	if !c.wrote { // it is no answer, and the request must not be written any more
+	if !c.writeStarted { // not an answer; no request may be written any more
 		c.failed = true
 		return 0, cmp.Or(err, errStale)
 	}
-	c.line = append(c.line, b[:min(n, okLine-len(c.line))]...)
+	c.statusLine = append(c.statusLine, b[:min(n, statusPrefixLen-len(c.statusLine))]...)
 	return n, err
 }
 
-// Write writes a part of a request.
-func (c *lineConn) Write(b []byte) (int, error) {
-	if !c.clean() {
+// Write writes part of a request.
+func (c *hostConn) Write(b []byte) (int, error) {
+	if !c.checkWritable() {
 		return 0, errStale
 	}
 	n, err := c.Conn.Write(b)
@@ -344,53 +350,55 @@
 	return n, err
 }
 
-// clean looks, before the first byte of a request, whether anything has come on the connection since begin, read or not, and
-// whether it is still time: between the decision and this there is a journal to write, a connection to come up, a core to wait for.
-func (c *lineConn) clean() bool {
+// checkWritable checks, before the first byte of a request, that nothing has arrived on the connection since beginRequest,
+// read or unread, and that writeBy has not passed. Time goes by between the decision to send and the write: for the
+// write-ahead log, for a new connection, and while the process waits for a CPU.
+func (c *hostConn) checkWritable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.wrote {
-		c.wrote = true
-		came, ended := pending(c.raw)
-		c.failed = c.failed || came || ended || !c.leaveBy.IsZero() && time.Now().After(c.leaveBy)
+	if !c.writeStarted {
+		c.writeStarted = true
+		unread, ended := peekInput(c.raw)
+		c.failed = c.failed || unread || ended || !c.writeBy.IsZero() && time.Now().After(c.writeBy)
 	}
 	return !c.failed
 }
 
-// answers tells whether what was read can be an answer: the request had begun to be written. Otherwise none of it will be.
-func (c *lineConn) answers() bool {
+// answersRequest reports whether what was read can be an answer, which means that writing the request had started. If
+// not, the request will not be written any more.
+func (c *hostConn) answersRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.failed = c.failed || !c.wrote
+	c.failed = c.failed || !c.writeStarted
 	return !c.failed
 }
 
-// said is the beginning of the answer.
-func (c *lineConn) said() string {
+// statusText returns the beginning of the answer's status line.
+func (c *hostConn) statusText() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return string(c.line)
+	return string(c.statusLine)
 }
 
-// cut tells whether the request was not written whole.
-func (c *lineConn) cut() bool {
+// writeFailed reports whether the request was not written completely.
+func (c *hostConn) writeFailed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.failed
 }
 
-// ok tells whether the answer's first line says 200.
-func (c *lineConn) ok() bool {
+// statusOK reports whether the answer's status line says 200.
+func (c *hostConn) statusOK() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.line) < okLine || !bytes.HasPrefix(c.line, []byte("HTTP/1.")) || string(c.line[8:12]) != " 200" {
+	if len(c.statusLine) < statusPrefixLen || !bytes.HasPrefix(c.statusLine, []byte("HTTP/1.")) || string(c.statusLine[8:12]) != " 200" {
 		return false
 	}
-	return bytes.IndexByte([]byte(" \r\n"), c.line[12]) >= 0
+	return bytes.IndexByte([]byte(" \r\n"), c.statusLine[12]) >= 0
 }
 
-// broken is the outcome of a call whose answer did not come.
-func broken(ctx context.Context, written bool) policy.Outcome {
+// missingAnswerOutcome returns the outcome of a call without a usable answer.
+func missingAnswerOutcome(ctx context.Context, written bool) policy.Outcome {
 	switch {
 	case !written:
 		return policy.ConnectFailed
@@ -402,15 +410,15 @@
 	return policy.Reset
 }
 
-// newRequest makes the request of a call. Its body cannot be rewound, so that no library sends it again.
+// newRequest returns the HTTP request of a call. Its body cannot be rewound, so that net/http cannot repeat it.
 func newRequest(ctx context.Context, c *call) (*http.Request, error) {
-	path, body := "/events", c.attempts[0].m.Body
-	header := http.Header{"X-Expires-In-Ms": {strconv.FormatInt(max(1, time.Until(c.until).Milliseconds()), 10)}}
+	path, body := "/events", c.attempts[0].msg.Body
+	header := http.Header{"X-Expires-In-Ms": {strconv.FormatInt(max(1, time.Until(c.deadline).Milliseconds()), 10)}}
 	if len(c.attempts) > 1 {
-		path, body = "/events/bundle", bundle(c)
+		path, body = "/events/bundle", encodeBundle(c)
 		header.Set("Content-Type", "application/json")
 	} else {
-		m := c.attempts[0].m
+		m := c.attempts[0].msg
 		header.Set("X-Trace-Id", m.Trace)
 		if m.Key != "" {
 			header.Set("Idempotency-Key", m.Key)
@@ -427,73 +435,75 @@
 	return req, nil
 }
 
-// item is a message in a bundle.
-type item struct {
+// bundleItem is a message in a bundle, a call with several messages.
+type bundleItem struct {
 	ID   string `json:"id"`
 	Key  string `json:"key,omitempty"`
 	Body []byte `json:"body"`
 }
 
-// itemSize is the most that a message takes in a bundle: any byte of an id may be escaped.
-func itemSize(m *message) int {
+// maxItemSize returns an upper bound for the encoded size of a message in a bundle: any byte of an id may be escaped.
+func maxItemSize(m *message) int {
 	return base64.StdEncoding.EncodedLen(len(m.Body)) + 6*(len(m.Trace)+len(m.Key)) + len(`{"id":"","key":"","body":""},[]`)
 }
 
-func bundle(c *call) []byte {
-	items := make([]item, 0, len(c.attempts))
+// encodeBundle returns the body of a call with several messages.
+func encodeBundle(c *call) []byte {
+	items := make([]bundleItem, 0, len(c.attempts))
 	for _, a := range c.attempts {
-		items = append(items, item{a.m.Trace, a.m.Key, append([]byte{}, a.m.Body...)}) // null is no body
+		items = append(items, bundleItem{a.msg.Trace, a.msg.Key, append([]byte{}, a.msg.Body...)}) // never nil, which would be encoded as null
 	}
 	data, err := json.Marshal(items)
 	if err != nil {
-		panic(err) // strings and bytes only: cannot fail
+		panic(err) // cannot happen: strings and bytes only
 	}
 	return data
 }
 
-// results reads an answer. readErr is how the reading of its body ended.
-func (h *hosts) results(ctx context.Context, c *call, res *http.Response, body []byte, readErr error) []result {
-	wait, sense := seconds(res.Header.Get("Retry-After"))
-	if !sense {
-		h.oddity(c.route, "Retry-After", res.Header.Get("Retry-After"))
+// parseAnswer returns the results that an answer stands for. readErr is the error from reading its body.
+func (h *hostPool) parseAnswer(ctx context.Context, c *call, res *http.Response, body []byte, readErr error) []result {
+	wait, valid := parseRetryAfter(res.Header.Get("Retry-After"))
+	if !valid {
+		h.logBadValue(c.route, "Retry-After", res.Header.Get("Retry-After"))
 	}
-	r := result{wait: wait, report: h.report(c.route, res.Header.Get("Endpoint-Load-Metrics"))}
+	r := result{retryAfter: wait, report: h.parseLoadReport(c.route, res.Header.Get("Endpoint-Load-Metrics"))}
 	switch res.StatusCode {
 	case http.StatusOK:
 		if len(c.attempts) > 1 {
-			return h.bundleResults(ctx, c, r, body, readErr)
+			return h.parseBundleAnswer(ctx, c, r, body, readErr)
 		}
-		r.outcome = policy.OK // with the first line: the body means nothing
+		r.outcome = policy.OK // the body carries no information
 	case http.StatusTooManyRequests:
 		r.outcome = policy.Full
 	case http.StatusServiceUnavailable:
 		switch r.outcome = policy.Full; {
 		case res.Header.Get("Slots-Taken") == "1":
 			r.outcome = policy.Moot
-		case res.Close && !r.report.Told && r.wait == 0:
-			// The host holds every connection that it accepts and closes this one: that is no limit, and its pace
-			// is not at fault.
+		case res.Close && !r.report.Told && r.retryAfter == 0:
+			// The host is at its connection limit and closes this one. That says nothing about its rate limit, so it
+			// must not slow the send rate down.
 			r.outcome = policy.ConnectFailed
 		}
 	case http.StatusGatewayTimeout:
 		r.outcome = policy.Moot
 	case http.StatusGone:
-		r.outcome, r.gone = policy.Moot, true
+		r.outcome, r.messageEnded = policy.Moot, true
 	default:
-		r.outcome = policy.Error // 500, and what is not known: it may have run
+		r.outcome = policy.Error // 500 or an unknown status: the message may have run
 	}
-	return alike(c, r)
+	return sameResult(c, r)
 }
 
-// bundleResults reads the end of each message of a bundle. One that is missing or unreadable may have run.
-func (h *hosts) bundleResults(ctx context.Context, c *call, r result, body []byte, readErr error) []result {
+// parseBundleAnswer returns the result of each message of a bundle. A message whose state is missing or unreadable may
+// have run.
+func (h *hostPool) parseBundleAnswer(ctx context.Context, c *call, r result, body []byte, readErr error) []result {
 	unread := r
 	unread.outcome = policy.Error
 	var raw []json.RawMessage
 	if readErr != nil {
-		unread.outcome = broken(ctx, true)
+		unread.outcome = missingAnswerOutcome(ctx, true)
 	} else if err := json.Unmarshal(body, &raw); err != nil {
-		h.oddity(c.route, "answer to a bundle", err.Error())
+		h.logBadValue(c.route, "answer to a bundle", err.Error())
 		raw = nil
 	}
 	states := make(map[string]string, len(raw))
@@ -503,9 +513,9 @@
 			states[item.ID] = item.State
 		}
 	}
-	results := alike(c, unread)
+	results := sameResult(c, unread)
 	for i, a := range c.attempts {
-		switch states[a.m.Trace] {
+		switch states[a.msg.Trace] {
 		case "ok":
 			results[i].outcome = policy.OK
 		case "error":
@@ -513,7 +523,7 @@
 		case "later":
 			results[i].outcome = policy.Full
 		case "gone":
-			results[i].outcome, results[i].gone = policy.Moot, true
+			results[i].outcome, results[i].messageEnded = policy.Moot, true
 		case "exhausted":
 			results[i].outcome = policy.Moot
 		}
@@ -521,48 +531,50 @@
 	return results
 }
 
-// report reads what a host tells of its limit.
-func (h *hosts) report(route, text string) policy.Report {
-	var rep policy.Report
+// parseLoadReport parses the load report of a host, in which it announces its rate limit.
+func (h *hostPool) parseLoadReport(route, text string) policy.Report {
+	var report policy.Report
 	text, ok := strings.CutPrefix(text, "TEXT ")
 	if !ok {
-		return rep
+		return report
 	}
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		if !slices.Contains(h.reports, name) {
+		if !slices.Contains(h.reportFields, name) {
 			continue
 		}
 		x, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(x >= 0 && x <= reportMost) {
-			h.oddity(route, name, value)
+		if err != nil || !(x >= 0 && x <= maxReportValue) {
+			h.logBadValue(route, name, value)
 			continue
 		}
 		switch name {
 		case "x0":
-			rep.Left = x
+			report.Left = x
 		case "x1":
-			rep.Limit, rep.Told = x, true
+			report.Limit, report.Told = x, true
 		}
 	}
-	return rep
+	return report
 }
 
-// oddity says that a host sent what makes no sense and is passed over: once in a while, with how often it came.
-func (h *hosts) oddity(route, field, value string) {
+// logBadValue logs that a host sent an invalid value, which is ignored. It logs at most once per badValueLogInterval, with
+// the number of such values since the last line.
+func (h *hostPool) logBadValue(route, field, value string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.odd++
-	if h.log == nil || time.Since(h.oddAt) < oddEvery {
+	h.badValues++
+	if h.log == nil || time.Since(h.badValueLoggedAt) < badValueLogInterval {
 		return
 	}
-	h.log.Warn("nonsense in an answer passed over", "route", route, "field", field, "value", value[:min(len(value), 80)],
-		"times", h.odd)
-	h.oddAt, h.odd = time.Now(), 0
+	h.log.Warn("invalid value in an answer ignored", "route", route, "field", field, "value", value[:min(len(value), 80)],
+		"times", h.badValues)
+	h.badValueLoggedAt, h.badValues = time.Now(), 0
 }
 
-// seconds reads a Retry-After, whole or decimal; 0 if there is none that can be read, and whether it makes sense.
-func seconds(text string) (wait time.Duration, sense bool) {
+// parseRetryAfter parses a Retry-After header in seconds, whole or decimal. It returns 0 if there is none, and false if it
+// is invalid.
+func parseRetryAfter(text string) (wait time.Duration, valid bool) {
 	if text == "" {
 		return 0, true
 	}
@@ -573,8 +585,8 @@
 	return time.Duration(x * float64(time.Second)), true
 }
 
-// alike gives every attempt of a call the same end.
-func alike(c *call, r result) []result {
+// sameResult returns the same result for every attempt of a call.
+func sameResult(c *call, r result) []result {
 	results := make([]result, len(c.attempts))
 	for i := range results {
 		results[i] = r
@@ -582,22 +594,22 @@
 	return results
 }
 
-// conn returns an idle connection to addr, else a new one; fresh tells which.
-func (h *hosts) conn(ctx context.Context, addr string) (conn *http.ClientConn, fresh bool, err error) {
+// acquire returns an idle connection to addr, or else a new one; fresh reports whether it is new.
+func (h *hostPool) acquire(ctx context.Context, addr string) (conn *http.ClientConn, fresh bool, err error) {
 	h.mu.Lock()
 	for list := h.idle[addr]; len(list) > 0; list = h.idle[addr] {
 		c := list[len(list)-1]
-		h.remove(addr, c)
-		if c.Err() == nil && time.Since(c.since) < h.idleFor {
+		h.removeIdle(addr, c)
+		if c.Err() == nil && time.Since(c.since) < h.idleTimeout {
 			h.mu.Unlock()
 			return c.ClientConn, false, nil
 		}
-		h.drop1(c.ClientConn)
+		h.closeConnLocked(c.ClientConn)
 	}
-	if h.open >= h.most {
-		h.evict()
+	if h.open >= h.maxConns {
+		h.evictOldestIdle()
 	}
-	if h.open >= h.most || h.closed {
+	if h.open >= h.maxConns || h.closed {
 		h.mu.Unlock()
 		return nil, false, errTooManyConns
 	}
@@ -606,8 +618,8 @@
 
 	ctx, cancel := context.WithTimeout(ctx, h.connectTimeout)
 	defer cancel()
-	dialed := make(chan *lineConn, 1)
-	conn, err = h.transport.NewClientConn(context.WithValue(ctx, lineKey{}, dialed), "http", addr)
+	dialed := make(chan *hostConn, 1)
+	conn, err = h.transport.NewClientConn(context.WithValue(ctx, hostConnKey{}, dialed), "http", addr)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err != nil {
@@ -615,33 +627,33 @@
 		return nil, false, fmt.Errorf("connect: %w", err)
 	}
 	select {
-	case h.lines[conn] = <-dialed:
+	case h.hostConns[conn] = <-dialed:
 	default:
 	}
 	return conn, true, nil
 }
 
-// put keeps a connection for the next call, if it can carry one.
-func (h *hosts) put(addr string, conn *http.ClientConn) {
+// release returns a connection to the pool, or closes it if it cannot carry another call.
+func (h *hostPool) release(addr string, conn *http.ClientConn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.closed || conn.Available() == 0 {
-		h.drop1(conn)
+		h.closeConnLocked(conn)
 		return
 	}
 	c := &idleConn{ClientConn: conn, since: time.Now()}
-	c.timer = time.AfterFunc(h.idleFor, func() {
+	c.timer = time.AfterFunc(h.idleTimeout, func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if h.remove(addr, c) {
-			h.drop1(conn)
+		if h.removeIdle(addr, c) {
+			h.closeConnLocked(conn)
 		}
 	})
 	h.idle[addr] = append(h.idle[addr], c)
 }
 
-// remove takes a connection out of the pool; false if it was not in it.
-func (h *hosts) remove(addr string, c *idleConn) bool {
+// removeIdle takes a connection out of the pool. It returns false if the pool does not hold it.
+func (h *hostPool) removeIdle(addr string, c *idleConn) bool {
 	i := slices.Index(h.idle[addr], c)
 	if i < 0 {
 		return false
@@ -653,8 +665,8 @@
 	return true
 }
 
-// evict closes the connection that has been idle longest.
-func (h *hosts) evict() {
+// evictOldestIdle closes the connection that has been idle longest.
+func (h *hostPool) evictOldestIdle() {
 	var oldest *idleConn
 	var at string
 	for addr, list := range h.idle {
@@ -663,63 +675,65 @@
 		}
 	}
 	if oldest != nil {
-		h.remove(at, oldest)
-		h.drop1(oldest.ClientConn)
+		h.removeIdle(at, oldest)
+		h.closeConnLocked(oldest.ClientConn)
 	}
 }
 
-func (h *hosts) drop(conn *http.ClientConn) {
+// closeConn closes a connection that is not in the pool.
+func (h *hostPool) closeConn(conn *http.ClientConn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.drop1(conn)
+	h.closeConnLocked(conn)
 }
 
-func (h *hosts) drop1(conn *http.ClientConn) {
+// closeConnLocked is closeConn for a caller that holds the lock.
+func (h *hostPool) closeConnLocked(conn *http.ClientConn) {
 	h.open--
-	delete(h.lines, conn)
+	delete(h.hostConns, conn)
 	conn.Close()
 }
 
-// allow sets how many connections there may be from here on.
-func (h *hosts) allow(most int) {
+// setMaxConns sets the limit on open connections.
+func (h *hostPool) setMaxConns(maxConns int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.most = most
+	h.maxConns = maxConns
 }
 
-// count is how many connections there are.
-func (h *hosts) count() int {
+// count returns the number of open connections.
+func (h *hostPool) count() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.open
 }
 
-// rests tells whether a connection to an address is kept.
-func (h *hosts) rests(addr string) bool {
+// hasIdle reports whether the pool holds a connection to an address.
+func (h *hostPool) hasIdle(addr string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.idle[addr]) > 0
 }
 
 // closeIdle closes the idle connections to an address.
-func (h *hosts) closeIdle(addr string) {
+func (h *hostPool) closeIdle(addr string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range slices.Clone(h.idle[addr]) {
-		h.remove(addr, c)
-		h.drop1(c.ClientConn)
+		h.removeIdle(addr, c)
+		h.closeConnLocked(c.ClientConn)
 	}
 }
 
-// close closes all idle connections and keeps none from here on.
-func (h *hosts) close() {
+// close closes all idle connections. From then on no connection is pooled.
+func (h *hostPool) close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.closed = true
 	for addr, list := range h.idle {
 		for _, c := range slices.Clone(list) {
-			h.remove(addr, c)
-			h.drop1(c.ClientConn)
+			h.removeIdle(addr, c)
+			h.closeConnLocked(c.ClientConn)
 		}
 	}
 }
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -22,36 +22,37 @@
 	"wallflow/policy"
 )
 
-const patience = 10 * time.Second // longer than any condition takes
+const testTimeout = 10 * time.Second // longer than any awaited condition takes
 
 func testConfig() Config {
-	c := Config{ConnectTimeout: 2 * time.Second, KeepAlive: time.Minute, Reports: []string{"x0", "x1"}}
+	c := Config{ConnectTimeout: 2 * time.Second, KeepAlive: time.Minute, ReportFields: []string{"x0", "x1"}}
 	c.setDefaults()
 	return c
 }
 
-func testHosts(t *testing.T, cfg Config) *hosts {
-	h := newHosts(cfg)
+func testHosts(t *testing.T, cfg Config) *hostPool {
+	h := newHostPool(cfg)
 	t.Cleanup(h.close)
 	return h
 }
 
-// newCall is a call to addr with messages of these ids.
+// newCall returns a call to addr with messages of the given ids, recorded in the log.
 func newCall(addr string, ids ...string) *call {
-	c := &call{route: "s-1", addr: addr, sent: time.Now(), until: time.Now().Add(patience)}
+	c := &call{route: "s-1", addr: addr, sentAt: time.Now(), deadline: time.Now().Add(testTimeout)}
 	for _, id := range ids {
 		m := &message{Message: &wal.Message{Trace: id, Key: "key-" + id, Body: []byte("body of " + id)}}
-		c.attempts = append(c.attempts, &attempt{call: c, m: m, until: c.until, journaled: true})
+		c.attempts = append(c.attempts, &attempt{call: c, msg: m, deadline: c.deadline, recorded: true})
 	}
 	return c
 }
 
-func yes(c *call) []*attempt { return c.attempts }
+// clearAll clears all attempts of a call.
+func clearAll(c *call) []*attempt { return c.attempts }
 
 // eventually waits for a condition.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
@@ -60,9 +61,9 @@
 
 func addrOf(s *httptest.Server) string { return s.Listener.Addr().String() }
 
-// rawHost reads whole requests on plain sockets and hands each to serve, with its place among all, from 1.
+// newRawHost starts a host on plain sockets. It reads complete requests and passes each to serve with its number, from 1.
 // serve returns false to close the connection.
-func rawHost(t *testing.T, serve func(n int, conn net.Conn, req *http.Request) bool) (addr string, requests *atomic.Int32) {
+func newRawHost(t *testing.T, serve func(n int, conn net.Conn, req *http.Request) bool) (addr string, requests *atomic.Int32) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -97,7 +98,7 @@
 	return l.Addr().String(), requests
 }
 
-func TestASingleCallCarriesTheMessageUnchanged(t *testing.T) {
+func TestSingleCallCarriesMessageUnchanged(t *testing.T) {
 	type seen struct {
 		path, id, key, expires, body string
 		length                       int64
@@ -112,7 +113,7 @@
 	}))
 	defer s.Close()
 	c := newCall(addrOf(s), "a")
-	if r := testHosts(t, testConfig()).do(t.Context(), c, yes); r[0].outcome != policy.OK {
+	if r := testHosts(t, testConfig()).makeCall(t.Context(), c, clearAll); r[0].outcome != policy.OK {
 		t.Fatalf("outcome %v", r[0].outcome)
 	}
 	g := <-got
@@ -121,11 +122,11 @@
 	}
 }
 
-// A Transport would send this request again by itself: it carries an Idempotency-Key, its connection was used
-// before, and no byte of an answer came.
-func TestNothingIsSentAgainByItself(t *testing.T) {
+// http.Transport would repeat this request by itself: it has an Idempotency-Key, its connection was used before, and no
+// byte of an answer was received.
+func TestRequestIsNotRepeatedAutomatically(t *testing.T) {
 	for _, body := range []string{"some", ""} {
-		addr, requests := rawHost(t, func(n int, conn net.Conn, _ *http.Request) bool {
+		addr, requests := newRawHost(t, func(n int, conn net.Conn, _ *http.Request) bool {
 			if n == 1 {
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			}
@@ -133,11 +134,11 @@
 		})
 		h := testHosts(t, testConfig())
 		first, second := newCall(addr, "a"), newCall(addr, "b")
-		second.attempts[0].m.Body = []byte(body)
-		if r := h.do(t.Context(), first, yes); r[0].outcome != policy.OK {
+		second.attempts[0].msg.Body = []byte(body)
+		if r := h.makeCall(t.Context(), first, clearAll); r[0].outcome != policy.OK {
 			t.Fatalf("first call: %v", r[0].outcome)
 		}
-		if r := h.do(t.Context(), second, yes); r[0].outcome != policy.Reset {
+		if r := h.makeCall(t.Context(), second, clearAll); r[0].outcome != policy.Reset {
 			t.Errorf("body %q: outcome %v, want a reset", body, r[0].outcome)
 		}
 		if n := requests.Load(); n != 2 {
@@ -146,19 +147,19 @@
 	}
 }
 
-func TestARefusedConnectionNeverRan(t *testing.T) {
+func TestRefusedConnectionCountsAsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
-	r := testHosts(t, testConfig()).do(t.Context(), newCall(l.Addr().String(), "a"), yes)
+	r := testHosts(t, testConfig()).makeCall(t.Context(), newCall(l.Addr().String(), "a"), clearAll)
 	if r[0].outcome != policy.ConnectFailed {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 }
 
-func TestAConnectionThatNeverComesUpEndsInTime(t *testing.T) {
+func TestConnectTimeout(t *testing.T) {
 	cfg := testConfig()
 	cfg.ConnectTimeout = 20 * time.Millisecond
 	h := testHosts(t, cfg)
@@ -167,10 +168,10 @@
 		return nil, ctx.Err()
 	}
 	began := time.Now()
-	if r := h.do(t.Context(), newCall("127.0.0.1:1", "a"), yes); r[0].outcome != policy.ConnectFailed {
+	if r := h.makeCall(t.Context(), newCall("127.0.0.1:1", "a"), clearAll); r[0].outcome != policy.ConnectFailed {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
-	if took := time.Since(began); took > patience/2 {
+	if took := time.Since(began); took > testTimeout/2 {
 		t.Errorf("took %v", took)
 	}
 	if h.open != 0 {
@@ -178,81 +179,81 @@
 	}
 }
 
-// stuckConn takes part of a request and then breaks.
-type stuckConn struct {
+// breakingConn writes part of a request and then breaks.
+type breakingConn struct {
 	net.Conn
-	left int
+	remaining int
 }
 
-func (c *stuckConn) Write(b []byte) (int, error) {
-	if len(b) > c.left {
-		n, _ := c.Conn.Write(b[:c.left])
+func (c *breakingConn) Write(b []byte) (int, error) {
+	if len(b) > c.remaining {
+		n, _ := c.Conn.Write(b[:c.remaining])
 		c.Conn.Close()
 		return n, io.ErrClosedPipe
 	}
-	c.left -= len(b)
+	c.remaining -= len(b)
 	return c.Conn.Write(b)
 }
 
-func TestABreakBeforeTheLastByteNeverRan(t *testing.T) {
-	addr, requests := rawHost(t, func(int, net.Conn, *http.Request) bool { return true })
+func TestIncompleteRequestCountsAsNotSent(t *testing.T) {
+	addr, requests := newRawHost(t, func(int, net.Conn, *http.Request) bool { return true })
 	h := testHosts(t, testConfig())
 	h.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
-		return &stuckConn{conn, 10_000}, err
+		return &breakingConn{conn, 10_000}, err
 	}
 	c := newCall(addr, "a")
-	c.attempts[0].m.Body = make([]byte, 60_000)
-	if r := h.do(t.Context(), c, yes); r[0].outcome != policy.ConnectFailed {
+	c.attempts[0].msg.Body = make([]byte, 60_000)
+	if r := h.makeCall(t.Context(), c, clearAll); r[0].outcome != policy.ConnectFailed {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 	if n := requests.Load(); n != 0 {
-		t.Errorf("the host saw %d whole requests", n)
+		t.Errorf("the host saw %d complete requests", n)
 	}
 }
 
-func TestNoAnswerInTimeClosesTheConnection(t *testing.T) {
-	left := make(chan struct{})
+func TestTimeoutClosesConnection(t *testing.T) {
+	closed := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body) // only its end is wanted
+		io.Copy(io.Discard, r.Body) // the server notices a disconnect only after the body
 		<-r.Context().Done()
-		close(left)
+		close(closed)
 	}))
 	defer s.Close()
 	h := testHosts(t, testConfig())
 	c := newCall(addrOf(s), "a")
-	c.until = time.Now().Add(100 * time.Millisecond)
-	if r := h.do(t.Context(), c, yes); r[0].outcome != policy.Timeout {
+	c.deadline = time.Now().Add(100 * time.Millisecond)
+	if r := h.makeCall(t.Context(), c, clearAll); r[0].outcome != policy.Timeout {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 	select {
-	case <-left:
-	case <-time.After(patience):
-		t.Error("the host still has the connection")
+	case <-closed:
+	case <-time.After(testTimeout):
+		t.Error("the connection is still open at the host")
 	}
 }
 
-func TestACallIsLookedAtAgainOnceItsConnectionIsUp(t *testing.T) {
-	addr, requests := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+func TestCallNeedsClearanceAfterConnecting(t *testing.T) {
+	addr, requests := newRawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
 	h := testHosts(t, testConfig())
-	if r := h.do(t.Context(), newCall(addr, "a"), func(*call) []*attempt { return nil }); r[0].outcome != policy.Moot {
+	if r := h.makeCall(t.Context(), newCall(addr, "a"), func(*call) []*attempt { return nil }); r[0].outcome != policy.Moot {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 	if n := requests.Load(); n != 0 {
 		t.Errorf("the host saw %d requests", n)
 	}
-	// The connection is kept, and needs no second look.
-	r := h.do(t.Context(), newCall(addr, "b"), func(*call) []*attempt { t.Error("asked again"); return nil })
+	// The connection is pooled, and the next call on it needs no clearance.
+	r := h.makeCall(t.Context(), newCall(addr, "b"), func(*call) []*attempt { t.Error("asked for clearance"); return nil })
 	if r[0].outcome != policy.OK {
-		t.Errorf("outcome on the kept connection %v", r[0].outcome)
+		t.Errorf("outcome on the pooled connection %v", r[0].outcome)
 	}
 }
 
-// Of several messages in a call that was held up, those that may still leave go; the others were not sent.
-func TestACallHeldUpCarriesWhatMayStillLeave(t *testing.T) {
+// A call that was held up carries the messages that may still be sent. The others count as not sent.
+func TestDelayedCallCarriesClearedMessagesOnly(t *testing.T) {
 	bodies := make(chan string, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
@@ -261,10 +262,10 @@
 	}))
 	defer s.Close()
 	addr := addrOf(s)
-	not := func(i int) func(*call) []*attempt {
+	allBut := func(i int) func(*call) []*attempt {
 		return func(c *call) []*attempt { return slices.Delete(slices.Clone(c.attempts), i, i+1) }
 	}
-	r := testHosts(t, testConfig()).do(t.Context(), newCall(addr, "a", "b", "c"), not(1))
+	r := testHosts(t, testConfig()).makeCall(t.Context(), newCall(addr, "a", "b", "c"), allBut(1))
 	if r[0].outcome != policy.OK || r[1].outcome != policy.Moot || r[2].outcome != policy.Full {
 		t.Errorf("outcomes %+v", r)
 	}
@@ -272,22 +273,22 @@
 	if !strings.HasPrefix(sent, "/events/bundle ") || strings.Contains(sent, `"b"`) || !strings.Contains(sent, `"c"`) {
 		t.Errorf("sent %s", sent)
 	}
-	r = testHosts(t, testConfig()).do(t.Context(), newCall(addr, "a", "b"), not(0))
+	r = testHosts(t, testConfig()).makeCall(t.Context(), newCall(addr, "a", "b"), allBut(0))
 	if r[0].outcome != policy.Moot || r[1].outcome != policy.OK {
 		t.Errorf("outcomes %+v", r)
 	}
 	if sent := <-bodies; sent != "/events body of b" {
-		t.Errorf("the one that was left: sent %s", sent)
+		t.Errorf("the cleared message: sent %s", sent)
 	}
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	const calls = 6
 	var opened atomic.Int32
-	var together sync.WaitGroup // every round waits until all of its calls are there
+	var arrived sync.WaitGroup // each round waits until all of its calls have arrived
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		together.Done()
-		together.Wait()
+		arrived.Done()
+		arrived.Wait()
 		io.WriteString(w, strings.Repeat("x", 9000))
 	}))
 	s.Config.ConnState = func(_ net.Conn, st http.ConnState) {
@@ -299,11 +300,11 @@
 	defer s.Close()
 	h := testHosts(t, testConfig())
 	for range 3 {
-		together.Add(calls)
+		arrived.Add(calls)
 		var done sync.WaitGroup
 		for i := range calls {
 			done.Go(func() {
-				if r := h.do(t.Context(), newCall(addrOf(s), fmt.Sprint(i)), yes); r[0].outcome != policy.OK {
+				if r := h.makeCall(t.Context(), newCall(addrOf(s), fmt.Sprint(i)), clearAll); r[0].outcome != policy.OK {
 					t.Errorf("outcome %v", r[0].outcome)
 				}
 			})
@@ -315,7 +316,7 @@
 	}
 }
 
-func TestIdleConnectionsCloseBeforeTheHostsLimit(t *testing.T) {
+func TestIdleConnectionsCloseBeforeHostLimit(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	s.Config.ConnState = func(_ net.Conn, st http.ConnState) {
@@ -328,36 +329,36 @@
 	cfg := testConfig()
 	cfg.KeepAlive = 50 * time.Millisecond
 	h := testHosts(t, cfg)
-	if r := h.do(t.Context(), newCall(addrOf(s), "a"), yes); r[0].outcome != policy.OK {
+	if r := h.makeCall(t.Context(), newCall(addrOf(s), "a"), clearAll); r[0].outcome != policy.OK {
 		t.Fatalf("outcome %v", r[0].outcome)
 	}
 	select {
-	case <-closed: // the server sets no limit of its own: the relay closed it
-	case <-time.After(patience):
+	case <-closed: // by the relay, since the server has no idle timeout
+	case <-time.After(testTimeout):
 		t.Error("still open")
 	}
 }
 
-func TestConnectionsAreBounded(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	ok := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
 	one, two := httptest.NewServer(ok), httptest.NewServer(ok)
 	defer one.Close()
 	defer two.Close()
 	h := testHosts(t, testConfig())
-	h.most = 1
-	for i, s := range []*httptest.Server{one, two, one} { // each takes the place of the idle one before
-		if r := h.do(t.Context(), newCall(addrOf(s), "a"), yes); r[0].outcome != policy.OK || h.open != 1 {
+	h.maxConns = 1
+	for i, s := range []*httptest.Server{one, two, one} { // each replaces the idle connection before it
+		if r := h.makeCall(t.Context(), newCall(addrOf(s), "a"), clearAll); r[0].outcome != policy.OK || h.open != 1 {
 			t.Errorf("call %d: outcome %v, %d open", i, r[0].outcome, h.open)
 		}
 	}
-	busy, _, err := h.conn(t.Context(), addrOf(one))
+	busy, _, err := h.acquire(t.Context(), addrOf(one))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := h.do(t.Context(), newCall(addrOf(two), "a"), yes); r[0].outcome != policy.ConnectFailed {
-		t.Errorf("beyond the bound: outcome %v", r[0].outcome)
+	if r := h.makeCall(t.Context(), newCall(addrOf(two), "a"), clearAll); r[0].outcome != policy.ConnectFailed {
+		t.Errorf("beyond the limit: outcome %v", r[0].outcome)
 	}
-	h.drop(busy)
+	h.closeConn(busy)
 }
 
 func TestAnswerCodes(t *testing.T) {
@@ -368,19 +369,19 @@
 	}{
 		{200, nil, result{outcome: policy.OK}},
 		{500, nil, result{outcome: policy.Error}},
-		{429, http.Header{"Retry-After": {"0.75"}}, result{outcome: policy.Full, wait: 750 * time.Millisecond}},
+		{429, http.Header{"Retry-After": {"0.75"}}, result{outcome: policy.Full, retryAfter: 750 * time.Millisecond}},
 		{429, http.Header{"Retry-After": {"soon"}}, result{outcome: policy.Full}},
 		{503, nil, result{outcome: policy.Full}},
-		{503, http.Header{"Retry-After": {"2"}}, result{outcome: policy.Full, wait: 2 * time.Second}},
+		{503, http.Header{"Retry-After": {"2"}}, result{outcome: policy.Full, retryAfter: 2 * time.Second}},
 		{503, http.Header{"Slots-Taken": {"1"}}, result{outcome: policy.Moot}},
 		{503, http.Header{"Slots-Taken": {"1"}, "Connection": {"close"}}, result{outcome: policy.Moot}},
-		{503, http.Header{"Connection": {"close"}}, result{outcome: policy.ConnectFailed}}, // a full table
-		{503, http.Header{"Connection": {"close"}, "Retry-After": {"2"}}, result{outcome: policy.Full, wait: 2 * time.Second}},
+		{503, http.Header{"Connection": {"close"}}, result{outcome: policy.ConnectFailed}}, // the host is at its connection limit
+		{503, http.Header{"Connection": {"close"}, "Retry-After": {"2"}}, result{outcome: policy.Full, retryAfter: 2 * time.Second}},
 		{503, http.Header{"Connection": {"close"}, "Endpoint-Load-Metrics": {"TEXT x0=0, x1=25"}},
 			result{outcome: policy.Full, report: policy.Report{Told: true, Limit: 25}}},
 		{429, http.Header{"Connection": {"close"}}, result{outcome: policy.Full}},
 		{504, nil, result{outcome: policy.Moot}},
-		{410, nil, result{outcome: policy.Moot, gone: true}},
+		{410, nil, result{outcome: policy.Moot, messageEnded: true}},
 		{302, http.Header{"Location": {"/elsewhere"}}, result{outcome: policy.Error}},
 		{418, nil, result{outcome: policy.Error}},
 		{200, http.Header{"Endpoint-Load-Metrics": {"TEXT x0=0.4, x1=25, y=7"}},
@@ -395,28 +396,28 @@
 			}
 			w.WriteHeader(c.status)
 		}))
-		if r := testHosts(t, testConfig()).do(t.Context(), newCall(addrOf(s), "a"), yes); r[0] != c.want {
+		if r := testHosts(t, testConfig()).makeCall(t.Context(), newCall(addrOf(s), "a"), clearAll); r[0] != c.want {
 			t.Errorf("%d %v: %+v, want %+v", c.status, c.header, r[0], c.want)
 		}
 		s.Close()
 	}
 }
 
-// Nonsense in a load report or a wait is passed over, and said once in a while, not with every answer.
-func TestNonsenseInAnswersIsPassedOver(t *testing.T) {
+// Invalid values in a load report or Retry-After are ignored, and logged once in a while rather than with every answer.
+func TestInvalidValuesInAnswersAreIgnored(t *testing.T) {
 	h := testHosts(t, testConfig())
 	var out bytes.Buffer
 	h.log = slog.New(slog.NewTextHandler(&out, nil))
 	for _, value := range []string{"NaN", "-1", "1e300", "+Inf", "often"} {
 		header := http.Header{"Retry-After": {value}, "Endpoint-Load-Metrics": {"TEXT x0=" + value + ", x1=" + value}}
 		res := &http.Response{StatusCode: http.StatusTooManyRequests, Header: header}
-		r := h.results(t.Context(), newCall("", "a"), res, nil, nil)
+		r := h.parseAnswer(t.Context(), newCall("", "a"), res, nil, nil)
 		if want := (result{outcome: policy.Full}); r[0] != want {
 			t.Errorf("%s: %+v, want %+v", value, r[0], want)
 		}
 	}
-	if n := strings.Count(out.String(), "nonsense"); n != 1 || h.odd != 14 {
-		t.Errorf("said %d times, %d since: %s", n, h.odd, out.String())
+	if n := strings.Count(out.String(), "invalid value in an answer"); n != 1 || h.badValues != 14 {
+		t.Errorf("logged %d times, %d values since: %s", n, h.badValues, out.String())
 	}
 }
 
@@ -435,7 +436,7 @@
 		{"missing and unreadable items", 200, "", `[{"id":"a","state":"ok"},7,{"id":3},{"id":"f","state":"ok"}]`,
 			[]policy.Outcome{policy.OK, policy.Error, policy.Error, policy.Error, policy.Error, policy.OK}},
 		{"unreadable", 200, "", `{`, slices.Repeat([]policy.Outcome{policy.Error}, 6)},
-		{"all turned away", 429, "1.5", ``, slices.Repeat([]policy.Outcome{policy.Full}, 6)},
+		{"all refused", 429, "1.5", ``, slices.Repeat([]policy.Outcome{policy.Full}, 6)},
 		{"all failed", 500, "", ``, slices.Repeat([]policy.Outcome{policy.Error}, 6)},
 		{"a wait with deliveries", 200, "1.5", `[{"id":"a","state":"ok"}]`,
 			append([]policy.Outcome{policy.OK}, slices.Repeat([]policy.Outcome{policy.Error}, 5)...)},
@@ -461,36 +462,36 @@
 				io.WriteString(w, c.answer)
 			}))
 			defer s.Close()
-			results := testHosts(t, testConfig()).do(t.Context(), newCall(addrOf(s), ids...), yes)
+			results := testHosts(t, testConfig()).makeCall(t.Context(), newCall(addrOf(s), ids...), clearAll)
 			for i, r := range results {
-				if r.outcome != c.want[i] || r.gone != (c.name == "every state" && i == 3) {
+				if r.outcome != c.want[i] || r.messageEnded != (c.name == "every state" && i == 3) {
 					t.Errorf("%s: %+v, want %v", ids[i], r, c.want[i])
 				}
-				if (r.wait > 0) != (c.wait != "") {
-					t.Errorf("%s: wait %v", ids[i], r.wait)
+				if (r.retryAfter > 0) != (c.wait != "") {
+					t.Errorf("%s: wait %v", ids[i], r.retryAfter)
 				}
 			}
 		})
 	}
 }
 
-func TestABundlesAnswerMustBeWhole(t *testing.T) {
-	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+func TestTruncatedBundleAnswer(t *testing.T) {
+	addr, _ := newRawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[{\"id\":\"a\",\"state\":\"ok\"}")
 		return false
 	})
-	for i, r := range testHosts(t, testConfig()).do(t.Context(), newCall(addr, "a", "b"), yes) {
+	for i, r := range testHosts(t, testConfig()).makeCall(t.Context(), newCall(addr, "a", "b"), clearAll) {
 		if r.outcome != policy.Reset {
 			t.Errorf("attempt %d: %v", i, r.outcome)
 		}
 	}
-	if r := testHosts(t, testConfig()).do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK {
-		t.Errorf("a single message is delivered with the first line: %v", r[0].outcome)
+	if r := testHosts(t, testConfig()).makeCall(t.Context(), newCall(addr, "a"), clearAll); r[0].outcome != policy.OK {
+		t.Errorf("a single message is delivered once the status line arrives: %v", r[0].outcome)
 	}
 }
 
-// What cannot be read may have run, and must not be taken for a delivery; but a first line with 200 is one,
-// whatever comes behind it.
+// A message whose answer is unreadable may have run but does not count as delivered. A status line with 200 is a delivery,
+// whatever follows it.
 func TestUnreadableAnswers(t *testing.T) {
 	for text, want := range map[string]policy.Outcome{
 		"HTTP/1.1 200 OK\r\nno field at all\r\n\r\n":                        policy.OK,
@@ -507,8 +508,8 @@
 		"\x00\x01\x02\x03\r\n\r\n\r\n": policy.Reset,
 		"HTTP/1.1 418 Teapot\r\nContent-Length: 0\r\n\r\n": policy.Error,
 	} {
-		addr, requests := rawHost(t, func(n int, conn net.Conn, _ *http.Request) bool {
-			if n == 1 { // a proper answer first, so that the odd one is not a connection's only one
+		addr, requests := newRawHost(t, func(n int, conn net.Conn, _ *http.Request) bool {
+			if n == 1 { // a valid answer first, so that the invalid one comes on a pooled connection
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 				return true
 			}
@@ -516,10 +517,10 @@
 			return false
 		})
 		h := testHosts(t, testConfig())
-		if r := h.do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK {
-			t.Fatalf("a proper answer is %v", r[0].outcome)
+		if r := h.makeCall(t.Context(), newCall(addr, "a"), clearAll); r[0].outcome != policy.OK {
+			t.Fatalf("valid answer: outcome %v", r[0].outcome)
 		}
-		if r := h.do(t.Context(), newCall(addr, "b"), yes); r[0].outcome != want {
+		if r := h.makeCall(t.Context(), newCall(addr, "b"), clearAll); r[0].outcome != want {
 			t.Errorf("%.40q: outcome %v, want %v", text, r[0].outcome, want)
 		}
 		if n := requests.Load(); n != 2 {
@@ -528,35 +529,35 @@
 	}
 }
 
-// In a bundle's answer the first line tells of no message.
-func TestAnUnreadableBundleMayHaveRun(t *testing.T) {
-	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+// The status line of a bundle's answer says nothing about single messages.
+func TestUnreadableBundleAnswerMayHaveRun(t *testing.T) {
+	addr, _ := newRawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nno field at all\r\n\r\n")
 		return false
 	})
-	for i, r := range testHosts(t, testConfig()).do(t.Context(), newCall(addr, "a", "b"), yes) {
+	for i, r := range testHosts(t, testConfig()).makeCall(t.Context(), newCall(addr, "a", "b"), clearAll) {
 		if r.outcome != policy.Reset {
 			t.Errorf("message %d: outcome %v", i, r.outcome)
 		}
 	}
 }
 
-// A head with 200 delivers; a body that never comes may hold the message no longer.
-func TestABodyThatNeverComesHoldsNothing(t *testing.T) {
-	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+// A header with 200 is a delivery: a body that never arrives must not delay the outcome.
+func TestMissingAnswerBodyDoesNotDelayOutcome(t *testing.T) {
+	addr, _ := newRawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n")
-		io.Copy(io.Discard, conn) // until the relay leaves
+		io.Copy(io.Discard, conn) // until the relay closes it
 		return false
 	})
 	h := testHosts(t, testConfig())
 	began := time.Now()
 	c := newCall(addr, "a")
-	if r := h.do(t.Context(), c, yes); r[0].outcome != policy.OK || !time.Now().Before(c.until) {
+	if r := h.makeCall(t.Context(), c, clearAll); r[0].outcome != policy.OK || !time.Now().Before(c.deadline) {
 		t.Errorf("outcome %v after %v", r[0].outcome, time.Since(began))
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.open != 0 {
-		t.Errorf("%d connections are kept", h.open)
+		t.Errorf("%d connections are open", h.open)
 	}
 }
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -15,126 +15,130 @@
 	"wallflow/policy"
 )
 
-// What two processes of one relay say to each other: a Unix socket in the folder that lasts, JSON on it, and the
-// listening socket before it.
+// This file holds the protocol between the two processes of a takeover. They talk over a Unix socket in the state folder:
+// the successor sends a takeoverRequest, the predecessor sends the listening socket and a handoverState, the successor
+// reports that it is ready, and from then on both send frames. All of it is JSON; Go names of exported fields are
+// part of the protocol.
 
 const (
-	linkName    = "takeover.sock"
-	linkVersion = 1
-	linkSend    = time.Second // for one frame
+	linkSocketName  = "takeover.sock"
+	linkVersion     = 1
+	linkSendTimeout = time.Second // for one frame
 )
 
-// hello asks a process to hand its relay over.
-type hello struct{ Version int }
+// takeoverRequest asks a process to hand over its relay.
+type takeoverRequest struct{ Version int }
 
-// handoff is the relay as one process hands it to the next, beside what the journal has. Times are wall time, but for
-// the module's own.
-type handoff struct {
+// handoverState is the state of a relay that is handed over, except for what is in the write-ahead log. Times are wall clock
+// times, except for those of the decision module.
+type handoverState struct {
 	Version     int
-	Now         time.Duration // the module's clock,
-	Wall        int64         // at this Unix time in nanoseconds
+	Now         time.Duration // the decision module's clock
+	Wall        int64         // the same moment in Unix time, in nanoseconds
 	Module      policy.State
 	Zones       []string
 	Kinds       []string
 	ListVersion int64
-	Routes      []routeHand
-	Msgs        []msgHand
-	Calls       []callHand // out in the old process
+	Routes      []routeState
+	Msgs        []messageState
+	Calls       []callState // in flight in the predecessor
 	LastID      uint32
-	Held        held
+	Held        connCounts
 }
 
-type routeHand struct {
+type routeState struct {
 	Listing policy.Listing
 	Addr    string
 }
 
-type msgHand struct {
+// messageState holds what the write-ahead log does not have of a message's state; see type message for the fields.
+type messageState struct {
 	ID               uint32
 	Trace            string
 	Sends            int
 	Ended, Counted   bool
-	Again, Withdrawn bool
+	Again, Withdrawn bool // Again: resubmitted
 }
 
-type callHand struct {
+type callState struct {
 	ID    int
 	Route string
 	Addr  string
 	Zone  int
-	Sent  int64
-	Parts []partHand
+	Sent  int64 // Unix time in nanoseconds
+	Parts []attemptState
 }
 
-type partHand struct {
+type attemptState struct {
 	Msg  uint32
-	N    int
-	Over bool
+	N    int  // number of the attempt
+	Over bool // its outcome has been reported
 }
 
-// frame is one thing that a process tells the other after that.
+// frame is a message between the two processes after the handover. One field is set.
 type frame struct {
-	Ready  bool        `json:",omitempty"` // the new process has the relay
-	In     *handInHand `json:",omitempty"` // a message came in on a connection of the old one
-	Left   uint32      `json:",omitempty"` // its client has left
-	Cut    *cutHand    `json:",omitempty"` // a message's part in a call timed out
-	End    *endHand    `json:",omitempty"` // a call of the old process ended
-	Answer *answerHand `json:",omitempty"` // what the client is told
-	Held   *held       `json:",omitempty"`
+	Ready  bool              `json:",omitempty"` // the successor has taken over
+	In     *forwardedMessage `json:",omitempty"` // a submission on a client connection of the predecessor
+	Left   uint32            `json:",omitempty"` // id of a message whose client disconnected
+	Cut    *attemptCut       `json:",omitempty"` // an attempt timed out while its call goes on
+	End    *callOutcome      `json:",omitempty"` // a call of the predecessor ended
+	Answer *forwardedAnswer  `json:",omitempty"` // answer to a submission that the predecessor forwarded
+	Held   *connCounts       `json:",omitempty"` // connections of the predecessor
 }
 
-type handInHand struct {
-	Seq     int
+type forwardedMessage struct {
+	Seq     int // repeated in the answer
 	Class   string
 	Message *wal.Message
 	Body    []byte
 }
 
-type cutHand struct{ Call, Part int }
+// attemptCut says that an attempt timed out. Part is the attempt's index in the call.
+type attemptCut struct{ Call, Part int }
 
-type endHand struct {
+type callOutcome struct {
 	Call    int
-	Results []resultHand
+	Results []attemptOutcome
 }
 
-type resultHand struct {
+type attemptOutcome struct {
 	Outcome policy.Outcome
-	Gone    bool
+	Gone    bool // see result.messageEnded
 	Wait    time.Duration
 	Report  policy.Report
 }
 
-type answerHand struct {
+type forwardedAnswer struct {
 	Seq    int
 	Status int
 	Again  time.Duration
 	ID     uint32
-	Policy int64 `json:",omitempty"`
+	Policy int64 `json:",omitempty"` // fleet policy under which the message was accepted
 }
 
-// held are the connections of the old process: the limits are for both together.
-type held struct{ Clients, Hosts int }
+// connCounts are the connections of a process. The limits apply to both processes together.
+type connCounts struct{ Clients, Hosts int }
 
-// link is the connection between the two processes.
+// link is the connection between the two processes of a takeover.
 type link struct {
 	conn *net.UnixConn
-	in   *json.Decoder
+	dec  *json.Decoder
 
 	mu  sync.Mutex
-	out *json.Encoder
+	enc *json.Encoder
 }
 
 func newLink(conn *net.UnixConn) *link {
-	return &link{conn: conn, in: json.NewDecoder(conn), out: json.NewEncoder(conn)}
+	return &link{conn: conn, dec: json.NewDecoder(conn), enc: json.NewEncoder(conn)}
 }
 
-// send writes a frame, or ends the link: half of one must not stand before another.
+// send writes a frame. On an error it closes the link, since a partly written frame would corrupt the next one.
 func (l *link) send(x any) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	err := l.conn.SetWriteDeadline(time.Now().Add(linkSend))
+	err := l.conn.SetWriteDeadline(time.Now().Add(linkSendTimeout))
 	if err == nil {
-		err = l.out.Encode(x)
+		err = l.enc.Encode(x)
 	}
 	if err != nil {
 		l.conn.Close()
@@ -143,40 +147,42 @@
 	return nil
 }
 
-// linkAddr is the socket in a folder whose path may be longer than a socket's may be; done closes the folder.
-func linkAddr(dir string) (addr *net.UnixAddr, done func(), err error) {
+// linkAddress returns the address of the socket in a folder. It goes through /proc/self/fd, because the folder's path may be
+// longer than a socket path may be. release closes the folder.
+func linkAddress(dir string) (addr *net.UnixAddr, release func(), err error) {
 	f, err := os.Open(dir)
 	if err != nil {
 		return nil, nil, fmt.Errorf("link: %w", err)
 	}
-	name := fmt.Sprintf("/proc/self/fd/%d/%s", f.Fd(), linkName)
+	name := fmt.Sprintf("/proc/self/fd/%d/%s", f.Fd(), linkSocketName)
 	return &net.UnixAddr{Name: name, Net: "unix"}, func() { f.Close() }, nil
 }
 
-// listenLink waits for a successor. The lock is held: a socket that is there is a stale one.
+// listenLink listens for successors. The caller holds the log's lock, so an existing socket is stale and is removed.
 func listenLink(dir string) (*net.UnixListener, error) {
-	if err := os.Remove(filepath.Join(dir, linkName)); err != nil && !errors.Is(err, os.ErrNotExist) {
+	if err := os.Remove(filepath.Join(dir, linkSocketName)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	addr, done, err := linkAddr(dir)
+	addr, release, err := linkAddress(dir)
 	if err != nil {
 		return nil, err
 	}
-	defer done()
+	defer release()
 	l, err := net.ListenUnix("unix", addr)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	l.SetUnlinkOnClose(false) // a successor's may be there by then
+	l.SetUnlinkOnClose(false) // by then the path may belong to a successor's socket
 	return l, nil
 }
 
+// dialLink connects to the process that has the relay.
 func dialLink(dir string) (*net.UnixConn, error) {
-	addr, done, err := linkAddr(dir)
+	addr, release, err := linkAddress(dir)
 	if err != nil {
 		return nil, err
 	}
-	defer done()
+	defer release()
 	conn, err := net.DialUnix("unix", nil, addr)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
@@ -184,28 +190,28 @@
 	return conn, nil
 }
 
-// passListener hands a listening socket over. Both processes have it then, with one queue, so that neither's close
-// loses a connection.
-func passListener(conn *net.UnixConn, l net.Listener) error {
+// sendListener passes a listening socket to the other process. Both then share it with one accept queue, so that no
+// connection is lost when one of them closes it.
+func sendListener(conn *net.UnixConn, l net.Listener) error {
 	sock, ok := l.(syscall.Conn)
 	if !ok {
-		return errors.New("link: the listener is no socket")
+		return errors.New("link: the listener is not a socket")
 	}
 	raw, err := sock.SyscallConn()
 	if err != nil {
 		return fmt.Errorf("link: %w", err)
 	}
-	// Not by way of its File: that would have it block, for both.
+	// Not with TCPListener.File, which would put the socket into blocking mode for both processes.
 	var sent error
 	err = raw.Control(func(fd uintptr) { _, _, sent = conn.WriteMsgUnix([]byte{0}, syscall.UnixRights(int(fd)), nil) })
 	if err = errors.Join(err, sent); err != nil {
-		return fmt.Errorf("link: pass the listener: %w", err)
+		return fmt.Errorf("link: send the listener: %w", err)
 	}
 	return nil
 }
 
-// takeListener takes a listening socket that is handed over.
-func takeListener(conn *net.UnixConn) (net.Listener, error) {
+// receiveListener receives a listening socket from the other process.
+func receiveListener(conn *net.UnixConn) (net.Listener, error) {
 	oob := make([]byte, syscall.CmsgSpace(4))
 	_, n, _, _, err := conn.ReadMsgUnix(make([]byte, 1), oob)
 	if err != nil {
@@ -213,11 +219,11 @@
 	}
 	msgs, err := syscall.ParseSocketControlMessage(oob[:n])
 	if err != nil || len(msgs) != 1 {
-		return nil, fmt.Errorf("link: no listener came: %d messages, %w", len(msgs), errors.Join(err))
+		return nil, fmt.Errorf("link: no listener received: %d control messages, %w", len(msgs), errors.Join(err))
 	}
 	fds, err := syscall.ParseUnixRights(&msgs[0])
 	if err != nil || len(fds) != 1 {
-		return nil, fmt.Errorf("link: no listener came: %d descriptors, %w", len(fds), errors.Join(err))
+		return nil, fmt.Errorf("link: no listener received: %d descriptors, %w", len(fds), errors.Join(err))
 	}
 	syscall.CloseOnExec(fds[0])
 	f := os.NewFile(uintptr(fds[0]), "listener")
--- a/internal/relay/link_test.go
+++ b/internal/relay/link_test.go
@@ -14,11 +14,11 @@
 	"wallflow/policy"
 )
 
-// Where Unix sockets are refused the relay serves all the same, and says once that none can take over.
-func TestARefusedLinkIsALogLine(t *testing.T) {
+// If the takeover socket cannot be created, the relay serves anyway and logs once that no successor can take over.
+func TestRelayServesWithoutTakeoverSocket(t *testing.T) {
 	cfg := testConfig()
 	dir := t.TempDir()
-	if err := os.MkdirAll(filepath.Join(dir, linkName, "in the way"), 0o755); err != nil {
+	if err := os.MkdirAll(filepath.Join(dir, linkSocketName, "in the way"), 0o755); err != nil {
 		t.Fatal(err)
 	}
 	cfg.StateDir, cfg.Listen, cfg.Discovery = dir, "127.0.0.1:0", "127.0.0.1:1"
@@ -37,7 +37,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- r.Run(ctx) }()
-	eventually(t, "serving", r.served.Load)
+	eventually(t, "serving", r.serving.Load)
 	cancel()
 	if err := <-ended; err != nil {
 		t.Error(err)
@@ -45,7 +45,7 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if n := strings.Count(out.String(), "no successor can take over"); n != 1 {
-		t.Errorf("said %d times: %s", n, out.String())
+		t.Errorf("logged %d times: %s", n, out.String())
 	}
 }
 
--- a/internal/relay/door_test.go
+++ b/internal/relay/listener_test.go
@@ -10,35 +10,36 @@
 	"time"
 )
 
-// crowd serves a door of so many places whose relay's loop takes hand-ins in after a while.
-func crowd(t *testing.T, most int, run func(r *Relay, l *pipeListener, d *door)) {
+// serveClients serves a test relay's clients through a listener with a limit of maxConns, in a synctest bubble. The loop
+// does not run: the test handles the events.
+func serveClients(t *testing.T, maxConns int, run func(r *Relay, l *pipeListener, cl *clientListener)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		r := newTestRelay(t)
-		r.listed.Store(true)
+		r.hasList.Store(true)
 		l, server := newPipeListener(), r.newServer()
-		d := newDoor(l, r.log, most)
-		d.follow(server)
+		cl := newClientListener(l, r.log, maxConns)
+		cl.trackServer(server)
 		served := make(chan struct{})
-		go func() { defer close(served); server.Serve(d) }()
-		run(r, l, d)
+		go func() { defer close(served); server.Serve(cl) }()
+		run(r, l, cl)
 		server.Close()
 		<-served
 	})
 }
 
-// Whatever strangers leave half-written, in the head or in the body, a client that comes on a new connection is
-// served within its 400 ms, and so is one that sends its request in pieces for over 2 s meanwhile.
-func TestHalfWrittenRequestsKeepNoClientOut(t *testing.T) {
+// Many peers connect and send incomplete requests. A client on a new connection is still served within its 400 ms, and so
+// is a client that takes over 2 s to send its request in pieces meanwhile.
+func TestIncompleteRequestsDoNotBlockClients(t *testing.T) {
 	for name, text := range map[string]string{
 		"nothing":     "",
-		"half a head": "POST /order HT",
+		"half a line": "POST /order HT",
 		"health":      "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n",
-		"no body":     handInHead("stranger") + "Content-Length: 10\r\n\r\nabc",
+		"no body":     submissionHeader("stranger") + "Content-Length: 10\r\n\r\nabc",
 	} {
 		t.Run(name, func(t *testing.T) {
-			crowd(t, 16, func(r *Relay, l *pipeListener, d *door) {
-				var strangers []net.Conn
+			serveClients(t, 16, func(r *Relay, l *pipeListener, cl *clientListener) {
+				var peers []net.Conn
 				health := "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
 				slow, slowDone := l.dial(), make(chan error, 1)
 				go func() {
@@ -52,10 +53,10 @@
 					_, err := http.ReadResponse(bufio.NewReader(slow), nil)
 					slowDone <- err
 				}()
-				for i := range 240 { // 100 a second, 16 places, and all queue for them
+				for i := range 240 { // 100 per second for 16 connections
 					here, there := net.Pipe()
-					strangers = append(strangers, here)
-					go func() { // fails where the connection is closed for another
+					peers = append(peers, here)
+					go func() { // fails if the connection is evicted
 						select {
 						case l.conns <- there:
 						case <-l.done:
@@ -82,7 +83,7 @@
 				if err := <-slowDone; err != nil {
 					t.Errorf("the slow client: %v", err)
 				}
-				for _, conn := range append(strangers, slow) {
+				for _, conn := range append(peers, slow) {
 					conn.Close()
 				}
 			})
@@ -90,22 +91,22 @@
 	}
 }
 
-// A connection with a whole request on it makes room for nobody, however long its answer takes.
-func TestAWholeRequestMakesNoRoom(t *testing.T) {
-	crowd(t, 2, func(r *Relay, l *pipeListener, d *door) {
+// A connection with a complete request is not closed to make room for others, however long its answer takes.
+func TestCompleteRequestIsNotEvicted(t *testing.T) {
+	serveClients(t, 2, func(r *Relay, l *pipeListener, cl *clientListener) {
 		client := l.dial()
-		go io.WriteString(client, handInHead("m1")+"Content-Length: 2\r\n\r\nhi")
-		in := <-r.events // and no step: the answer is owed
-		var strangers []net.Conn
+		go io.WriteString(client, submissionHeader("m1")+"Content-Length: 2\r\n\r\nhi")
+		sub := <-r.events // not handled yet: the client waits for its answer
+		var peers []net.Conn
 		for range 10 {
-			strangers = append(strangers, l.dial())
+			peers = append(peers, l.dial())
 			time.Sleep(200 * time.Millisecond)
 		}
-		r.step([]any{in})
+		r.step([]any{sub})
 		if res, err := http.ReadResponse(bufio.NewReader(client), nil); err != nil || res.StatusCode != http.StatusAccepted {
 			t.Errorf("answered %v, %v", res, err)
 		}
-		for _, conn := range append(strangers, client) {
+		for _, conn := range append(peers, client) {
 			conn.Close()
 		}
 	})
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -1,6 +1,7 @@
 package relay
 
-// This file holds the loop. It gathers events, hands them to the decision module step by step, and ends once nothing is left.
+// This file holds the event loop: it collects events, passes them to the decision module in steps, and stops once nothing
+// is left to do.
 
 import (
 	"context"
@@ -9,10 +10,10 @@
 	"wallflow/policy"
 )
 
-// loop is the one goroutine that decides. A step takes what has come in since the last one, no more often than
-// the settings' tick: what comes together can then travel together.
+// loop is the only goroutine that makes decisions. Each step handles the events since the last one. Steps are at least
+// the configured tick apart, so that messages that arrive close together can share a call.
 func (r *Relay) loop(ctx context.Context) {
-	defer close(r.over)
+	defer close(r.loopDone)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var batch []any
@@ -21,28 +22,28 @@
 		batch = batch[:0]
 		select {
 		case <-ctx.Done():
-			r.drain()
+			r.drainEvents()
 			return
 		case e := <-r.events:
 			batch = append(batch, e)
-		case k := <-r.wishes:
+		case k := <-r.dutyRequests:
 			batch = append(batch, k)
 		case <-timer.C:
 		}
 		if rest := r.cfg.Tick - time.Since(last); rest > 0 {
 			time.Sleep(rest)
 		}
-	more:
-		for len(batch) < batchMost {
+	gather:
+		for len(batch) < maxBatch {
 			select {
 			case e := <-r.events:
 				batch = append(batch, e)
 			default:
-				break more
+				break gather
 			}
 		}
 		last = time.Now()
-		r.stepOrPass(batch)
+		r.stepOrForward(batch)
 		clear(batch)
 		if !r.wakeAt.IsZero() {
 			timer.Reset(time.Until(r.wakeAt))
@@ -50,119 +51,121 @@
 	}
 }
 
-// drain answers and notes what came before the end, without deciding anything more.
-func (r *Relay) drain() {
-	r.noSends = true
+// drainEvents handles the events that are still queued when the loop ends: it answers clients and writes the log, but
+// starts no attempts.
+func (r *Relay) drainEvents() {
+	r.sendsStopped = true
 	for {
 		select {
 		case e := <-r.events:
-			r.stepOrPass([]any{e})
+			r.stepOrForward([]any{e})
 		default:
 			return
 		}
 	}
 }
 
-// stepOrPass is a step of the process that decides, or of one that is another's hands.
-func (r *Relay) stepOrPass(batch []any) {
-	if r.hands != nil {
-		r.pass(batch)
+// stepOrForward handles a batch of events here, or forwards it if a successor process has taken over the relay.
+func (r *Relay) stepOrForward(batch []any) {
+	if r.forwarder != nil {
+		r.forwardStep(batch)
 		return
 	}
 	r.step(batch)
 }
 
-// step takes a batch of events to the module and carries out what it decides.
+// step passes a batch of events to the decision module and carries out its decisions.
 func (r *Relay) step(batch []any) {
 	now := r.now()
 	if !r.wakeAt.IsZero() && !time.Now().Before(r.wakeAt) {
 		r.wakeAt = time.Time{}
 	}
-	evs := append([]policy.Event(nil), r.later...)
-	r.later = r.later[:0]
-	var asked []clearance
-	var ins []*handIn
-	var successor *handOver
+	evs := append([]policy.Event(nil), r.deferredEvents...)
+	r.deferredEvents = r.deferredEvents[:0]
+	var clearances []clearanceRequest
+	var subs []*submission
+	var successor *successorRequest
 	for _, e := range batch {
 		switch e := e.(type) {
-		case *handIn:
-			ins = append(ins, e)
+		case *submission:
+			subs = append(subs, e)
 		case withdrawal:
-			evs = r.clientLeft(evs, e.id)
+			evs = r.clientDisconnected(evs, e.id)
 		case *callEnd:
 			evs = r.callEnded(evs, e)
-		case cutOff:
-			evs = r.attemptEnded(evs, e.a, result{outcome: policy.Timeout})
-		case List:
-			evs = append(evs, r.list(e))
-		case clearance:
-			asked = append(asked, e)
-		case confirmed:
+		case attemptTimeout:
+			evs = r.attemptEnded(evs, e.attempt, result{outcome: policy.Timeout})
+		case HostList:
+			evs = append(evs, r.applyList(e))
+		case clearanceRequest:
+			clearances = append(clearances, e)
+		case noticesAccepted:
 			for _, id := range e.ids {
 				if m := r.msgs[id]; m != nil {
 					r.wal.End(m.Message)
-					r.retire(m)
+					r.forgetIfFinished(m)
 				}
 			}
 		case linkFrame:
-			evs, ins = r.fromElder(evs, ins, e.frame)
+			evs, subs = r.handlePredecessorFrame(evs, subs, e.frame)
 		case linkDown:
-			evs = r.elderGone(evs)
-		case *handOver:
+			evs = r.predecessorGone(evs)
+		case *successorRequest:
 			if successor != nil {
 				successor.conn.Close()
 				close(successor.done)
 			}
 			successor = e
-		case look:
-			r.looking = false
+		case idleCheck:
+			r.idleCheckPending = false
 		case reconfigured:
 			evs = append(evs, r.reconfigure(e.cfg)...)
 		case policy.EventKind:
 			evs = append(evs, policy.Event{Kind: e})
 		}
 	}
-	evs = append(evs, r.turnPolicy()...)
-	fresh := r.accept(ins)
-	if !r.noSends {
-		for _, in := range fresh {
-			evs = append(evs, r.taken(r.msgs[in.m.ID]))
+	evs = append(evs, r.switchPolicy()...)
+	accepted := r.acceptSubmissions(subs)
+	if !r.sendsStopped {
+		for _, sub := range accepted {
+			evs = append(evs, r.acceptedEvent(r.msgs[sub.msg.ID]))
 		}
-		acts := r.sender.Step(now, evs)
-		r.noteDoubts()
-		r.carryOut(acts, fresh)
+		actions := r.sender.Step(now, evs)
+		r.recordSuspicions()
+		r.applyActions(actions, accepted)
 	} else {
-		r.carryOut(nil, fresh)
+		r.applyActions(nil, accepted)
 	}
-	for _, c := range asked {
-		c.reply <- r.mayLeave(c.call)
+	for _, c := range clearances {
+		c.reply <- r.clearAttempts(c.call)
 	}
-	r.figures.active.Store(int64(r.held))
-	r.figures.poolSize.Store(int64(len(r.routes)))
-	r.figures.poolEjected.Store(int64(r.sender.SkippedRoutes()))
-	r.endIfIdle()
+	r.metrics.active.Store(int64(r.held))
+	r.metrics.poolSize.Store(int64(len(r.routes)))
+	r.metrics.poolEjected.Store(int64(r.sender.SkippedRoutes()))
+	r.exitIfIdle()
 	if successor != nil {
-		r.handRelayOver(successor)
+		r.handOver(successor)
 	}
 }
 
-// endIfIdle tells Run where the module has ended the relay, or has closed its door and nothing is left to wait for.
-func (r *Relay) endIfIdle() {
-	does := r.does.Load()
-	if r.idled || does.Listen && !does.Exit {
+// exitIfIdle lets Run return once the decision module has ended the relay, or once the listener is closed and no message,
+// call or client connection is left. Otherwise it schedules another check.
+func (r *Relay) exitIfIdle() {
+	state := r.listenerState.Load()
+	if r.exiting || state.Listen && !state.Exit {
 		return
 	}
-	done := len(r.msgs) == 0 || !does.Send && r.out == 0
-	if r.hands != nil { // it stays for the other's sake until it is told to end
-		done = r.ending.Load() && r.out == 0 && len(r.hands.pending) == 0
+	done := len(r.msgs) == 0 || !state.Send && r.callsInFlight == 0
+	if r.forwarder != nil { // the successor still depends on this process until SIGTERM
+		done = r.ending.Load() && r.callsInFlight == 0 && len(r.forwarder.pending) == 0
 	}
-	if does.Exit || done && r.entry.count() == 0 {
-		r.idled = true
-		close(r.idle)
+	if state.Exit || done && r.clients.count() == 0 {
+		r.exiting = true
+		close(r.exit)
 		return
 	}
-	if !r.looking {
-		r.looking = true
-		time.AfterFunc(endingStep, func() { r.post(look{}) })
+	if !r.idleCheckPending {
+		r.idleCheckPending = true
+		time.AfterFunc(idleCheckInterval, func() { r.post(idleCheck{}) })
 	}
 }
--- a/internal/relay/mgmt.go
+++ b/internal/relay/mgmt.go
@@ -16,154 +16,156 @@
 )
 
 const (
-	mgmtLineMost = 256 // bytes of a call
-	mgmtAskFor   = 5 * time.Second
-	mgmtAnswerIn = time.Second
-	mgmtLinger   = 200 * time.Millisecond // for the caller to take its answer in
-	mgmtRetry    = 50 * time.Millisecond
+	maxCommandBytes   = 256 // of a command line
+	mgmtReadTimeout   = 5 * time.Second
+	mgmtWriteTimeout  = time.Second
+	mgmtLingerTimeout = 200 * time.Millisecond // for the caller to read its answer
+	acceptRetryDelay  = 50 * time.Millisecond
 )
 
-// mgmt is the address where operators ask: one line a connection. It shares nothing with the clients' door and asks
-// the loop for nothing, so that it answers while they are busy.
-type mgmt struct {
+// mgmtServer serves the management address for operators: one command line per connection. It shares nothing with the
+// client listener and does not wait for the loop, so that it answers even if those are busy.
+type mgmtServer struct {
 	listener net.Listener
 	log      *slog.Logger
-	most     int                      // connections
-	answer   func(line string) []byte // never waits
+	maxConns int                      // limit on open connections
+	answer   func(line string) []byte // does not block
 	wg       sync.WaitGroup
 
 	mu     sync.Mutex
-	conns  []net.Conn // the oldest first
+	conns  []net.Conn // oldest first
 	closed bool
 }
 
-// ownDescriptors are those that the process needs beside the connections it is asked for: its standard files, the poller, two
-// listeners, the link to a successor, the journal with its lock and its new file, discovery's watch and notices, the fleet's
-// agent, one client that waits for room.
-const ownDescriptors = 24
-
-// leastSockets is how few descriptors a relay can do with: some of each kind.
-const leastSockets = 48
-
-// descriptors are the most connections of each kind. Together with the process's own they are within the limit, so that no
-// client, however idle, keeps the journal or discovery from a descriptor of theirs.
-type descriptors struct{ clients, hosts, mgmt int }
-
-func shares(sockets int) descriptors {
-	d := descriptors{mgmt: min(24, max(4, sockets/24))}
-	rest := max(2, sockets-ownDescriptors-d.mgmt)
-	d.clients = max(1, min(sockets/2, rest*3/5))
-	d.hosts = max(1, min(sockets/3, rest-d.clients))
-	return d
+// reservedDescriptors is how many descriptors the process needs apart from the connections in connLimits: standard files,
+// the poller, two listeners, the link to a successor, the write-ahead log with its lock and its replacement file,
+// discovery's watch and notices, the fleet's agent, and one client connection that waits for room.
+const reservedDescriptors = 24
+
+// minSockets is the smallest descriptor limit with which a relay can run.
+const minSockets = 48
+
+// connLimits holds the limit on connections of each kind. Together with reservedDescriptors they stay within the
+// process's descriptor limit, so that clients cannot use up the descriptors of the write-ahead log or of discovery.
+type connLimits struct{ clients, hosts, mgmt int }
+
+// connLimitsFor divides a descriptor limit among the kinds of connections.
+func connLimitsFor(sockets int) connLimits {
+	limits := connLimits{mgmt: min(24, max(4, sockets/24))}
+	rest := max(2, sockets-reservedDescriptors-limits.mgmt)
+	limits.clients = max(1, min(sockets/2, rest*3/5))
+	limits.hosts = max(1, min(sockets/3, rest-limits.clients))
+	return limits
 }
 
-// run answers until ctx ends.
-func (g *mgmt) run(ctx context.Context) {
-	stop := context.AfterFunc(ctx, g.close)
+// run serves connections until ctx ends.
+func (m *mgmtServer) run(ctx context.Context) {
+	stop := context.AfterFunc(ctx, m.close)
 	defer stop()
-	defer g.wg.Wait()
+	defer m.wg.Wait()
 	for {
-		conn, err := g.listener.Accept()
+		conn, err := m.listener.Accept()
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 			if err == nil {
 				conn.Close()
 			}
 			return
 		}
-		if err != nil { // out of descriptors, say: it passes
+		if err != nil { // temporary, such as running out of descriptors
 			select {
 			case <-ctx.Done():
-			case <-time.After(mgmtRetry):
+			case <-time.After(acceptRetryDelay):
 			}
 			continue
 		}
-		if !g.admit(conn) {
+		if !m.admit(conn) {
 			conn.Close()
 			return
 		}
-		g.wg.Add(1)
+		m.wg.Add(1)
 		go func() {
-			defer g.wg.Done()
-			g.serve(conn)
-			g.leave(conn)
+			defer m.wg.Done()
+			m.serve(conn)
+			m.remove(conn)
 		}()
 	}
 }
 
-// close ends the listener and all connections.
-func (g *mgmt) close() {
-	g.listener.Close()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.closed = true
-	for _, c := range g.conns {
+// close closes the listener and all connections.
+func (m *mgmtServer) close() {
+	m.listener.Close()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.closed = true
+	for _, c := range m.conns {
 		c.Close()
 	}
 }
 
-// admit books a connection. A call takes no time to come: where there is no room, the oldest has had the longest to
-// make its own, and makes room.
-func (g *mgmt) admit(conn net.Conn) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.closed {
+// admit registers a connection. At the limit it closes the oldest one, which has had the most time to send its command. It
+// returns false if the server is closed.
+func (m *mgmtServer) admit(conn net.Conn) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.closed {
 		return false
 	}
-	if len(g.conns) >= g.most {
-		g.conns[0].Close()
-		g.conns = append(g.conns[:0], g.conns[1:]...)
+	if len(m.conns) >= m.maxConns {
+		m.conns[0].Close()
+		m.conns = append(m.conns[:0], m.conns[1:]...)
 	}
-	g.conns = append(g.conns, conn)
+	m.conns = append(m.conns, conn)
 	return true
 }
 
-func (g *mgmt) leave(conn net.Conn) {
+// remove closes a connection and forgets it.
+func (m *mgmtServer) remove(conn net.Conn) {
 	conn.Close()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for i, c := range g.conns {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for i, c := range m.conns {
 		if c == conn {
-			g.conns = append(g.conns[:i], g.conns[i+1:]...)
+			m.conns = append(m.conns[:i], m.conns[i+1:]...)
 			return
 		}
 	}
 }
 
-// serve reads one call and answers it.
-func (g *mgmt) serve(conn net.Conn) {
-	conn.SetDeadline(time.Now().Add(mgmtAskFor))
-	in := bufio.NewReaderSize(io.LimitReader(conn, mgmtLineMost), mgmtLineMost)
+// serve reads one command and answers it.
+func (m *mgmtServer) serve(conn net.Conn) {
+	conn.SetDeadline(time.Now().Add(mgmtReadTimeout))
+	in := bufio.NewReaderSize(io.LimitReader(conn, maxCommandBytes), maxCommandBytes)
 	line, err := in.ReadString('\n')
 	if err != nil && (!errors.Is(err, io.EOF) || line == "") {
-		return // nobody is there, or no longer
+		return // the peer sent nothing in time, or has disconnected
 	}
-	conn.SetDeadline(time.Now().Add(mgmtAnswerIn))
-	if _, err := conn.Write(g.answer(strings.TrimSpace(line))); err != nil {
-		g.log.Debug("management answer not taken", "err", err)
+	conn.SetDeadline(time.Now().Add(mgmtWriteTimeout))
+	if _, err := conn.Write(m.answer(strings.TrimSpace(line))); err != nil {
+		m.log.Debug("management answer not written", "err", err)
 		return
 	}
-	// Closed with input unread, a connection is reset, and its answer may be lost with it.
+	// Closing a connection with unread input resets it, and the answer may be lost.
 	if half, ok := conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		conn.SetDeadline(time.Now().Add(mgmtLinger))
-		io.CopyN(io.Discard, conn, mgmtLineMost)
+		conn.SetDeadline(time.Now().Add(mgmtLingerTimeout))
+		io.CopyN(io.Discard, conn, maxCommandBytes)
 	}
 }
 
-// manage answers a call on the management address.
-func (r *Relay) manage(line string) []byte {
+// handleCommand returns the answer to a command on the management address.
+func (r *Relay) handleCommand(line string) []byte {
 	yes := false
 	switch line {
 	case "status":
-		yes = r.served.Load() && r.ready() && !r.handed.Load()
+		yes = r.serving.Load() && r.ready() && !r.handedOver.Load()
 	case "stats":
 		var b bytes.Buffer
-		r.figures.write(&b)
+		r.metrics.write(&b)
 		b.WriteString("END\n")
 		return b.Bytes()
 	case "standby":
-		yes = r.wish(policy.Standby)
+		yes = r.requestDuty(policy.Standby)
 	case "active":
-		yes = r.wish(policy.Active)
+		yes = r.requestDuty(policy.Active)
 	}
 	if yes {
 		return []byte("YES\n")
@@ -171,20 +173,20 @@
 	return []byte("NO\n")
 }
 
-// wish leaves word for the loop that clients are to be sent elsewhere, or may come again; of several the last counts.
-// False if the process ends already, or handed its relay over: neither is undone.
-func (r *Relay) wish(k policy.EventKind) bool {
-	if r.ending.Load() || r.handed.Load() {
-		return k == policy.Standby
+// requestDuty asks the loop to switch to Standby (clients are sent elsewhere) or Active; only the last request counts. It
+// returns whether the request will be fulfilled: a process that is ending or has handed its relay over stays in standby.
+func (r *Relay) requestDuty(kind policy.EventKind) bool {
+	if r.ending.Load() || r.handedOver.Load() {
+		return kind == policy.Standby
 	}
 	for {
 		select {
-		case r.wishes <- k:
+		case r.dutyRequests <- kind:
 			return true
 		default:
 		}
 		select {
-		case <-r.wishes: // not taken up yet, and out of date
+		case <-r.dutyRequests: // replace a request that the loop has not read yet
 		default:
 		}
 	}
--- a/internal/relay/recovery.go
+++ b/internal/relay/recovery.go
@@ -5,37 +5,40 @@
 	"time"
 )
 
-// recovery counts what a process found taken on, and what came of it: what was untried is owed a try while its time lasts.
-type recovery struct {
-	found, untried int // those that have surely not run are untried
-	called         int // of the untried: by this process
-	early          int // of the untried: ended with no call before their time was up
-	late           int // of the untried: ended with no call once it was
-	other          int // ended, of those that may have run
+// recoveryCounts counts the messages that a process recovered from the log, and how they ended. An unsent message, one that
+// has certainly not run, must be attempted before its deadline.
+type recoveryCounts struct {
+	found, unsent int // all recovered messages, and the unsent ones among them
+	attempted     int // unsent ones that ended after an attempt of this process
+	endedEarly    int // unsent ones that ended without an attempt before their deadline
+	expired       int // unsent ones that ended without an attempt at their deadline
+	mayHaveRun    int // others that have ended
 }
 
-// ended counts the end of one.
-func (c *recovery) ended(m *message, now time.Time) {
+// countEnd counts the end of a recovered message.
+func (c *recoveryCounts) countEnd(m *message, now time.Time) {
 	switch {
-	case m.foundRan:
-		c.other++
-	case m.called:
-		c.called++
-	case now.Before(m.Deadline.Add(-endRoom)):
-		c.early++
+	case m.mayHaveRun:
+		c.mayHaveRun++
+	case m.attempted:
+		c.attempted++
+	case now.Before(m.Deadline.Add(-deadlineMargin)):
+		c.endedEarly++
 	default:
-		c.late++
+		c.expired++
 	}
 }
 
-// endRoom is how long before its time a message may be ended because that is up.
-const endRoom = 50 * time.Millisecond
+// deadlineMargin is how long before its deadline a message may already be ended as expired.
+const deadlineMargin = 50 * time.Millisecond
 
-// left is how many have not ended.
-func (c *recovery) left() int { return c.found - c.called - c.early - c.late - c.other }
+// remaining returns the number of recovered messages that have not ended.
+func (c *recoveryCounts) remaining() int {
+	return c.found - c.attempted - c.endedEarly - c.expired - c.mayHaveRun
+}
 
-// LogValue writes the counts as one group.
-func (c recovery) LogValue() slog.Value {
-	return slog.GroupValue(slog.Int("found", c.found), slog.Int("untried", c.untried), slog.Int("called", c.called),
-		slog.Int("no_call_early", c.early), slog.Int("no_call_in_time", c.late), slog.Int("may_have_run", c.other))
+// LogValue returns the counts as one group.
+func (c recoveryCounts) LogValue() slog.Value {
+	return slog.GroupValue(slog.Int("found", c.found), slog.Int("untried", c.unsent), slog.Int("called", c.attempted),
+		slog.Int("no_call_early", c.endedEarly), slog.Int("no_call_in_time", c.expired), slog.Int("may_have_run", c.mayHaveRun))
 }
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -1,6 +1,6 @@
 package relay
 
-// This file holds what a relay that starts again takes up from its write-ahead log.
+// This file holds the start of a relay: restoring messages and outages from the write-ahead log of a previous process.
 
 import (
 	"time"
@@ -9,72 +9,72 @@
 	"wallflow/policy"
 )
 
-// resume hands the module the known list and what an earlier process left, in one step.
+// resume passes the configured host list and what a previous process left to the decision module, in one step.
 func (r *Relay) resume() {
-	if r.inherited != nil {
-		r.resumeInherited()
+	if r.predecessor != nil {
+		r.resumeTakeover()
 		return
 	}
-	found := r.found
-	r.found = wal.Recovery{}
+	recovered := r.walRecovery
+	r.walRecovery = wal.Recovery{}
 	var evs []policy.Event
-	if len(r.cfg.Known.Entries) > 0 {
-		known := r.cfg.Known
+	if len(r.cfg.KnownHosts.Entries) > 0 {
+		known := r.cfg.KnownHosts
 		known.Full = true
-		evs = append(evs, r.list(known))
+		evs = append(evs, r.applyList(known))
 	}
-	if len(found.Doubts) > 0 {
-		evs = append(evs, r.recalled(found.Doubts))
+	if len(recovered.Doubts) > 0 {
+		evs = append(evs, r.suspicionsEvent(recovered.Doubts))
 	}
-	for _, w := range found.Messages {
-		m := r.newMessage(w, r.classOf(w))
+	for _, w := range recovered.Messages {
+		m := r.newMessage(w, r.classOfRecovered(w))
 		m.sends = w.Attempts
-		r.msgs[m.ID], r.traces[m.Trace] = m, m
+		r.msgs[m.ID], r.byTrace[m.Trace] = m, m
 		r.lastID = max(r.lastID, m.ID)
 		switch {
 		case w.Final != nil:
-			m.ended, m.counted = true, true // by the process that decided it
-			r.notify(m)
-		case found.Damaged:
-			// What it has sent may be missing from the log: nothing can be promised.
+			m.ended, m.counted = true, true // counted by the process that decided on it
+			r.queueNotice(m)
+		case recovered.Damaged:
+			// Attempts may be missing from the log, so the message may have run and is not sent again.
 			m.ended = true
 			m.count(failed)
 			r.wal.Decide(w, wal.Final{})
-			r.notify(m)
+			r.queueNotice(m)
 		default:
 			r.held++
-			m.found, m.foundRan = true, len(m.MayRun) > 0
-			if r.recovered.found++; !m.foundRan {
-				r.recovered.untried++
+			m.recovered, m.mayHaveRun = true, len(m.MayRun) > 0
+			if r.recoveryCounts.found++; !m.mayHaveRun {
+				r.recoveryCounts.unsent++
 			}
-			evs = append(evs, r.resumed(m))
+			evs = append(evs, r.resumedEvent(m))
 		}
 	}
-	if found.Unreadable > 0 {
-		r.log.Warn("a part of the journal was unreadable and is passed over", "bytes", found.Unreadable)
+	if recovered.Unreadable > 0 {
+		r.log.Warn("part of the write-ahead log was unreadable and is ignored", "bytes", recovered.Unreadable)
 	}
-	if len(found.Messages) > 0 || found.Damaged {
-		r.log.Info("recovered", "messages", len(found.Messages), "owed_a_try", r.recovered.untried, "may_have_run",
-			r.recovered.found-r.recovered.untried, "damaged", found.Damaged)
+	if len(recovered.Messages) > 0 || recovered.Damaged {
+		r.log.Info("recovered", "messages", len(recovered.Messages), "owed_a_try", r.recoveryCounts.unsent, "may_have_run",
+			r.recoveryCounts.found-r.recoveryCounts.unsent, "damaged", recovered.Damaged)
 	}
-	r.carryOut(r.sender.Step(r.now(), evs), nil)
+	r.applyActions(r.sender.Step(r.now(), evs), nil)
 }
 
-// noteDoubts has the log know what the module knows of outages, for the next process.
-func (r *Relay) noteDoubts() {
-	var now []wal.Doubt
+// recordSuspicions writes the hosts that the decision module suspects of an outage to the log, for the next process.
+func (r *Relay) recordSuspicions() {
+	var suspected []wal.Doubt
 	for _, d := range r.sender.Suspicions() {
 		x := wal.Doubt{Host: d.Route, Slight: d.Weak}
 		if d.SinceDelivery > 0 {
 			x.Back = time.Now().Add(-d.SinceDelivery)
 		}
-		now = append(now, x)
+		suspected = append(suspected, x)
 	}
-	r.wal.Doubt(now)
+	r.wal.Doubt(suspected)
 }
 
-// recalled tells the module what the process before knew of outages.
-func (r *Relay) recalled(found []wal.Doubt) policy.Event {
+// suspicionsEvent returns the event that tells the decision module what the previous process knew of outages.
+func (r *Relay) suspicionsEvent(found []wal.Doubt) policy.Event {
 	e := policy.Event{Kind: policy.SuspicionsRestored}
 	for _, d := range found {
 		x := policy.Suspicion{Route: d.Host, Weak: d.Slight}
@@ -86,18 +86,19 @@
 	return e
 }
 
-// newMessage is a message of a class, nil where its terms are lost.
+// newMessage returns a message of a class; c is nil if the terms under which it was accepted are lost.
 func (r *Relay) newMessage(w *wal.Message, c *class) *message {
 	m := &message{Message: w, class: c}
 	if c != nil {
-		m.tally = c.tally
+		m.counters = c.counters
 	}
 	return m
 }
 
-// resumed tells the module of a message of an earlier process, in the module's own time.
-func (r *Relay) resumed(m *message) policy.Event {
-	e := r.taken(m)
+// resumedEvent returns the event for a message that a previous process accepted. Its times are relative to now, because the
+// decision module's clock has started anew.
+func (r *Relay) resumedEvent(m *message) policy.Event {
+	e := r.acceptedEvent(m)
 	e.Resumed = &policy.Resumed{Attempts: m.Attempts}
 	if len(m.MayRun) > 0 {
 		first := m.MayRun[0]
@@ -107,7 +108,8 @@
 	return e
 }
 
-func (r *Relay) taken(m *message) policy.Event {
+// acceptedEvent returns the event for an accepted message.
+func (r *Relay) acceptedEvent(m *message) policy.Event {
 	e := policy.Event{
 		Kind: policy.Accepted, ID: m.ID, Key: m.Order, Class: -1, Customer: m.Customer, Destination: m.Dest,
 		TimeLeft: time.Until(m.Deadline),
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -1,6 +1,7 @@
 package relay
 
-// This file carries out what the decision module asks for: calls are journaled, launched or given back, and clients are told.
+// This file carries out the actions that the decision module returns: it writes attempts to the write-ahead log, starts
+// calls, answers clients and queues notices.
 
 import (
 	"net/http"
@@ -10,118 +11,121 @@
 	"wallflow/policy"
 )
 
-// carryOut does what the module has decided: first in the log, in one write, then on the sockets.
-func (r *Relay) carryOut(acts []policy.Action, fresh []*handIn) {
-	answers := make(map[uint32]answer, len(fresh))
-	for _, in := range fresh {
-		answers[in.m.ID] = answer{status: http.StatusAccepted, policy: in.m.Policy}
+// applyActions carries out the decision module's actions: first in the log, with one write, then on the sockets. accepted
+// are the messages accepted in this step, whose clients wait for an answer.
+func (r *Relay) applyActions(actions []policy.Action, accepted []*submission) {
+	answers := make(map[uint32]answer, len(accepted))
+	for _, sub := range accepted {
+		answers[sub.msg.ID] = answer{status: http.StatusAccepted, policyNumber: sub.msg.Policy}
 	}
 	var calls []*call
 	var ended []*message
-	for _, a := range acts {
+	for _, a := range actions {
 		m := r.msgs[a.ID]
 		switch a.Kind {
 		case policy.Send:
-			calls = r.addSend(calls, m, a)
+			calls = r.addToCall(calls, m, a)
 		case policy.Refuse, policy.Fail:
 			if m == nil || m.ended {
 				continue
 			}
-			r.done(m)
+			r.markEnded(m)
 			if a.Kind == policy.Refuse {
-				m.count(handedBack)
+				m.count(refused)
 			} else {
 				m.count(failed)
 			}
 			if _, ok := answers[a.ID]; ok {
-				answers[a.ID] = answer{status: http.StatusServiceUnavailable, again: a.Delay}
+				answers[a.ID] = answer{status: http.StatusServiceUnavailable, retryAfter: a.Delay}
 				if a.Kind == policy.Fail {
 					answers[a.ID] = answer{status: http.StatusInternalServerError}
 				}
 				r.wal.End(m.Message)
-				r.retire(m)
+				r.forgetIfFinished(m)
 				continue
 			}
 			r.wal.Decide(m.Message, wal.Final{Deferred: a.Kind == policy.Refuse, Again: a.Delay})
 			ended = append(ended, m)
 		case policy.Wake:
-			r.wakeAt = time.Now().Add(a.Delay) // the module keeps one wake in mind, the last that it asked for
+			r.wakeAt = time.Now().Add(a.Delay) // the module has one wake time; a new one replaces it
 		case policy.SetListener:
-			r.attend(a.Listener)
+			r.applyListenerState(a.Listener)
 		case policy.CloseIdle:
 			r.hosts.closeIdle(r.routes[a.Route].addr)
 		}
 	}
-	if err := r.record(calls); err != nil {
-		r.log.Warn("log not written", "calls", len(calls), "err", err)
-		// A send that is not in the log must not leave: after a restart it would be made again.
-		r.giveBack(calls)
+	if err := r.recordCalls(calls); err != nil {
+		r.log.Warn("write-ahead log not written", "calls", len(calls), "err", err)
+		// An attempt that is not in the log must not be sent: after a restart it would be sent again.
+		r.failUnrecorded(calls)
 		calls = nil
 	}
-	for _, in := range fresh {
-		in.reply <- answers[in.m.ID]
+	for _, sub := range accepted {
+		sub.reply <- answers[sub.msg.ID]
 	}
 	for _, m := range ended {
-		r.notify(m)
+		r.queueNotice(m)
 	}
 	for _, c := range calls {
-		r.launch(c)
+		r.startCall(c)
 	}
 }
 
-// addSend puts a send into a call: those of one step to one route travel as one, up to what its kind allows.
-func (r *Relay) addSend(calls []*call, m *message, a policy.Action) []*call {
-	t := r.routes[a.Route]
-	most := 1
-	if t.Kind >= 0 && t.Kind < len(r.cfg.Settings.Kinds) {
-		most = max(1, r.cfg.Settings.Kinds[t.Kind].PerCall)
+// addToCall adds an attempt to a call. Attempts of one step to the same route share a call, up to the number of messages
+// that the route's kind allows.
+func (r *Relay) addToCall(calls []*call, m *message, a policy.Action) []*call {
+	host := r.routes[a.Route]
+	maxAttempts := 1
+	if host.Kind >= 0 && host.Kind < len(r.cfg.Settings.Kinds) {
+		maxAttempts = max(1, r.cfg.Settings.Kinds[host.Kind].PerCall)
 	}
 	var c *call
-	size := itemSize(m)
-	for _, x := range calls {
-		// Bodies hold so much at most, and many small messages are no reason to have one large one turned away.
-		if x.route == a.Route && len(x.attempts) < most && x.size+size <= bodyMost {
-			c = x
+	size := maxItemSize(m)
+	for _, other := range calls {
+		// A host rejects a larger body: small messages must not be bundled with one that makes the body too large.
+		if other.route == a.Route && len(other.attempts) < maxAttempts && other.size+size <= maxBodyBytes {
+			c = other
 		}
 	}
 	if c == nil {
-		c = &call{route: a.Route, addr: t.addr, zone: t.Zone, sent: time.Now()}
+		c = &call{route: a.Route, addr: host.addr, zone: host.Zone, sentAt: time.Now()}
 		calls = append(calls, c)
 	}
-	until := r.started.Add(a.TimeoutAt)
+	deadline := r.clockZero.Add(a.TimeoutAt)
 	c.size += size
-	if by := r.started.Add(a.LeaveBy); a.LeaveBy > 0 && (c.leaveBy.IsZero() || by.Before(c.leaveBy)) {
-		c.leaveBy = by
+	if writeBy := r.clockZero.Add(a.LeaveBy); a.LeaveBy > 0 && (c.writeBy.IsZero() || writeBy.Before(c.writeBy)) {
+		c.writeBy = writeBy
 	}
-	c.attempts = append(c.attempts, &attempt{call: c, m: m, n: m.sends, until: until})
+	c.attempts = append(c.attempts, &attempt{call: c, msg: m, number: m.sends, deadline: deadline})
 	m.sends++
-	m.out++
-	m.called = true
-	if len(c.attempts) == 1 || until.After(c.until) == r.cfg.MayDuplicate {
-		c.until = until // where a second copy may be out, the rest of a call outlasts one message's time-out
+	m.inFlight++
+	m.attempted = true
+	if len(c.attempts) == 1 || deadline.After(c.deadline) == r.cfg.MayDuplicate {
+		c.deadline = deadline // the latest deadline if attempts of a message may overlap, else the earliest
 	}
 	return calls
 }
 
-// record writes the sends of calls and all that was noted in this step. A call that has to wait for a connection is written
-// once that is up: killed before, its messages have surely not run.
-func (r *Relay) record(calls []*call) error {
-	var going []*attempt
+// recordCalls writes the attempts of calls to the log, with everything else that this step has noted. Calls that need a
+// new connection are recorded later, once it is established: if the process is killed before that, their messages have
+// certainly not run.
+func (r *Relay) recordCalls(calls []*call) error {
+	var attempts []*attempt
 	for _, c := range calls {
-		if r.hosts.rests(c.addr) {
-			going = append(going, c.attempts...)
+		if r.hosts.hasIdle(c.addr) {
+			attempts = append(attempts, c.attempts...)
 		}
 	}
-	return r.journal(going)
+	return r.recordAttempts(attempts)
 }
 
-// journal writes sends that are not in the log yet, and all that was noted.
-func (r *Relay) journal(going []*attempt) error {
+// recordAttempts writes the attempts that are not in the log yet, with everything else that was noted.
+func (r *Relay) recordAttempts(attempts []*attempt) error {
 	var sends []wal.Send
-	for _, a := range going {
-		if !a.journaled {
+	for _, a := range attempts {
+		if !a.recorded {
 			sends = append(sends, wal.Send{
-				Message: a.m.Message, Attempt: wal.Attempt{N: a.n, Host: a.route, Zone: a.zone, At: a.sent},
+				Message: a.msg.Message, Attempt: wal.Attempt{N: a.number, Host: a.route, Zone: a.zone, At: a.sentAt},
 			})
 		}
 	}
@@ -131,76 +135,79 @@
 	if err := r.wal.Sent(sends...); err != nil {
 		return err
 	}
-	for _, a := range going {
-		a.journaled = true
+	for _, a := range attempts {
+		a.recorded = true
 	}
 	return nil
 }
 
-// giveBack ends calls that could not be recorded as never connected.
-func (r *Relay) giveBack(calls []*call) {
+// failUnrecorded ends calls that could not be written to the log, with the outcome of a failed connect.
+func (r *Relay) failUnrecorded(calls []*call) {
 	for _, c := range calls {
 		for _, a := range c.attempts {
-			r.later = r.attemptEnded(r.later, a, result{outcome: policy.ConnectFailed})
+			r.deferredEvents = r.attemptEnded(r.deferredEvents, a, result{outcome: policy.ConnectFailed})
 		}
 	}
-	// The module is told in a step of its own, soon, and not by its own wake, which must not be lost.
-	time.AfterFunc(r.cfg.Tick, func() { r.post(nudge{}) })
+	// The decision module receives the outcomes in a step of their own. wakeAt is not used for that, because it would
+	// replace the wake time that the module asked for.
+	time.AfterFunc(r.cfg.Tick, func() { r.post(stepRequest{}) })
 }
 
-// launch makes a call, away from the loop.
-func (r *Relay) launch(c *call) {
-	r.out++
-	r.lastCall++
-	c.id = r.lastCall
-	r.live[c] = struct{}{}
+// startCall makes a call in a goroutine of its own and posts its end to the loop. An attempt whose deadline is earlier
+// than that of its call gets its own timer.
+func (r *Relay) startCall(c *call) {
+	r.callsInFlight++
+	r.lastCallID++
+	c.id = r.lastCallID
+	r.liveCalls[c] = struct{}{}
 	for _, a := range c.attempts {
-		if a.until.Before(c.until) {
-			a.timer = time.AfterFunc(time.Until(a.until), func() { r.post(cutOff{a}) })
+		if a.deadline.Before(c.deadline) {
+			a.timer = time.AfterFunc(time.Until(a.deadline), func() { r.post(attemptTimeout{a}) })
 		}
 	}
-	r.calls.Add(1)
+	r.runningCalls.Add(1)
 	go func() {
-		defer r.calls.Done()
-		results := r.hosts.do(r.callCtx, c, r.clear)
+		defer r.runningCalls.Done()
+		results := r.hosts.makeCall(r.callCtx, c, r.requestClearance)
 		r.post(&callEnd{c, results})
 	}()
 }
 
-// clear asks the loop which attempts of a call that was held up may leave.
-func (r *Relay) clear(c *call) []*attempt {
+// requestClearance asks the loop which attempts of a call that was held up may still be sent.
+func (r *Relay) requestClearance(c *call) []*attempt {
 	reply := make(chan []*attempt, 1)
-	if !r.post(clearance{c, reply}) {
+	if !r.post(clearanceRequest{c, reply}) {
 		return nil
 	}
 	select {
-	case going := <-reply:
-		return going
-	case <-r.over:
+	case cleared := <-reply:
+		return cleared
+	case <-r.loopDone:
 		return nil
 	}
 }
 
-// mayLeave asks the module for each of a call's messages: their terms differ, and so does what each has behind it.
-func (r *Relay) mayLeave(c *call) []*attempt {
-	var going []*attempt
+// clearAttempts returns the attempts of a call that may still be sent, and records them in the log. The decision module
+// is asked for each message, since messages differ in their terms and in their earlier attempts.
+func (r *Relay) clearAttempts(c *call) []*attempt {
+	var cleared []*attempt
 	for _, a := range c.attempts {
-		if !r.noSends && r.sender.MayStillSend(a.m.ID, c.route, r.now()) {
-			going = append(going, a)
+		if !r.sendsStopped && r.sender.MayStillSend(a.msg.ID, c.route, r.now()) {
+			cleared = append(cleared, a)
 		}
 	}
-	if err := r.journal(going); err != nil {
-		r.log.Warn("log not written", "calls", 1, "err", err)
+	if err := r.recordAttempts(cleared); err != nil {
+		r.log.Warn("write-ahead log not written", "calls", 1, "err", err)
 		return nil
 	}
-	return going
+	return cleared
 }
 
-// notify queues the notice that ends a message.
-func (r *Relay) notify(m *message) {
-	n := notice{id: m.ID, ID: m.Trace, Status: "undeliverable"}
+// queueNotice queues the notice that tells the platform how an undelivered message ended.
+func (r *Relay) queueNotice(m *message) {
+	n := notice{messageID: m.ID, ID: m.Trace, Status: "undeliverable"}
 	if m.Final.Deferred {
 		n.Status, n.AgainMS = "deferred", m.Final.Again.Milliseconds()
 	}
-	r.finals.add(n)
+	r.notices.add(n)
 }
--- a/internal/relay/settings.go
+++ b/internal/relay/settings.go
@@ -11,29 +11,29 @@
 	"wallflow/policy"
 )
 
-// class is a class of message as clients name it, with the terms that its messages are taken on under.
+// class is a message class that clients can name, with the terms under which its messages are accepted.
 type class struct {
-	name  string
-	terms policy.Class
-	wal   uint32 // the terms' number in the log
-	tally *tally
+	name        string
+	terms       policy.Class
+	termsNumber uint32 // number of the terms in the write-ahead log
+	counters    *classCounters
 }
 
-// names are what clients may name in a hand-in. They change as a whole.
-type names struct {
+// clientNames holds the classes and customers that a submission may name. It is replaced as a whole.
+type clientNames struct {
 	classes   map[string]*class
-	customers []string // empty: the site has none
+	customers []string // empty: messages carry no customer
 }
 
-// reconfigured tells the loop of a configuration that was checked.
+// reconfigured is the loop event for a new configuration that was checked.
 type reconfigured struct{ cfg Config }
 
-// install puts classes and customers of a configuration in force, in the log as well.
-func (r *Relay) install(cfg Config) error {
-	n := &names{classes: map[string]*class{}, customers: cfg.Customers}
+// installClasses puts the classes and customers of a configuration in force, and adds the classes' terms to the log.
+func (r *Relay) installClasses(cfg Config) error {
+	n := &clientNames{classes: map[string]*class{}, customers: cfg.Customers}
 	var terms []wal.Terms
 	for i, name := range cfg.Classes {
-		c := &class{name: name, terms: cfg.Settings.Classes[i], tally: r.figures.of(name)}
+		c := &class{name: name, terms: cfg.Settings.Classes[i], counters: r.metrics.forClass(name)}
 		if c.terms.Attempts == 0 {
 			c.terms.Attempts = cfg.Settings.MaxAttempts
 		}
@@ -45,112 +45,114 @@
 		terms = append(terms, wal.Terms{Name: name, Rules: rules})
 	}
 	for i, number := range r.wal.Use(terms) {
-		n.classes[cfg.Classes[i]].wal = number
+		n.classes[cfg.Classes[i]].termsNumber = number
 	}
 	r.names.Store(n)
 	return nil
 }
 
-// classOf finds the terms that a message of an earlier process was taken on under.
-func (r *Relay) classOf(m *wal.Message) *class {
+// classOfRecovered returns the class of a message that a previous process accepted, with the terms under which it did so;
+// nil if they are lost.
+func (r *Relay) classOfRecovered(m *wal.Message) *class {
 	t, ok := r.wal.Terms(m)
 	if !ok {
-		// A log from before it held terms: those of the configuration, by the place of the class.
+		// Logs of older versions contain no terms: use those of the current configuration, by the index of the class.
 		if m.Class < 0 || m.Class >= len(r.cfg.Classes) {
 			return nil
 		}
 		c := r.names.Load().classes[r.cfg.Classes[m.Class]]
-		m.Terms = c.wal
+		m.Terms = c.termsNumber
 		return c
 	}
-	c := &class{name: t.Name, wal: m.Terms, tally: r.figures.of(t.Name)}
+	c := &class{name: t.Name, termsNumber: m.Terms, counters: r.metrics.forClass(t.Name)}
 	if err := json.Unmarshal(t.Rules, &c.terms); err != nil {
-		r.log.Warn("terms in the log unreadable", "class", t.Name, "err", err)
+		r.log.Warn("unreadable terms in the write-ahead log", "class", t.Name, "err", err)
 		return nil
 	}
 	return c
 }
 
-// current is a hand-in's class as it is now: its terms may have changed since its request was read. Nil if there is
-// no such class any more.
-func (r *Relay) current(c *class) *class {
+// currentClass returns the class of a submission with its current terms, which may have changed since the request was
+// read. It returns nil if the class no longer exists.
+func (r *Relay) currentClass(c *class) *class {
 	if c == nil {
 		return nil
 	}
 	return r.names.Load().classes[c.name]
 }
 
-// Reload takes on the configuration as it is now, or turns it down whole. It is for one goroutine.
+// Reload reads the configuration again and applies it, or rejects it as a whole. It must not be called concurrently.
 func (r *Relay) Reload(getenv func(string) string) {
 	cfg, err := LoadConfig(getenv)
 	if err == nil {
-		err = cfg.replaces(r.force)
+		err = cfg.checkReplacement(r.inForce)
 	}
 	if err != nil {
-		r.figures.rejected.Add(1)
-		r.log.Warn("configuration turned down", "err", err)
+		r.metrics.rejected.Add(1)
+		r.log.Warn("configuration rejected", "err", err)
 		return
 	}
-	r.force = cfg
+	r.inForce = cfg
 	r.Reconfigure(cfg)
 }
 
-// reconfigure puts a checked configuration in force, and hands it to the module as one event.
+// reconfigure puts a checked configuration in force and returns the event for the decision module, or nil if the
+// configuration does not fit the fleet policy in force.
 func (r *Relay) reconfigure(cfg Config) []policy.Event {
 	base := cfg
-	cfg, err := cfg.under(r.document)
+	cfg, err := cfg.withPolicy(r.policyDocument)
 	if err != nil {
-		r.figures.rejected.Add(1)
-		r.log.Warn("configuration turned down: it cannot follow the policy in force", "policy", r.follows, "err", err)
+		r.metrics.rejected.Add(1)
+		r.log.Warn("configuration rejected: it does not fit the fleet policy in force", "policy", r.policyNumber, "err", err)
 		return nil
 	}
-	r.base = base
-	if err := r.install(cfg); err != nil { // plain values: cannot fail
-		r.figures.rejected.Add(1)
-		r.log.Error("configuration turned down", "err", err)
+	r.baseConfig = base
+	if err := r.installClasses(cfg); err != nil { // cannot happen: terms are plain values
+		r.metrics.rejected.Add(1)
+		r.log.Error("configuration rejected", "err", err)
 		return nil
 	}
 	r.cfg.Settings, r.cfg.Classes, r.cfg.Customers = cfg.Settings, cfg.Classes, cfg.Customers
 	r.cfg.Zones, r.cfg.Kinds, r.cfg.Tick, r.cfg.MayDuplicate = cfg.Zones, cfg.Kinds, cfg.Tick, cfg.MayDuplicate
-	r.figures.applied.Add(1)
-	r.log.Info("configuration taken on", "classes", cfg.Classes, "attempts", cfg.Settings.MaxAttempts)
+	r.metrics.applied.Add(1)
+	r.log.Info("configuration applied", "classes", cfg.Classes, "attempts", cfg.Settings.MaxAttempts)
 	if r.fleet != nil {
-		r.fleet.rebase(base)
+		r.fleet.setBaseConfig(base)
 	}
 	return []policy.Event{{Kind: policy.Configured, Settings: &r.cfg.Settings}}
 }
 
-// replaces tells why a configuration may not take the place of the one in force: nil if it may.
-func (c *Config) replaces(was Config) error {
-	if err := c.complete(); err != nil {
+// checkReplacement checks that a configuration may replace the one in force.
+func (c *Config) checkReplacement(old Config) error {
+	if err := c.checkComplete(); err != nil {
 		return err
 	}
-	if err := missing("", was.tree, c.tree); err != nil {
+	if err := checkKeys("", old.raw, c.raw); err != nil {
 		return err
 	}
 	switch {
 	case len(c.Classes) != len(c.Settings.Classes):
 		return errors.New("settings.services: too many")
-	case !starts(c.Zones, was.Zones) || !starts(c.Kinds, was.Kinds):
-		return errors.New("settings: zones or kinds are others: that takes a new process")
+	case !hasPrefix(c.Zones, old.Zones) || !hasPrefix(c.Kinds, old.Kinds):
+		return errors.New("settings: existing zones or kinds have changed: that needs a new process")
 	}
 	return c.Settings.Check()
 }
 
-// starts tells whether a list begins with all of another.
-func starts(list, head []string) bool {
-	return len(list) >= len(head) && slices.Equal(list[:len(head)], head)
+// hasPrefix reports whether a list begins with all of another.
+func hasPrefix(list, prefix []string) bool {
+	return len(list) >= len(prefix) && slices.Equal(list[:len(prefix)], prefix)
 }
 
-// complete tells what no configuration may lack, or have without sense.
-func (c *Config) complete() error {
-	settings, _ := c.tree["settings"].(map[string]any)
+// checkComplete checks the settings that every configuration must have.
+func (c *Config) checkComplete() error {
+	settings, _ := c.raw["settings"].(map[string]any)
 	bounds, _ := settings["bounds"].(map[string]any)
 	services, _ := settings["services"].([]any)
 	if len(services) == 0 {
 		return errors.New("settings.services: missing")
 	}
-	if err := above0("settings.bounds", bounds, "send_cap"); err != nil {
+	if err := checkPositive("settings.bounds", bounds, "send_cap"); err != nil {
 		return err
 	}
 	seen := map[string]bool{}
@@ -162,60 +164,60 @@
 			return fmt.Errorf("%s: no name or semantics", at)
 		}
 		if seen[name] {
-			return fmt.Errorf("%s: %q again", at, name)
+			return fmt.Errorf("%s: %q is listed more than once", at, name)
 		}
 		seen[name] = true
-		if err := above0(at, service, "give_up_ms", "goal_time_ms"); err != nil {
+		if err := checkPositive(at, service, "give_up_ms", "goal_time_ms"); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// above0 tells which of the keys is no number above 0.
-func above0(at string, object map[string]any, keys ...string) error {
+// checkPositive checks that the values of the keys are numbers above 0.
+func checkPositive(path string, object map[string]any, keys ...string) error {
 	for _, key := range keys {
 		x, ok := object[key].(float64)
 		if !ok || !(x > 0) || math.IsInf(x, 0) {
-			return fmt.Errorf("%s.%s: %v is not a number above 0", at, key, object[key])
+			return fmt.Errorf("%s.%s: %v is not a number above 0", path, key, object[key])
 		}
 	}
 	return nil
 }
 
-// missing tells of a key that the configuration in force has and another lacks. Of a list of objects, an entry
-// lacks what all of the entries in force have. What hosts were known at some time is nobody's to keep.
-func missing(at string, was, is any) error {
-	switch was := was.(type) {
+// checkKeys checks that a new configuration has all keys of the one in force. An object in a list must have the keys that
+// all objects of the list in force have. The contents of "known", the initial host list, may differ.
+func checkKeys(prefix string, oldValue, newValue any) error {
+	switch oldValue := oldValue.(type) {
 	case map[string]any:
-		is, ok := is.(map[string]any)
+		newValue, ok := newValue.(map[string]any)
 		if !ok {
-			return fmt.Errorf("%s: missing, or no object", at)
+			return fmt.Errorf("%s: missing, or not an object", prefix)
 		}
-		for key, x := range was {
+		for key, x := range oldValue {
 			path := key
-			if at != "" {
-				path = at + "." + key
+			if prefix != "" {
+				path = prefix + "." + key
 			}
-			y, ok := is[key]
+			y, ok := newValue[key]
 			if !ok {
 				return fmt.Errorf("%s: missing", path)
 			}
 			if path == "known" {
 				continue
 			}
-			if err := missing(path, x, y); err != nil {
+			if err := checkKeys(path, x, y); err != nil {
 				return err
 			}
 		}
 	case []any:
-		is, ok := is.([]any)
+		newValue, ok := newValue.([]any)
 		if !ok {
-			return fmt.Errorf("%s: missing, or no list", at)
+			return fmt.Errorf("%s: missing, or not a list", prefix)
 		}
-		common := commonKeys(was)
-		for i, y := range is {
-			if err := missing(fmt.Sprintf("%s[%d]", at, i), common, y); len(common) > 0 && err != nil {
+		common := commonKeys(oldValue)
+		for i, y := range newValue {
+			if err := checkKeys(fmt.Sprintf("%s[%d]", prefix, i), common, y); len(common) > 0 && err != nil {
 				return err
 			}
 		}
@@ -223,7 +225,7 @@
 	return nil
 }
 
-// commonKeys are the keys that all objects of a list have; none if it is not one of objects.
+// commonKeys returns the keys that all objects of a list have, or none if it is not a list of objects.
 func commonKeys(list []any) map[string]any {
 	var common map[string]any
 	for _, x := range list {
