--- a/internal/relay/settings_test.go
+++ b/internal/relay/settings_test.go
@@ -12,7 +12,7 @@
 	"wallflow/policy"
 )
 
-// configText is a whole configuration; edit may spoil it.
+// configText returns a complete configuration file, changed by edit.
 func configText(t *testing.T, edit func(file, settings map[string]any)) string {
 	t.Helper()
 	var file map[string]any
@@ -31,12 +31,13 @@
 	return string(out)
 }
 
-func service(settings map[string]any) map[string]any {
+// firstService returns the first message class of the settings.
+func firstService(settings map[string]any) map[string]any {
 	return settings["services"].([]any)[0].(map[string]any)
 }
 
-// A file is taken whole or not at all, and either is counted.
-func TestAConfigurationIsTakenWholeOrTurnedDown(t *testing.T) {
+// A new configuration file is applied or rejected as a whole, and either is counted.
+func TestConfigurationIsAppliedOrRejectedAsAWhole(t *testing.T) {
 	good := configText(t, nil)
 	for name, c := range map[string]struct {
 		text string
@@ -51,7 +52,7 @@
 		"two of them": {good + good, false},
 		"a class added and more attempts": {configText(t, func(_, s map[string]any) {
 			added := map[string]any{"name": "added"}
-			for k, v := range service(s) {
+			for k, v := range firstService(s) {
 				if k != "name" {
 					added[k] = v
 				}
@@ -67,21 +68,23 @@
 		"no bounds":         {configText(t, func(_, s map[string]any) { delete(s, "bounds") }), false},
 		"bounds of no kind": {configText(t, func(_, s map[string]any) { s["bounds"] = 3 }), false},
 		"no classes":        {configText(t, func(_, s map[string]any) { s["services"] = []any{} }), false},
-		"no effect":         {configText(t, func(_, s map[string]any) { delete(service(s), "semantics") }), false},
-		"no window":         {configText(t, func(_, s map[string]any) { delete(service(s), "repeat_window_ms") }), false},
-		"no deadline":       {configText(t, func(_, s map[string]any) { delete(service(s), "give_up_ms") }), false},
-		"a deadline of 0":   {configText(t, func(_, s map[string]any) { service(s)["give_up_ms"] = 0 }), false},
-		"a negative one":    {configText(t, func(_, s map[string]any) { service(s)["give_up_ms"] = -1 }), false},
-		"one in words":      {configText(t, func(_, s map[string]any) { service(s)["give_up_ms"] = "16000" }), false},
-		"none":              {configText(t, func(_, s map[string]any) { service(s)["goal_time_ms"] = nil }), false},
+		"no effect":         {configText(t, func(_, s map[string]any) { delete(firstService(s), "semantics") }), false},
+		"no window":         {configText(t, func(_, s map[string]any) { delete(firstService(s), "repeat_window_ms") }), false},
+		"no deadline":       {configText(t, func(_, s map[string]any) { delete(firstService(s), "give_up_ms") }), false},
+		"a deadline of 0":   {configText(t, func(_, s map[string]any) { firstService(s)["give_up_ms"] = 0 }), false},
+		"a negative one":    {configText(t, func(_, s map[string]any) { firstService(s)["give_up_ms"] = -1 }), false},
+		"one in words":      {configText(t, func(_, s map[string]any) { firstService(s)["give_up_ms"] = "16000" }), false},
+		"none":              {configText(t, func(_, s map[string]any) { firstService(s)["goal_time_ms"] = nil }), false},
 		"no attempts":       {configText(t, func(_, s map[string]any) { s["bounds"].(map[string]any)["send_cap"] = 0 }), false},
 		"attempts in words": {configText(t, func(_, s map[string]any) { s["bounds"].(map[string]any)["send_cap"] = "many" }), false},
 		"the same class two times": {configText(t, func(_, s map[string]any) {
-			s["services"] = append(s["services"].([]any), service(s))
+			s["services"] = append(s["services"].([]any), firstService(s))
+		}), false},
+		"other zones": {configText(t, func(_, s map[string]any) { s["zones"] = []any{"b", "a"} }), false},
+		"a zone more": {configText(t, func(_, s map[string]any) { s["zones"] = []any{"a", "b", "c"} }), true},
+		"a quota in words": {configText(t, func(_, s map[string]any) {
+			s["realms"].([]any)[0].(map[string]any)["quota_per_s"] = "x"
 		}), false},
-		"other zones":           {configText(t, func(_, s map[string]any) { s["zones"] = []any{"b", "a"} }), false},
-		"a zone more":           {configText(t, func(_, s map[string]any) { s["zones"] = []any{"a", "b", "c"} }), true},
-		"a quota in words":      {configText(t, func(_, s map[string]any) { s["realms"].([]any)[0].(map[string]any)["quota_per_s"] = "x" }), false},
 		"a negative slot count": {configText(t, func(_, s map[string]any) { s["extra"].(map[string]any)["call_slots"] = -2 }), false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -98,7 +101,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, err := New(cfg, quiet())
+			r, err := New(cfg, discardLogger())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -107,58 +110,58 @@
 			write(c.text)
 			r.Reload(func(k string) string { return env[k] })
 			if c.ok {
-				r.next()
+				r.stepNextEvent()
 			}
-			applied, rejected := r.figures.applied.Load(), r.figures.rejected.Load()
+			applied, rejected := r.metrics.applied.Load(), r.metrics.rejected.Load()
 			if c.ok != (applied == 1) || c.ok != (rejected == 0) || applied+rejected != 1 {
 				t.Errorf("applied %d, rejected %d", applied, rejected)
 			}
-			if !c.ok && (len(r.events) > 0 || len(r.moves) > 0 || r.names.Load() != before) {
-				t.Error("a file that was turned down changed something")
+			if !c.ok && (len(r.events) > 0 || len(r.discoveryMoves) > 0 || r.names.Load() != before) {
+				t.Error("a rejected file changed something")
 			}
 		})
 	}
 }
 
-// A hand-in that was read before the settings changed is taken on under the new ones; one of a class that is gone
-// is handed back.
-func TestAHandInCrossesNewSettings(t *testing.T) {
+// A submission that was read before the settings changed is accepted under the new ones. If its class no longer exists, it is
+// refused.
+func TestSubmissionDuringReconfiguration(t *testing.T) {
 	r := newTestRelay(t)
 	cfg := r.cfg
 	cfg.Settings.Classes = []policy.Class{r.cfg.Settings.Classes[0]}
 	cfg.Settings.Classes[0].Effect = policy.Unsafe
-	hand := func(id string, cfg Config) (int, *message) {
+	submit := func(id string, cfg Config) (int, *message) {
 		w := httptest.NewRecorder()
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			r.newServer().Handler.ServeHTTP(w, handInRequest(t.Context(), id))
+			r.newServer().Handler.ServeHTTP(w, submissionRequest(t.Context(), id))
 		}()
-		in := <-r.events
-		for { // an end of the call before may come first
-			if _, ok := in.(*handIn); ok {
+		event := <-r.events
+		for { // the end of the previous call may come first
+			if _, ok := event.(*submission); ok {
 				break
 			}
-			r.step([]any{in})
-			in = <-r.events
+			r.step([]any{event})
+			event = <-r.events
 		}
-		r.step([]any{reconfigured{cfg}, in})
+		r.step([]any{reconfigured{cfg}, event})
 		<-done
-		return w.Code, r.traces[id]
+		return w.Code, r.byTrace[id]
 	}
-	if code, m := hand("m1", cfg); code != http.StatusAccepted || m.class.terms.Effect != policy.Unsafe {
-		t.Errorf("status %d, taken on under %+v", code, m.class.terms)
+	if code, m := submit("m1", cfg); code != http.StatusAccepted || m.class.terms.Effect != policy.Unsafe {
+		t.Errorf("status %d, accepted under %+v", code, m.class.terms)
 	}
-	open := r.traces["m1"].class
-	gone := cfg
-	gone.Classes = []string{"another"}
-	if code, m := hand("m2", gone); code != http.StatusServiceUnavailable || m != nil {
-		t.Errorf("of a class that is gone: status %d", code)
+	open := r.byTrace["m1"].class
+	changed := cfg
+	changed.Classes = []string{"another"}
+	if code, m := submit("m2", changed); code != http.StatusServiceUnavailable || m != nil {
+		t.Errorf("of a class that no longer exists: status %d", code)
 	}
-	if r.traces["m1"].class != open {
-		t.Error("an open message lost its terms")
+	if r.byTrace["m1"].class != open {
+		t.Error("an unfinished message lost its terms")
 	}
-	if got := figuresOf(r); !strings.Contains(got, "relay.shed.order=1\n") || !strings.Contains(got, "relay.ok.another=0\n") {
-		t.Errorf("figures:\n%s", got)
+	if got := metricsText(r); !strings.Contains(got, "relay.shed.order=1\n") || !strings.Contains(got, "relay.ok.another=0\n") {
+		t.Errorf("metrics:\n%s", got)
 	}
 }
--- a/internal/relay/takeover.go
+++ b/internal/relay/takeover.go
@@ -14,23 +14,28 @@
 	"wallflow/policy"
 )
 
-// One relay in two processes while the one replaces the other. At any moment one of them decides, and that one holds
-// the journal's lock: the elder until it has been told that the successor is ready, the successor from then on.
+// This file holds the takeover of a relay by a new process without interrupting service. The new process (the successor)
+// connects to the running one (the predecessor), which hands over its listener and state. At any time at most one of the
+// two decides, and it holds the lock of the write-ahead log: the predecessor until the successor reports that it is ready,
+// the successor afterwards. The predecessor then becomes a forwarder: it finishes its calls in flight and reports their
+// results, and passes on what its open client connections submit, until all of them have ended.
 
-// ErrBack tells that the process that this one handed its relay to is gone: it is to start over, from the journal.
+// ErrBack says that the successor process that took over the relay is gone. This process has to start the relay again from
+// the write-ahead log.
 var ErrBack = errors.New("relay: the successor is gone")
 
 const (
-	handOverIn  = 2 * time.Second // for the successor to take the relay
-	takeBackIn  = time.Second     // for its lock to be free again if it did not
-	takePause   = 25 * time.Millisecond
-	takeLogEach = 5 * time.Second
-	leastRoom   = 8 // connections that a successor has, however many its elder holds
+	handoverTimeout       = 2 * time.Second // for the successor to take over
+	reclaimTimeout        = time.Second     // further time to get the log's lock back if it did not
+	takeoverRetryInterval = 25 * time.Millisecond
+	takeoverLogInterval   = 5 * time.Second
+	minConns              = 8 // least connection limit of a successor, however many connections its predecessor still has
 )
 
-// The events of a replacement.
+// The events of a takeover.
 type (
-	handOver struct {
+	// successorRequest is a successor that has connected. done is closed when it has been dealt with.
+	successorRequest struct {
 		conn *net.UnixConn
 		done chan struct{}
 	}
@@ -38,23 +43,24 @@
 	linkDown  struct{}        // the other process is gone
 )
 
-// handing is what a process keeps when its relay is another's.
-type handing struct {
-	link    *link
-	pending map[int]*handIn // passed on and not answered
-	seq     int
-	told    held
+// forwarder is the state of a process whose relay has been taken over.
+type forwarder struct {
+	link          *link
+	pending       map[int]*submission // forwarded and not answered yet, by sequence number
+	seq           int                 // sequence number of the last forwarded message
+	reportedConns connCounts          // as last reported to the successor
 }
 
-// inherits is what a successor has from its elder.
-type inherits struct {
-	handoff
-	link     *link
-	listener net.Listener
-	remote   map[int]*call // out in the elder
+// predecessor is what a successor received from the process that it replaces.
+type predecessor struct {
+	handoverState
+	link        *link
+	listener    net.Listener
+	remoteCalls map[int]*call // in flight in the predecessor, by its call ids
 }
 
-// Start returns a relay that may decide: from the journal if no process holds it, else from the process that does.
+// Start returns a relay ready to run. It reads the write-ahead log if no other process has the relay, and else takes the
+// relay over from that process. It retries until it succeeds, ctx ends or the log fails for another reason.
 func Start(ctx context.Context, cfg Config, log *slog.Logger) (*Relay, error) {
 	var logged time.Time
 	for {
@@ -62,63 +68,63 @@
 		if !errors.Is(err, wal.ErrLocked) {
 			return r, err
 		}
-		// One of a fleet asks to be let in first: its elder goes on meanwhile.
-		if err = letIn(ctx, cfg); err == nil {
+		// A process of a fleet is admitted by the agent first; its predecessor keeps running meanwhile.
+		if err = awaitAdmission(ctx, cfg); err == nil {
 			if r, err = takeOver(cfg, log); err == nil {
 				return r, nil
 			}
 		}
-		if time.Since(logged) > takeLogEach {
+		if time.Since(logged) > takeoverLogInterval {
 			logged = time.Now()
 			log.Warn("another process has the relay and has not handed it over", "err", err)
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(takePause):
+		case <-time.After(takeoverRetryInterval):
 		}
 	}
 }
 
-// takeOver asks the process that has the relay for it. What fails here leaves the relay with that process.
+// takeOver takes the relay over from the process that has it. If it fails, the relay stays with that process.
 func takeOver(cfg Config, log *slog.Logger) (_ *Relay, err error) {
 	conn, err := dialLink(cfg.StateDir)
 	if err != nil {
 		return nil, err
 	}
-	in := &inherits{link: newLink(conn), remote: map[int]*call{}}
+	pred := &predecessor{link: newLink(conn), remoteCalls: map[int]*call{}}
 	defer func() {
 		if err == nil {
 			return
 		}
 		conn.Close()
-		if in.listener != nil {
-			in.listener.Close()
+		if pred.listener != nil {
+			pred.listener.Close()
 		}
 	}()
-	if err := in.link.send(hello{linkVersion}); err != nil {
+	if err := pred.link.send(takeoverRequest{linkVersion}); err != nil {
 		return nil, err
 	}
-	if err := conn.SetReadDeadline(time.Now().Add(handOverIn)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(handoverTimeout)); err != nil {
 		return nil, err
 	}
-	if in.listener, err = takeListener(conn); err != nil {
+	if pred.listener, err = receiveListener(conn); err != nil {
 		return nil, err
 	}
-	if err := in.link.in.Decode(&in.handoff); err != nil {
+	if err := pred.link.dec.Decode(&pred.handoverState); err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
 	switch {
-	case in.Version != linkVersion:
-		return nil, fmt.Errorf("link: the other process speaks version %d", in.Version)
-	case !starts(cfg.Zones, in.Zones) || !starts(cfg.Kinds, in.Kinds):
-		return nil, errors.New("link: zones or kinds of the configuration are others")
+	case pred.Version != linkVersion:
+		return nil, fmt.Errorf("link: the other process uses protocol version %d", pred.Version)
+	case !hasPrefix(cfg.Zones, pred.Zones) || !hasPrefix(cfg.Kinds, pred.Kinds):
+		return nil, errors.New("link: the other process has different zones or kinds in its configuration")
 	}
 	lock, err := wal.Acquire(cfg.StateDir)
 	if err != nil {
 		return nil, err
 	}
-	r, err := open(cfg, log, lock)
+	r, err := openRelay(cfg, log, lock)
 	if err != nil {
 		return nil, errors.Join(err, lock.Release())
 	}
@@ -127,72 +133,72 @@
 			err = errors.Join(err, r.wal.Leave(), lock.Release())
 		}
 	}()
-	if err := r.inherit(in); err != nil {
+	if err := r.inherit(pred); err != nil {
 		return nil, err
 	}
 	if err := conn.SetReadDeadline(time.Time{}); err != nil {
 		return nil, err
 	}
-	// From here on this process decides, whatever becomes of the other.
-	if err := in.link.send(frame{Ready: true}); err != nil {
+	// From here on this process decides, whatever happens to the other.
+	if err := pred.link.send(frame{Ready: true}); err != nil {
 		return nil, err
 	}
 	return r, nil
 }
 
-// inherit takes up what the elder handed over. The journal has the messages that are owed an end; others are known
-// for the sake of their calls alone.
-func (r *Relay) inherit(in *inherits) error {
-	found := map[uint32]*wal.Message{}
-	for _, w := range r.found.Messages {
-		found[w.ID] = w
-	}
-	for _, x := range in.Msgs {
-		w := found[x.ID]
+// inherit restores the state that the predecessor handed over. Messages that have not ended are read from the write-ahead
+// log; ended ones are known only because attempts of theirs are still in flight.
+func (r *Relay) inherit(pred *predecessor) error {
+	fromLog := map[uint32]*wal.Message{}
+	for _, w := range r.walRecovery.Messages {
+		fromLog[w.ID] = w
+	}
+	for _, x := range pred.Msgs {
+		w := fromLog[x.ID]
 		if w == nil {
 			if !x.Ended {
-				return fmt.Errorf("link: the journal lacks message %d", x.ID)
+				return fmt.Errorf("link: message %d is not in the write-ahead log", x.ID)
 			}
 			w = &wal.Message{ID: x.ID, Trace: x.Trace}
 		}
-		delete(found, x.ID)
+		delete(fromLog, x.ID)
 		var c *class
 		if r.wal.Owes(w) {
-			c = r.classOf(w)
+			c = r.classOfRecovered(w)
 		}
 		m := r.newMessage(w, c)
-		m.sends, m.ended, m.counted, m.again, m.withdrawn = x.Sends, x.Ended, x.Counted, x.Again, x.Withdrawn
+		m.sends, m.ended, m.counted, m.resubmitted, m.withdrawn = x.Sends, x.Ended, x.Counted, x.Again, x.Withdrawn
 		r.msgs[m.ID] = m
 		if r.wal.Owes(w) {
-			r.traces[m.Trace] = m
+			r.byTrace[m.Trace] = m
 		}
 		if !m.ended {
 			r.held++
 		}
 	}
-	if len(found) > 0 {
-		return fmt.Errorf("link: %d messages of the journal were not handed over", len(found))
+	if len(fromLog) > 0 {
+		return fmt.Errorf("link: %d messages of the write-ahead log are missing in the received state", len(fromLog))
 	}
-	r.lastID = in.LastID
-	for _, x := range in.Routes {
-		r.routes[x.Listing.Route] = target{x.Listing, x.Addr}
+	r.lastID = pred.LastID
+	for _, x := range pred.Routes {
+		r.routes[x.Listing.Route] = listedHost{x.Listing, x.Addr}
 	}
-	for _, x := range in.Calls {
-		c := &call{id: x.ID, route: x.Route, addr: x.Addr, zone: x.Zone, sent: time.Unix(0, x.Sent)}
+	for _, x := range pred.Calls {
+		c := &call{id: x.ID, route: x.Route, addr: x.Addr, zone: x.Zone, sentAt: time.Unix(0, x.Sent)}
 		for _, p := range x.Parts {
 			m := r.msgs[p.Msg]
 			if m == nil {
-				return fmt.Errorf("link: a call of message %d, which is not there", p.Msg)
+				return fmt.Errorf("link: a call has the unknown message %d", p.Msg)
 			}
-			c.attempts = append(c.attempts, &attempt{call: c, m: m, n: p.N, over: p.Over})
+			c.attempts = append(c.attempts, &attempt{call: c, msg: m, number: p.N, finished: p.Over})
 			if !p.Over {
-				m.out++
+				m.inFlight++
 			}
 		}
-		in.remote[x.ID] = c
-		r.out++
+		pred.remoteCalls[x.ID] = c
+		r.callsInFlight++
 	}
-	sender, err := policy.Restore(r.cfg.Settings, r.cfg.Seed, in.Module, func(id uint32) *policy.Class {
+	sender, err := policy.Restore(r.cfg.Settings, r.cfg.Seed, pred.Module, func(id uint32) *policy.Class {
 		if m := r.msgs[id]; m != nil && m.class != nil {
 			return &m.class.terms
 		}
@@ -202,33 +208,33 @@
 		return err
 	}
 	r.sender = sender
-	r.cfg.Known.Version, r.listVersion = in.ListVersion, in.ListVersion
-	r.started = time.Now().Add(-in.Now - time.Duration(time.Now().UnixNano()-in.Wall))
-	r.inherited = in
+	r.cfg.KnownHosts.Version, r.listVersion = pred.ListVersion, pred.ListVersion
+	r.clockZero = time.Now().Add(-pred.Now - time.Duration(time.Now().UnixNano()-pred.Wall))
+	r.predecessor = pred
 	return nil
 }
 
-// resumeInherited goes on where the elder stood, and hears what it still has to tell.
-func (r *Relay) resumeInherited() {
-	r.found = wal.Recovery{}
+// resumeTakeover continues from the predecessor's state and starts reading what it reports.
+func (r *Relay) resumeTakeover() {
+	r.walRecovery = wal.Recovery{}
 	for _, m := range r.msgs {
 		if m.ended && m.Final != nil && r.wal.Owes(m.Message) {
-			r.notify(m)
+			r.queueNotice(m)
 		}
 	}
-	r.listed.Store(len(r.routes) > 0)
-	r.makeRoomFor(r.inherited.Held)
-	r.log.Info("took over", "messages", len(r.msgs), "calls out", len(r.inherited.remote), "clients", r.inherited.Held.Clients)
-	r.carryOut(r.sender.Step(r.now(), nil), nil)
-	go r.hear(r.inherited.link)
+	r.hasList.Store(len(r.routes) > 0)
+	r.limitConns(r.predecessor.Held)
+	r.log.Info("took over", "messages", len(r.msgs), "calls out", len(r.predecessor.remoteCalls), "clients", r.predecessor.Held.Clients)
+	r.applyActions(r.sender.Step(r.now(), nil), nil)
+	go r.receiveFrames(r.predecessor.link)
 }
 
-// hear posts what the other process tells, until it is gone.
-func (r *Relay) hear(l *link) {
+// receiveFrames posts the frames of the other process to the loop until the link ends.
+func (r *Relay) receiveFrames(l *link) {
 	defer l.conn.Close()
 	for {
 		var f frame
-		if err := l.in.Decode(&f); err != nil {
+		if err := l.dec.Decode(&f); err != nil {
 			r.post(linkDown{})
 			return
 		}
@@ -238,74 +244,75 @@
 	}
 }
 
-// makeRoomFor leaves the elder's connections their part of the limits.
-func (r *Relay) makeRoomFor(h held) {
-	if r.entry != nil {
-		r.entry.allow(max(leastRoom, shares(r.cfg.Limits.Sockets).clients-h.Clients))
+// limitConns reduces this process's connection limits by the connections that the predecessor still has.
+func (r *Relay) limitConns(remote connCounts) {
+	if r.clients != nil {
+		r.clients.setMaxConns(max(minConns, connLimitsFor(r.cfg.Limits.Sockets).clients-remote.Clients))
 	}
-	r.hosts.allow(max(leastRoom, shares(r.cfg.Limits.Sockets).hosts-h.Hosts))
+	r.hosts.setMaxConns(max(minConns, connLimitsFor(r.cfg.Limits.Sockets).hosts-remote.Hosts))
 }
 
-// fromElder takes what the elder tells: ends of its calls, and what came in on its connections.
-func (r *Relay) fromElder(evs []policy.Event, ins []*handIn, f frame) ([]policy.Event, []*handIn) {
-	in := r.inherited
+// handlePredecessorFrame handles a report of the predecessor: a submission or a disconnect on one of its client
+// connections, the end of a call or attempt, or new connection counts.
+func (r *Relay) handlePredecessorFrame(evs []policy.Event, subs []*submission, f frame) ([]policy.Event, []*submission) {
+	pred := r.predecessor
 	switch {
-	case in == nil:
+	case pred == nil:
 	case f.In != nil && f.In.Message != nil:
 		f.In.Message.Body = f.In.Body
-		h := &handIn{m: f.In.Message, class: r.names.Load().classes[f.In.Class], reply: make(chan answer, 1)}
-		go r.answerElder(in.link, f.In.Seq, h)
-		if h.class == nil { // dropped, or not known here yet: whoever sent it may come again
-			h.reply <- answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
+		sub := &submission{msg: f.In.Message, class: r.names.Load().classes[f.In.Class], reply: make(chan answer, 1)}
+		go r.sendAnswerBack(pred.link, f.In.Seq, sub)
+		if sub.class == nil { // removed, or not known here yet: the client may submit the message again
+			sub.reply <- answer{status: http.StatusServiceUnavailable, retryAfter: policy.RetryAdvice}
 			break
 		}
-		ins = append(ins, h)
+		subs = append(subs, sub)
 	case f.Left != 0:
-		evs = r.clientLeft(evs, f.Left)
+		evs = r.clientDisconnected(evs, f.Left)
 	case f.Cut != nil:
-		if c := in.remote[f.Cut.Call]; c != nil && f.Cut.Part >= 0 && f.Cut.Part < len(c.attempts) {
+		if c := pred.remoteCalls[f.Cut.Call]; c != nil && f.Cut.Part >= 0 && f.Cut.Part < len(c.attempts) {
 			evs = r.attemptEnded(evs, c.attempts[f.Cut.Part], result{outcome: policy.Timeout})
 		}
 	case f.End != nil:
-		if c := in.remote[f.End.Call]; c != nil && len(f.End.Results) == len(c.attempts) {
-			delete(in.remote, f.End.Call)
-			e := &callEnd{c: c}
+		if c := pred.remoteCalls[f.End.Call]; c != nil && len(f.End.Results) == len(c.attempts) {
+			delete(pred.remoteCalls, f.End.Call)
+			e := &callEnd{call: c}
 			for _, x := range f.End.Results {
 				e.results = append(e.results, result{x.Outcome, x.Gone, x.Wait, x.Report})
 			}
 			evs = r.callEnded(evs, e)
 		}
 	case f.Held != nil:
-		r.makeRoomFor(*f.Held)
+		r.limitConns(*f.Held)
 	}
-	return evs, ins
+	return evs, subs
 }
 
-// answerElder passes the answer to a message back that came by the elder.
-func (r *Relay) answerElder(l *link, seq int, in *handIn) {
+// sendAnswerBack sends the answer to a forwarded message to the predecessor, which has the client's connection.
+func (r *Relay) sendAnswerBack(l *link, seq int, sub *submission) {
 	select {
-	case a := <-in.reply:
-		l.send(frame{Answer: &answerHand{seq, a.status, a.again, in.m.ID, a.policy}}) // its failing ends the link
-	case <-r.over:
+	case a := <-sub.reply:
+		l.send(frame{Answer: &forwardedAnswer{seq, a.status, a.retryAfter, sub.msg.ID, a.policyNumber}}) // an error closes the link
+	case <-r.loopDone:
 	}
 }
 
-// elderGone ends what the elder had out: how, nobody knows, so that all of it may have run.
-func (r *Relay) elderGone(evs []policy.Event) []policy.Event {
-	if r.inherited == nil {
+// predecessorGone ends the calls that the predecessor had in flight. Their outcomes are unknown, so they may have run.
+func (r *Relay) predecessorGone(evs []policy.Event) []policy.Event {
+	if r.predecessor == nil {
 		return evs
 	}
-	r.log.Info("the process before is gone", "calls without an end", len(r.inherited.remote))
-	for _, c := range r.inherited.remote {
-		evs = r.callEnded(evs, &callEnd{c, alike(c, result{outcome: policy.Cancelled})})
+	r.log.Info("the predecessor is gone", "calls without an end", len(r.predecessor.remoteCalls))
+	for _, c := range r.predecessor.remoteCalls {
+		evs = r.callEnded(evs, &callEnd{c, sameResult(c, result{outcome: policy.Cancelled})})
 	}
-	r.inherited = nil
-	r.makeRoomFor(held{})
+	r.predecessor = nil
+	r.limitConns(connCounts{})
 	return evs
 }
 
-// await hands successors to the loop, one after the other, until ctx ends.
-func (r *Relay) await(ctx context.Context, l *net.UnixListener) {
+// awaitSuccessors accepts successors and posts them to the loop one at a time, until ctx ends.
+func (r *Relay) awaitSuccessors(ctx context.Context, l *net.UnixListener) {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
 	for {
@@ -316,72 +323,73 @@
 			}
 			return
 		}
-		h := &handOver{conn, make(chan struct{})}
-		var hi hello
-		conn.SetReadDeadline(time.Now().Add(linkSend))
-		// Read to the line's end alone: the decoder must hold nothing of what follows.
-		if err := json.NewDecoder(conn).Decode(&hi); err != nil || hi.Version != linkVersion || !r.post(h) {
-			r.log.Warn("not handed over", "version", hi.Version, "err", err)
+		req := &successorRequest{conn, make(chan struct{})}
+		var hello takeoverRequest
+		conn.SetReadDeadline(time.Now().Add(linkSendTimeout))
+		// A decoder of its own is safe: the successor sends nothing more until it has received the state.
+		if err := json.NewDecoder(conn).Decode(&hello); err != nil || hello.Version != linkVersion || !r.post(req) {
+			r.log.Warn("not handed over", "version", hello.Version, "err", err)
 			conn.Close()
 			continue
 		}
 		select {
-		case <-h.done:
-		case <-r.over:
+		case <-req.done:
+		case <-r.loopDone:
 			return
 		}
 	}
 }
 
-// handRelayOver gives the relay to a successor, in between two steps. Until it says that it is ready, nothing is
-// decided anywhere; if it does not say so, this process goes on.
-func (r *Relay) handRelayOver(h *handOver) {
-	defer close(h.done)
-	began := time.Now()
-	err := r.passOn(h.conn)
+// handOver hands the relay over to a successor between two steps. No process decides until the successor reports that it
+// is ready; if it does not, this process continues.
+func (r *Relay) handOver(req *successorRequest) {
+	defer close(req.done)
+	startedAt := time.Now()
+	err := r.transferState(req.conn)
 	if err == nil {
-		r.log.Info("handed over", "messages", len(r.msgs), "calls out", r.out, "took", time.Since(began))
-		r.beHands(newLink(h.conn))
+		r.log.Info("handed over", "messages", len(r.msgs), "calls out", r.callsInFlight, "took", time.Since(startedAt))
+		r.becomeForwarder(newLink(req.conn))
 		return
 	}
-	h.conn.Close()
+	req.conn.Close()
 	r.log.Warn("not handed over", "err", err)
 	if r.lock != nil {
 		return
 	}
-	for r.lock, err = wal.Acquire(r.cfg.StateDir); err != nil && time.Since(began) < handOverIn+takeBackIn; {
-		time.Sleep(takePause)
+	for r.lock, err = wal.Acquire(r.cfg.StateDir); err != nil && time.Since(startedAt) < handoverTimeout+reclaimTimeout; {
+		time.Sleep(takeoverRetryInterval)
 		r.lock, err = wal.Acquire(r.cfg.StateDir)
 	}
 	if err == nil {
 		err = r.wal.Untouched()
 	}
 	if err != nil {
-		r.log.Error("the journal is another's: starting over", "err", err)
+		r.log.Error("the write-ahead log belongs to another process: starting the relay again", "err", err)
 		r.wal.Leave()
 		if r.lock != nil {
 			r.lock.Release()
 			r.lock = nil
 		}
-		r.giveUp()
+		r.exitForRestart()
 	}
 }
 
-// passOn tells a successor everything and waits for its word.
-func (r *Relay) passOn(conn *net.UnixConn) error {
-	if r.noSends || r.inherited != nil || r.entry == nil || len(r.later) > 0 {
-		return errors.New("not now")
+// transferState sends the listener and the state to a successor, releases the log's lock, and waits until the successor
+// reports that it is ready.
+func (r *Relay) transferState(conn *net.UnixConn) error {
+	if r.sendsStopped || r.predecessor != nil || r.clients == nil || len(r.deferredEvents) > 0 {
+		return errors.New("a handover is not possible in the current state")
 	}
 	if err := r.wal.Flush(); err != nil {
 		return err
 	}
-	if err := conn.SetDeadline(time.Now().Add(handOverIn)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(handoverTimeout)); err != nil {
 		return err
 	}
-	if err := passListener(conn, r.entry.Listener); err != nil {
+	if err := sendListener(conn, r.clients.Listener); err != nil {
 		return err
 	}
-	data, err := json.Marshal(r.handoff())
+	data, err := json.Marshal(r.handoverState())
 	if err != nil {
 		return err
 	}
@@ -393,33 +401,33 @@
 	if _, err := conn.Write(data); err != nil {
 		return err
 	}
-	// One byte at a time would do as well; the decoder may read ahead, since nothing follows before a frame of ours.
+	// This decoder may read ahead without losing anything: the successor sends nothing more before it gets a frame.
 	var f frame
 	if err := json.NewDecoder(conn).Decode(&f); err != nil {
-		return fmt.Errorf("the successor did not take it: %w", err)
+		return fmt.Errorf("the successor did not take the relay over: %w", err)
 	}
 	if !f.Ready {
-		return errors.New("the successor did not take it")
+		return errors.New("the successor did not take the relay over")
 	}
 	return conn.SetDeadline(time.Time{})
 }
 
-// handoff is all that a successor has to know.
-func (r *Relay) handoff() handoff {
-	h := handoff{
+// handoverState returns the state that a successor needs in addition to the write-ahead log.
+func (r *Relay) handoverState() handoverState {
+	h := handoverState{
 		Version: linkVersion, Module: r.sender.State(), Zones: r.cfg.Zones, Kinds: r.cfg.Kinds,
-		ListVersion: r.listVersion, LastID: r.lastID, Held: r.connections(),
+		ListVersion: r.listVersion, LastID: r.lastID, Held: r.connCounts(),
 	}
-	for _, t := range r.routes {
-		h.Routes = append(h.Routes, routeHand{t.Listing, t.addr})
+	for _, host := range r.routes {
+		h.Routes = append(h.Routes, routeState{host.Listing, host.addr})
 	}
 	for _, m := range r.msgs {
-		h.Msgs = append(h.Msgs, msgHand{m.ID, m.Trace, m.sends, m.ended, m.counted, m.again, m.withdrawn})
+		h.Msgs = append(h.Msgs, messageState{m.ID, m.Trace, m.sends, m.ended, m.counted, m.resubmitted, m.withdrawn})
 	}
-	for c := range r.live {
-		x := callHand{ID: c.id, Route: c.route, Addr: c.addr, Zone: c.zone, Sent: c.sent.UnixNano()}
+	for c := range r.liveCalls {
+		x := callState{ID: c.id, Route: c.route, Addr: c.addr, Zone: c.zone, Sent: c.sentAt.UnixNano()}
 		for _, a := range c.attempts {
-			x.Parts = append(x.Parts, partHand{a.m.ID, a.n, a.over})
+			x.Parts = append(x.Parts, attemptState{a.msg.ID, a.number, a.finished})
 		}
 		h.Calls = append(h.Calls, x)
 	}
@@ -427,124 +435,128 @@
 	return h
 }
 
-func (r *Relay) connections() held { return held{r.entry.count(), r.hosts.count()} }
+// connCounts returns the number of connections that this process has.
+func (r *Relay) connCounts() connCounts { return connCounts{r.clients.count(), r.hosts.count()} }
 
-// beHands makes this process the successor's hands: what it has out is reported, what comes in is passed on.
-func (r *Relay) beHands(l *link) {
-	r.hands = &handing{link: l, pending: map[int]*handIn{}}
-	r.handed.Store(true)
-	r.letGo() // discovery and notices are the successor's
+// becomeForwarder switches this process to forwarding: results of its calls are reported to the successor, and submissions
+// on its client connections are passed on.
+func (r *Relay) becomeForwarder(l *link) {
+	r.forwarder = &forwarder{link: l, pending: map[int]*submission{}}
+	r.handedOver.Store(true)
+	r.stopDeciding() // the successor follows discovery and sends notices now
 	r.wal.Leave()
 	r.hosts.close()
-	r.msgs, r.traces, r.held = map[uint32]*message{}, map[string]*message{}, 0
-	r.figures.active.Store(0)
-	// What is left to decide here is what this process's door does; a module that knows nothing else decides it.
+	r.msgs, r.byTrace, r.held = map[uint32]*message{}, map[string]*message{}, 0
+	r.metrics.active.Store(0)
+	// Only the state of this process's client listener is left to decide. A new decision module without messages or hosts
+	// does that.
 	sender, err := policy.New(r.cfg.Settings, r.cfg.Seed)
 	if err != nil {
-		r.log.Error("handed over", "err", err) // they were checked
-		r.giveUp()
+		r.log.Error("handed over, but no decision module for the client listener", "err", err) // the settings were checked before
+		r.exitForRestart()
 		return
 	}
 	r.sender = sender
-	go r.hear(l)
+	go r.receiveFrames(l)
 	evs := []policy.Event{{Kind: policy.HandedOver}}
 	if r.ending.Load() {
 		evs = append(evs, policy.Event{Kind: policy.Ending})
 	}
-	r.passActs(evs)
+	r.applyListenerActions(evs)
 }
 
-// passActs has the door's module decide. It holds no message and no route, so that nothing else can come of it.
-func (r *Relay) passActs(evs []policy.Event) {
+// applyListenerActions passes events to the forwarder's decision module and carries out its actions. The module has no
+// messages or hosts, so that it returns no actions of other kinds.
+func (r *Relay) applyListenerActions(evs []policy.Event) {
 	for _, a := range r.sender.Step(r.now(), evs) {
 		switch a.Kind {
 		case policy.SetListener:
-			r.attend(a.Listener)
+			r.applyListenerState(a.Listener)
 		case policy.Wake:
 			r.wakeAt = time.Now().Add(a.Delay)
 		}
 	}
 }
 
-// pass is the step of a process whose relay is another's.
-func (r *Relay) pass(batch []any) {
-	h := r.hands
+// forwardStep handles a batch of events in a process whose relay has been taken over.
+func (r *Relay) forwardStep(batch []any) {
+	fwd := r.forwarder
 	var evs []policy.Event
 	for _, e := range batch {
 		switch e := e.(type) {
-		case *handIn:
-			h.seq++
-			if r.alone.Load() || h.link.send(frame{In: &handInHand{h.seq, e.class.name, e.m, e.m.Body}}) != nil {
+		case *submission:
+			fwd.seq++
+			if r.successorLost.Load() || fwd.link.send(frame{In: &forwardedMessage{fwd.seq, e.class.name, e.msg, e.msg.Body}}) != nil {
 				e.reply <- answer{status: http.StatusInternalServerError}
 				continue
 			}
-			h.pending[h.seq] = e
+			fwd.pending[fwd.seq] = e
 		case withdrawal:
-			h.link.send(frame{Left: e.id})
-		case cutOff:
-			for i, a := range e.a.attempts {
-				if a == e.a {
-					h.link.send(frame{Cut: &cutHand{e.a.id, i}})
+			fwd.link.send(frame{Left: e.id})
+		case attemptTimeout:
+			for i, a := range e.attempt.attempts {
+				if a == e.attempt {
+					fwd.link.send(frame{Cut: &attemptCut{e.attempt.id, i}})
 				}
 			}
 		case *callEnd:
-			r.out--
-			delete(r.live, e.c)
-			end := &endHand{Call: e.c.id}
+			r.callsInFlight--
+			delete(r.liveCalls, e.call)
+			end := &callOutcome{Call: e.call.id}
 			for _, x := range e.results {
-				end.Results = append(end.Results, resultHand{x.outcome, x.gone, x.wait, x.report})
+				end.Results = append(end.Results, attemptOutcome{x.outcome, x.messageEnded, x.retryAfter, x.report})
 			}
-			h.link.send(frame{End: end})
-		case clearance:
-			e.reply <- nil // no call leaves here any more
+			fwd.link.send(frame{End: end})
+		case clearanceRequest:
+			e.reply <- nil // a forwarder starts no calls
 		case reconfigured:
-			r.reconfigure(e.cfg) // for the names that clients use
-		case *handOver:
+			r.reconfigure(e.cfg) // for the class and customer names that clients use
+		case *successorRequest:
 			e.conn.Close()
 			close(e.done)
 		case linkFrame:
-			if a := e.Answer; a != nil && h.pending[a.Seq] != nil {
-				in := h.pending[a.Seq]
-				delete(h.pending, a.Seq)
-				in.m.ID = a.ID
-				in.reply <- answer{a.Status, a.Again, a.Policy}
+			if a := e.Answer; a != nil && fwd.pending[a.Seq] != nil {
+				sub := fwd.pending[a.Seq]
+				delete(fwd.pending, a.Seq)
+				sub.msg.ID = a.ID
+				sub.reply <- answer{a.Status, a.Again, a.Policy}
 			}
 		case linkDown:
 			r.successorGone()
-		case look:
-			r.looking = false
+		case idleCheck:
+			r.idleCheckPending = false
 		case policy.EventKind:
 			evs = append(evs, policy.Event{Kind: e})
 		}
 	}
-	r.passActs(evs)
-	if now := r.connections(); now != h.told {
-		h.told = now
-		h.link.send(frame{Held: &now})
+	r.applyListenerActions(evs)
+	if now := r.connCounts(); now != fwd.reportedConns {
+		fwd.reportedConns = now
+		fwd.link.send(frame{Held: &now})
 	}
-	r.endIfIdle()
+	r.exitIfIdle()
 }
 
-// successorGone has the process start over, unless it is ending. What was passed on may have been taken on: whoever
-// handed it in must not do so again.
+// successorGone makes the process start the relay again, unless it is ending. Forwarded messages without an answer may
+// have been accepted, so they are answered with an error after which a client must not submit them again.
 func (r *Relay) successorGone() {
-	for seq, in := range r.hands.pending {
-		delete(r.hands.pending, seq)
-		in.reply <- answer{status: http.StatusInternalServerError}
+	for seq, sub := range r.forwarder.pending {
+		delete(r.forwarder.pending, seq)
+		sub.reply <- answer{status: http.StatusInternalServerError}
 	}
-	r.alone.Store(true)
+	r.successorLost.Store(true)
 	if !r.ending.Load() {
 		r.log.Warn("the successor is gone")
-		r.giveUp()
+		r.exitForRestart()
 	}
 }
 
-// giveUp ends the relay in this process, which may start another.
-func (r *Relay) giveUp() {
-	r.noSends = true
-	if !r.idled {
-		r.idled = true
-		r.back.Store(true)
-		close(r.idle)
+// exitForRestart makes Run return ErrBack, so that the process starts the relay again.
+func (r *Relay) exitForRestart() {
+	r.sendsStopped = true
+	if !r.exiting {
+		r.exiting = true
+		r.restart.Store(true)
+		close(r.exit)
 	}
 }
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -172,21 +172,21 @@
 		changes        []change
 		steps          []Step // in place of the scenario's own
 	}{
-		{check.TakenIsEnded, "partner-outage", []change{{send, "\tr.finals.add(n)\n}", "\t_ = n // the notice is forgotten\n}"}}, nil},
+		{check.TakenIsEnded, "partner-outage", []change{{send, "\tr.notices.add(n)\n}", "\t_ = n // the notice is forgotten\n}"}}, nil},
 		{check.NoSecondEffect, "calm", []change{{hosts, "\treturn policy.Reset\n}", "\treturn policy.ConnectFailed // what may have run is taken for what never did\n}"}},
 			[]Step{{At: span(time.Second), Do: "break", On: busiest, For: span(2 * time.Second)}}},
 		{check.OwnEndpoints, "calm", []change{{config, "\tl.Destination = *m.Cell\n", "\tl.Destination = *m.Cell ^ 1 // two partners are taken for each other\n"}}, nil},
 		{check.DrainKept, "agent-silent", []change{{config, "\tcase \"draining\":\n", "\tcase \"draining\":\n\t\tl.InService = true // a drain is passed over\n"}}, nil},
-		{check.WaitHeeded, "calm", []change{{hosts, "\tr := result{wait: wait, report:", "\twait = 0 // what a partner tells is passed over\n\tr := result{wait: wait, report:"}},
+		{check.WaitHeeded, "calm", []change{{hosts, "\tr := result{retryAfter: wait, report:", "\twait = 0 // what a partner tells is passed over\n\tr := result{retryAfter: wait, report:"}},
 			[]Step{{At: span(time.Second), Do: "shut", On: busiest, For: span(2500 * time.Millisecond)}}},
-		{check.MemoryFlat, "calm", []change{{send, "func (r *Relay) notify(m *message) {",
-			"var kept [][]byte\n\nfunc (r *Relay) notify(m *message) {"},
-			{events, "func (r *Relay) retire(m *message) {", "func (r *Relay) retire(m *message) {\n\tkept = append(kept, make([]byte, 256<<10)) // never let go\n\tfor i := range kept[len(kept)-1] {\n\t\tkept[len(kept)-1][i] = 1\n\t}"}}, nil},
+		{check.MemoryFlat, "calm", []change{{send, "func (r *Relay) queueNotice(m *message) {",
+			"var kept [][]byte\n\nfunc (r *Relay) queueNotice(m *message) {"},
+			{events, "func (r *Relay) forgetIfFinished(m *message) {", "func (r *Relay) forgetIfFinished(m *message) {\n\tkept = append(kept, make([]byte, 256<<10)) // never let go\n\tfor i := range kept[len(kept)-1] {\n\t\tkept[len(kept)-1][i] = 1\n\t}"}}, nil},
 		{check.DiskBound, "calm", []change{{wal, "\tif l.size+int64(len(all)) > l.share(compactShare) {", "\tif l.size+int64(len(all)) > 1<<40 {"},
 			{wal, "\tif l.size+int64(len(all)) > l.limit-2*block {", "\tif l.size+int64(len(all)) > 1<<40 {"}}, nil},
-		{check.StaysUp, "calm", []change{{events, "func (r *Relay) retire(m *message) {", "func (r *Relay) retire(m *message) {\n\tif r.lastID > 30 {\n\t\tpanic(\"broken on purpose\")\n\t}"}}, nil},
-		{check.NoLeak, "calm", []change{{events, "func (r *Relay) retire(m *message) {", "func (r *Relay) retire(m *message) {\n\tif f, err := os.Open(os.DevNull); err == nil && len(kept) < 100 {\n\t\tkept = append(kept, f)\n\t}"},
-			{events, "func (r *Relay) done(m *message) {", "var kept []*os.File\n\nfunc (r *Relay) done(m *message) {"},
+		{check.StaysUp, "calm", []change{{events, "func (r *Relay) forgetIfFinished(m *message) {", "func (r *Relay) forgetIfFinished(m *message) {\n\tif r.lastID > 30 {\n\t\tpanic(\"broken on purpose\")\n\t}"}}, nil},
+		{check.NoLeak, "calm", []change{{events, "func (r *Relay) forgetIfFinished(m *message) {", "func (r *Relay) forgetIfFinished(m *message) {\n\tif f, err := os.Open(os.DevNull); err == nil && len(kept) < 100 {\n\t\tkept = append(kept, f)\n\t}"},
+			{events, "func (r *Relay) markEnded(m *message) {", "var kept []*os.File\n\nfunc (r *Relay) markEnded(m *message) {"},
 			{events, "\t\"net/http\"\n", "\t\"net/http\"\n\t\"os\"\n"}}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -265,11 +265,11 @@
 		{"a seal without all", check.StaysUp, "policy-calm", 4, []change{
 			{state, "if missing := s.Missing(); len(missing) > 0 {\n\t\t\treturn 0, fmt.Errorf(\"%w: %s has not promised it\"", "if missing := s.Missing(); len(missing) > 9 {\n\t\t\treturn 0, fmt.Errorf(\"%w: %s has not promised it\""},
 			{"internal/listsvc/fleet.go", "case len(missing) == 0:\n", "case c.Phase == accord.Armed:\n"}}, nil},
-		{"a dropped policy is followed", check.OnePolicy, "policy-agent-kill", 4, []change{{relay, "\t\t\tf.says.Can = c.Number\n", "\t\t\tf.says.Can = c.Number\n\t\t\tf.gate.Follow(c.Number, at)\n"}},
+		{"a dropped policy is followed", check.OnePolicy, "policy-agent-kill", 4, []change{{relay, "\t\t\tf.status.Can = c.Number\n", "\t\t\tf.status.Can = c.Number\n\t\t\tf.gate.Follow(c.Number, receivedAt)\n"}},
 			// An agent that is away for longer than a change may take: the change can only be dropped.
 			[]Step{{At: span(800 * time.Millisecond), Do: "agent-kill", On: []string{"n0"}, For: span(policyWithin + 1500*time.Millisecond)},
 				{At: span(time.Second), Do: "policy-propose", On: []string{fleetName}}}},
-		{"a relay does not take hold", check.PolicySettles, "policy-calm", 2, []change{{relay, "if !turned {", "if !turned || number > 1 {"}}, nil},
+		{"a relay does not take hold", check.PolicySettles, "policy-calm", 2, []change{{relay, "if !changed {", "if !changed || number > 1 {"}}, nil},
 	} {
 		t.Run(c.what, func(t *testing.T) {
 			t.Parallel()
