--- a/internal/mutation/listed.go
+++ b/internal/mutation/listed.go
@@ -224,14 +224,14 @@
 func registryMistakes() []mistake {
 	const replicate = "internal/registry/replicate.go"
 	return []mistake{
-		{"departure: one other process is enough", replicate, "holders <= len(t.electorate)/2", "holders < 2", registryTests},
+		{"departure: one other process is enough", replicate, "copies <= len(t.electorate)/2", "copies < 2", registryTests},
 		{"departure: an acknowledgement to an earlier life counts", replicate,
 			" || acknowledgement.GetLife() != t.options.Life {", " {", registryTests},
-		{"departure: what a process held before its restart counts", replicate, "held.life == other.life && ", "", registryTests},
-		{"departure: a lost process counts", replicate, "other == nil || !other.live || ", "other == nil || ", registryTests},
+		{"departure: what a process held before its restart counts", replicate, "replicated.runID == other.runID && ", "", registryTests},
+		{"departure: a lost process counts", replicate, "other == nil || !other.reachable || ", "other == nil || ", registryTests},
 		{"heartbeats: a late one wins", "internal/registry/receive.go", "if exists && heartbeat.Seq < known.Seq {", "if false {", registryTests},
 		{"heartbeats: instances expire while out of touch", "internal/registry/tick.go",
-			"if !t.inTouch || now.Sub", "if now.Sub", registryTests},
+			"if !t.majorityReachable || now.Sub", "if now.Sub", registryTests},
 		{"heartbeats: a draining instance is ready again", "internal/registry/merge.go",
 			"known.Reported = Furthest(known.Reported, incoming.Reported)", "known.Reported = incoming.Reported", registryTests},
 		{"digests: differing tables are not compared", "internal/registry/merge.go",
--- a/internal/registry/capacity_test.go
+++ b/internal/registry/capacity_test.go
@@ -8,7 +8,7 @@
 	"wallflow/internal/distribution/feedpb"
 )
 
-// The size that the system is to grow to: endpoints, control processes, and the time between heartbeats.
+// Size of the largest supported system: endpoints, control processes, and the time between heartbeats.
 const (
 	targetInstances = 12000
 	targetControls  = 28
@@ -34,8 +34,9 @@
 	return table, heartbeats
 }
 
-// BenchmarkSecondOfPeersAtTargetSize is what a control process does in each second with the digests of all others.
-func BenchmarkSecondOfPeersAtTargetSize(b *testing.B) {
+// BenchmarkOneSecondOfDigestsAtTargetSize measures the work of one control process for the digests that all others
+// send in one second.
+func BenchmarkOneSecondOfDigestsAtTargetSize(b *testing.B) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	table, heartbeats := targetTable(now)
 	perDigest := int(float64(targetInstances) / targetHeartbeat.Seconds() / targetControls / 2)
@@ -55,7 +56,7 @@
 	}
 }
 
-// BenchmarkScanAtTargetSize is one look for silent instances, which there are four of in a second.
+// BenchmarkScanAtTargetSize measures one scan for silent instances. A process performs four of them in a second.
 func BenchmarkScanAtTargetSize(b *testing.B) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	table, _ := targetTable(now)
--- a/internal/registry/heartbeat.go
+++ b/internal/registry/heartbeat.go
@@ -8,7 +8,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Heartbeat is what an endpoint says of itself at regular times.
+// Heartbeat is the periodic report of an endpoint about itself.
 type Heartbeat struct {
 	ID         string
 	Backend    string
@@ -16,18 +16,18 @@
 	Zone       string
 	Generation string
 	Slots      int
-	State      State // ready or draining
-	Warmup     time.Duration
-	Seq        uint64
+	State      State         // ready or draining
+	Warmup     time.Duration // remaining time until the endpoint is warm
+	Seq        uint64        // number of the heartbeat, increasing
 	Phase      string
 	Models     []string
-	Notice     bool          // it is taken away at short notice
-	Remaining  time.Duration // with Notice: the time it has left
+	Notice     bool          // the endpoint was told that it will be terminated soon
+	Remaining  time.Duration // with Notice: time until the termination
 }
 
-// HeartbeatError says why a heartbeat can't be taken.
+// HeartbeatError describes why the body of a heartbeat is invalid.
 type HeartbeatError struct {
-	Field string // that is missing or wrong; empty: the body is no JSON object
+	Field string // name of the missing or invalid field; empty if the body is not a JSON object
 	Cause error  // may be nil
 }
 
@@ -39,10 +39,10 @@
 	return fmt.Sprintf("heartbeat: field %q is missing or wrong", e.Field)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause; it may be nil.
 func (e *HeartbeatError) Unwrap() error { return e.Cause }
 
-// heartbeatBody is the body as it comes.
+// heartbeatBody is the JSON body of a heartbeat.
 type heartbeatBody struct {
 	Backend     string           `json:"backend"`
 	Address     string           `json:"address"`
@@ -61,14 +61,14 @@
 	Name string `json:"name"`
 }
 
-// ParseHeartbeat reads the body of a heartbeat of the instance id. Fields that it doesn't know are ignored.
+// ParseHeartbeat parses the body of a heartbeat of the instance with the given ID. Unknown fields are ignored.
 func ParseHeartbeat(id string, body []byte) (Heartbeat, error) {
 	var raw heartbeatBody
 	if err := json.Unmarshal(body, &raw); err != nil {
 		return Heartbeat{}, trace.Wrap(&HeartbeatError{Cause: err})
 	}
-	state, known := parseState(raw.State)
-	if field := missingField(id, raw, known); field != "" {
+	state, stateValid := parseState(raw.State)
+	if field := invalidField(id, raw, stateValid); field != "" {
 		return Heartbeat{}, trace.Wrap(&HeartbeatError{Field: field})
 	}
 	heartbeat := Heartbeat{
@@ -79,7 +79,7 @@
 		Generation: raw.Generation,
 		Slots:      raw.Slots,
 		State:      state,
-		Warmup:     milliseconds(raw.WarmupMs),
+		Warmup:     durationFromMillis(raw.WarmupMs),
 		Seq:        raw.Seq,
 		Phase:      raw.Phase,
 	}
@@ -88,13 +88,13 @@
 	}
 	if raw.RemainingMs != nil {
 		heartbeat.Notice = true
-		heartbeat.Remaining = milliseconds(*raw.RemainingMs)
+		heartbeat.Remaining = durationFromMillis(*raw.RemainingMs)
 	}
 	return heartbeat, nil
 }
 
-// missingField returns the name of the first field that must be there and isn't, or is wrong.
-func missingField(id string, raw heartbeatBody, stateKnown bool) string {
+// invalidField returns the name of the first required field that is missing or invalid, or "" if there is none.
+func invalidField(id string, raw heartbeatBody, stateValid bool) string {
 	switch {
 	case id == "":
 		return "id"
@@ -104,14 +104,14 @@
 		return "address"
 	case raw.Zone == "":
 		return "zone"
-	case !stateKnown:
+	case !stateValid:
 		return "state"
 	}
 	return ""
 }
 
-// parseState reads the state that an endpoint names; without a name it is ready.
-func parseState(name string) (state State, known bool) {
+// parseState parses the state field. An empty one means ready.
+func parseState(name string) (state State, valid bool) {
 	switch name {
 	case "", string(StateReady):
 		return StateReady, true
@@ -121,11 +121,11 @@
 	return "", false
 }
 
-// longestSpan bounds the spans that endpoints name, so that no sum overflows.
-const longestSpan = 24 * time.Hour
+// maxHeartbeatDuration bounds the durations in heartbeats, so that adding them to a time cannot overflow.
+const maxHeartbeatDuration = 24 * time.Hour
 
-// milliseconds turns a number of milliseconds into a span of 0 up to longestSpan.
-func milliseconds(count float64) time.Duration {
-	longest := float64(longestSpan / time.Millisecond)
-	return time.Duration(max(0, min(count, longest)) * float64(time.Millisecond))
+// durationFromMillis converts a number of milliseconds to a duration between 0 and maxHeartbeatDuration.
+func durationFromMillis(count float64) time.Duration {
+	maxCount := float64(maxHeartbeatDuration / time.Millisecond)
+	return time.Duration(max(0, min(count, maxCount)) * float64(time.Millisecond))
 }
--- a/internal/registry/heartbeat_test.go
+++ b/internal/registry/heartbeat_test.go
@@ -9,12 +9,12 @@
 	"gotest.tools/v3/assert"
 )
 
-const wholeBody = `{"backend":"quiz","address":"10.128.0.9:8080","zone":"hall-a","generation":"v1","slots":64,"state":"draining",
+const completeBody = `{"backend":"quiz","address":"10.128.0.9:8080","zone":"hall-a","generation":"v1","slots":64,"state":"draining",
 	"warmupMs":1500.5,"phase":"dual","models":[{"name":"m","generation":1,"loras":[]},{"name":"n"}],"seq":4,"remainingMs":800,
 	"unheardOf":{"a":[1]}}`
 
 func TestParseHeartbeatReadsEveryField(t *testing.T) {
-	heartbeat, err := ParseHeartbeat("i-1", []byte(wholeBody))
+	heartbeat, err := ParseHeartbeat("i-1", []byte(completeBody))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, heartbeat, Heartbeat{
 		ID:         "i-1",
@@ -33,7 +33,7 @@
 	})
 }
 
-func TestParseHeartbeatNeedsWhatNamesTheInstance(t *testing.T) {
+func TestParseHeartbeatRejectsInvalidFields(t *testing.T) {
 	cases := []struct {
 		name, id, body, field string
 	}{
@@ -58,7 +58,7 @@
 func TestParseHeartbeatBoundsSpans(t *testing.T) {
 	heartbeat, err := ParseHeartbeat("i", []byte(`{"backend":"b","address":"a:1","zone":"z","warmupMs":1e300,"remainingMs":-5}`))
 	assert.NilError(t, err)
-	assert.Equal(t, heartbeat.Warmup, longestSpan)
+	assert.Equal(t, heartbeat.Warmup, maxHeartbeatDuration)
 	assert.Equal(t, heartbeat.Remaining, time.Duration(0))
 	assert.Equal(t, heartbeat.State, StateReady)
 }
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -1,5 +1,5 @@
-// Package registry keeps what is known of the endpoints: which instances there are, where, in which state, and how old that
-// knowledge is. It does no input or output.
+// Package registry holds the replicated table of endpoint instances at a control process: where they are, in which
+// state, and when the last heartbeat arrived. It performs no I/O.
 package registry
 
 import (
@@ -13,51 +13,53 @@
 // The states of an instance.
 const (
 	StateReady    State = "ready"
-	StateDraining State = "draining" // nothing new is sent to it
-	StateSilent   State = "silent"   // its heartbeats stopped coming; avoided, not forgotten
-	StateGone     State = "gone"     // left or expired; see Instance.Final
+	StateDraining State = "draining" // gets no new requests
+	StateSilent   State = "silent"   // its heartbeats stopped; avoided for new requests, but remembered
+	StateGone     State = "gone"     // left, expired or replaced; see Instance.Final
 )
 
-// Instance is one life of one endpoint.
+// Instance is one run of an endpoint.
 type Instance struct {
 	ID         string
-	Backend    string // its service
+	Backend    string // name of the service
 	Address    string // host:port
 	Zone       string
-	Generation string // of its software
-	Slots      int
-	State      State     // what is known of it, silence included
-	Reported   State     // what it said itself: ready, draining or gone
-	Seq        uint64    // of its newest heartbeat; a lower one is late and ignored
-	ChangedSeq uint64    // of the heartbeat that last changed what it says
-	ColdUntil  time.Time // it is cold until then; the zero time: it is warm
-	GoneAt     time.Time // it was taken away at short notice and ends then; the zero time: no such notice
-	Phase      string
-	Models     []string
+	Generation string    // version of its software
+	Slots      int       // sequences that it processes at the same time
+	State      State     // as the table judges it, which includes silence
+	Reported   State     // as the instance reported it: ready, draining or gone
+	Seq        uint64    // number of its newest heartbeat; those with a lower one are late and ignored
+	ChangedSeq uint64    // number of the heartbeat that last changed the description
+	ColdUntil  time.Time // end of its warm-up; zero or past if it is warm
+	GoneAt     time.Time // time at which it is terminated, by its notice; zero without a notice
+	Phase      string    // inference phases that its engine runs, such as "dual" for prefill and decode
+	Models     []string  // names of the models that it serves
 }
 
-// Final says whether the instance is gone for good: it left, or its notice ran out. One that is gone only because it fell
-// silent, or because another instance showed up at its address, comes back with its next heartbeat.
+// Final reports whether the instance is gone for good: it left, or its termination notice ran out. An instance that
+// is gone only because its heartbeats stopped, or because another instance has its address, is restored by its next
+// heartbeat.
 func (i Instance) Final() bool { return i.Reported == StateGone }
 
-// Cold says whether the instance is cold.
+// Cold reports whether the instance is still warming up.
 func (i Instance) Cold(now time.Time) bool { return now.Before(i.ColdUntil) }
 
-// SameAs says whether other tells the same of the instance; the numbers of the heartbeats may differ.
+// SameAs reports whether both describe the instance in the same way, heartbeat numbers aside.
 func (i Instance) SameAs(other Instance) bool {
-	return i.State == other.State && i.Reported == other.Reported && i.sameDescription(other) &&
+	return i.State == other.State && i.Reported == other.Reported && i.hasSameDescription(other) &&
 		i.ColdUntil.Equal(other.ColdUntil) && i.GoneAt.Equal(other.GoneAt)
 }
 
-// sameDescription compares what does not change with time.
-func (i Instance) sameDescription(other Instance) bool {
+// hasSameDescription compares the fields that do not change with time.
+func (i Instance) hasSameDescription(other Instance) bool {
 	return i.ID == other.ID && i.Backend == other.Backend && i.Address == other.Address && i.Zone == other.Zone &&
 		i.Generation == other.Generation && i.Slots == other.Slots && i.Phase == other.Phase &&
 		slices.Equal(i.Models, other.Models)
 }
 
-// rank orders what an instance says of itself: it never goes back from draining to ready, nor from gone to anything.
-func rank(reported State) int {
+// stateRank orders the states that an instance reports: it never goes back from draining to ready, nor from gone to
+// another state.
+func stateRank(reported State) int {
 	switch reported {
 	case StateDraining:
 		return 1
@@ -68,9 +70,10 @@
 	}
 }
 
-// Furthest returns the one of two reported states that an instance can't go back from.
+// Furthest returns the more advanced of two reported states, the one from which an instance cannot go back to the
+// other.
 func Furthest(a, b State) State {
-	if rank(b) > rank(a) {
+	if stateRank(b) > stateRank(a) {
 		return b
 	}
 	return a
--- a/internal/registry/merge.go
+++ b/internal/registry/merge.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// mostPerMessage bounds the instances in one message; what is left out is asked for again.
-	mostPerMessage = 2000
-	// mismatchesBeforeSync is how many digests of a peer in a row must differ from the own table before the buckets are
-	// compared: a single one differs while a change is under way.
+	// maxInstancesPerMessage bounds the instances in one message. Those that are left out are requested again later.
+	maxInstancesPerMessage = 2000
+	// mismatchesBeforeSync is how many consecutive digests of a peer must differ from the table before the buckets
+	// are compared. A single digest also differs while a change is being replicated.
 	mismatchesBeforeSync = 2
 	syncInterval         = time.Second
-	firstSyncInterval    = 300 * time.Millisecond // while the table fills
+	initialSyncInterval  = 300 * time.Millisecond // until the table is complete
 )
 
-// Merge takes in a message of another control process. It returns the instances of which something else is known now, and
-// the answer to the process that sent the message, if there is one.
+// Merge applies a message of another control process. It returns the instances that changed and the reply to the
+// sender, which is nil if there is none.
 func (t *Table) Merge(now time.Time, message *feedpb.RegistryMessage) (changed []Instance, reply *feedpb.RegistryMessage) {
 	if message.GetSource() == "" || message.GetSource() == t.options.Self {
 		return nil, nil
 	}
-	sender := t.peerNamed(message.GetSource())
-	sender.life = message.GetLife()
+	sender := t.peerByName(message.GetSource())
+	sender.runID = message.GetLife()
 	answer := t.newMessage()
-	for _, told := range message.GetInstances() {
-		if known := t.mergeInstance(now, sender, told); known != nil {
+	for _, incoming := range message.GetInstances() {
+		if known := t.mergeInstance(now, sender, incoming); known != nil {
 			changed = append(changed, known.Instance)
 		}
 	}
@@ -37,16 +37,17 @@
 	if message.GetDelta() != 0 {
 		answer.Acknowledgement = &feedpb.Acknowledgement{Life: message.GetLife(), Delta: message.GetDelta()}
 	}
-	t.takeAcknowledgement(sender, message.GetAcknowledgement())
+	t.applyAcknowledgement(sender, message.GetAcknowledgement())
 	t.answerUnknown(now, message.GetUnknown(), answer)
 	t.answerBuckets(now, message.GetBuckets(), answer)
-	changed = append(changed, t.takeSuperseded()...)
+	changed = append(changed, t.takeSupersededInstances()...)
 	if isEmpty(answer) {
 		return changed, nil
 	}
 	return changed, answer
 }
 
+// newMessage returns a message without content from this process.
 func (t *Table) newMessage() *feedpb.RegistryMessage {
 	return &feedpb.RegistryMessage{Source: t.options.Self, Life: t.options.Life}
 }
@@ -56,36 +57,36 @@
 		len(message.Instances) == 0 && len(message.Unknown) == 0 && len(message.Buckets) == 0
 }
 
-// mergeInstance takes in what another process knows of one instance. It returns the record if something changed.
-func (t *Table) mergeInstance(now time.Time, sender *peer, told *feedpb.Instance) *record {
-	incoming := FromWire(now, told)
-	heardAt := now.Add(-wireDuration(told.GetHeardAgoMs()))
-	knownSince := now.Add(-wireDuration(told.GetKnownForMs()))
+// mergeInstance applies what another process reports of one instance. It returns the record if it changed.
+func (t *Table) mergeInstance(now time.Time, sender *peer, message *feedpb.Instance) *record {
+	incoming := FromWire(now, message)
+	lastHeartbeatAt := now.Add(-durationFromWire(message.GetHeardAgoMs()))
+	firstSeenAt := now.Add(-durationFromWire(message.GetKnownForMs()))
 	known, exists := t.records[incoming.ID]
 	if !exists {
-		if incoming.ID == "" || t.tooOld(now, incoming, heardAt) {
+		if incoming.ID == "" || t.isStale(now, incoming, lastHeartbeatAt) {
 			return nil
 		}
 		known = t.add(incoming.ID)
 		known.Instance = incoming
 		known.State, known.Reported = StateReady, StateReady
-		known.knownSince = knownSince
-		known.heardAt = heardAt
-		known.heardBy = sender.name
+		known.firstSeenAt = firstSeenAt
+		known.lastHeartbeatAt = lastHeartbeatAt
+		known.receivedBy = sender.name
 	}
-	t.noteReplica(known, sender, incoming.Reported)
+	t.recordReplica(known, sender, incoming.Reported)
 	if known.Final() {
 		return nil
 	}
 	before := known.Instance
 	if incoming.Final() {
-		t.end(now, known)
+		t.markFinal(now, known)
 		return known
 	}
-	known.knownSince = earlier(known.knownSince, knownSince)
-	known.noteHeard(sender.name, heardAt, incoming.Seq)
+	known.firstSeenAt = earlier(known.firstSeenAt, firstSeenAt)
+	known.updateLastHeartbeat(sender.name, lastHeartbeatAt, incoming.Seq)
 	if !exists || incoming.ChangedSeq > known.ChangedSeq {
-		t.takeDescription(now, known, incoming)
+		t.applyDescription(now, known, incoming)
 	}
 	known.Reported = Furthest(known.Reported, incoming.Reported)
 	t.refreshState(now, known)
@@ -96,74 +97,80 @@
 	return known
 }
 
-// tooOld says whether an instance that isn't known here is gone already or was last heard of so long ago that it may have
-// been forgotten here. A final end is always taken in.
-func (t *Table) tooOld(now time.Time, incoming Instance, heardAt time.Time) bool {
+// isStale reports whether an unknown instance must not be added because it is already gone, or because its last
+// heartbeat is so old that this process may have forgotten it. A final departure is never stale.
+func (t *Table) isStale(now time.Time, incoming Instance, lastHeartbeatAt time.Time) bool {
 	if incoming.Final() {
 		return false
 	}
-	return incoming.State == StateGone || now.Sub(heardAt) >= t.options.GoneAfter
+	return incoming.State == StateGone || now.Sub(lastHeartbeatAt) >= t.options.GoneAfter
 }
 
-// takeDescription takes over the description of an instance, and settles who has its address.
-func (t *Table) takeDescription(now time.Time, known *record, incoming Instance) {
-	holder := t.holders[incoming.Address]
+// applyDescription replaces the description of an instance and decides which instance owns its address: the one that
+// was first seen later.
+func (t *Table) applyDescription(now time.Time, known *record, incoming Instance) {
+	owner := t.owners[incoming.Address]
 	state, reported, seq := known.State, known.Reported, max(known.Seq, incoming.Seq)
-	t.release(known)
+	t.releaseAddress(known)
 	known.Instance = incoming
 	known.State, known.Reported, known.Seq = state, reported, seq
-	if holder == nil || holder == known {
-		t.holders[incoming.Address] = known
+	if owner == nil || owner == known {
+		t.owners[incoming.Address] = known
 		return
 	}
-	if known.knownSince.After(holder.knownSince) {
-		t.supersede(now, holder)
-		t.holders[incoming.Address] = known
+	if known.firstSeenAt.After(owner.firstSeenAt) {
+		t.markSuperseded(now, owner)
+		t.owners[incoming.Address] = known
 		return
 	}
-	t.lose(now, known)
+	t.markGone(now, known)
 }
 
-// release gives up the address of a record.
-func (t *Table) release(known *record) {
-	if t.holders[known.Address] == known {
-		delete(t.holders, known.Address)
+// releaseAddress removes a record as the owner of its address.
+func (t *Table) releaseAddress(known *record) {
+	if t.owners[known.Address] == known {
+		delete(t.owners, known.Address)
 	}
 }
 
-// noteHeard takes in that a process heard the instance at the given time.
-func (r *record) noteHeard(by string, at time.Time, seq uint64) {
+// updateLastHeartbeat records that the process receiver received a heartbeat of the instance at the given time.
+func (r *record) updateLastHeartbeat(receiver string, receivedAt time.Time, seq uint64) {
 	r.Seq = max(r.Seq, seq)
-	if at.After(r.heardAt) {
-		r.heardAt = at
-		r.heardBy = by
+	if receivedAt.After(r.lastHeartbeatAt) {
+		r.lastHeartbeatAt = receivedAt
+		r.receivedBy = receiver
 	}
 }
 
-// refreshState sets the state of an instance by how long it has been silent.
+// refreshState recomputes the state of an instance that is not final. An instance without recent heartbeats is
+// silent, unless it is gone. Otherwise it gets its reported state and its address; if the address has another owner
+// with recent heartbeats, the instance is gone.
 func (t *Table) refreshState(now time.Time, known *record) {
-	silent := t.silence(now, known) >= t.options.SilentAfter
+	silent := t.silentDuration(now, known) >= t.options.SilentAfter
 	if silent {
 		if known.State != StateGone {
 			known.State = StateSilent
 		}
 		return
 	}
-	holder := t.holders[known.Address]
-	if holder != nil && holder != known {
-		if now.Sub(holder.heardAt) < t.options.SilentAfter {
-			t.lose(now, known)
+	owner := t.owners[known.Address]
+	if owner != nil && owner != known {
+		if now.Sub(owner.lastHeartbeatAt) < t.options.SilentAfter {
+			t.markGone(now, known)
 			return
 		}
-		t.supersede(now, holder)
+		t.markSuperseded(now, owner)
 	}
-	t.holders[known.Address] = known
+	t.owners[known.Address] = known
 	known.State = known.Reported
 }
 
-// mergeDigest takes in which instances called another process lately, and asks for what the digest shows to be missing here.
-func (t *Table) mergeDigest(now time.Time, sender *peer, digest *feedpb.RegistryDigest, answer *feedpb.RegistryMessage) []Instance {
-	sender.digestAt = now
+// mergeDigest applies the heartbeats that another process received lately, and requests the instances that are
+// unknown here.
+func (t *Table) mergeDigest(
+	now time.Time, sender *peer, digest *feedpb.RegistryDigest, answer *feedpb.RegistryMessage,
+) []Instance {
+	sender.lastDigestAt = now
 	var changed []Instance
 	seqs, ages := digest.GetSeqs(), digest.GetAgesMs()
 	for index, fingerprint := range digest.GetFingerprints() {
@@ -172,30 +179,32 @@
 		}
 		known := t.fingerprints[fingerprint]
 		if known == nil {
-			if len(answer.Unknown) < mostPerMessage {
+			if len(answer.Unknown) < maxInstancesPerMessage {
 				answer.Unknown = append(answer.Unknown, fingerprint)
 			}
 			continue
 		}
-		heardAt := now.Add(-wireDuration(ages[index]))
-		changed = t.mergeBeat(now, known, sender.name, heardAt, seqs[index], changed)
+		lastHeartbeatAt := now.Add(-durationFromWire(ages[index]))
+		changed = t.mergeHeartbeat(now, known, sender.name, lastHeartbeatAt, seqs[index], changed)
 	}
 	t.compareTables(now, sender, digest, answer)
 	return changed
 }
 
-// mergeBeat takes in one heartbeat of a digest. Where several instances share the fingerprint, each counts as heard, but the
-// number of the heartbeat is used for none.
-func (t *Table) mergeBeat(now time.Time, first *record, by string, heardAt time.Time, seq uint64, changed []Instance) []Instance {
-	if first.nextFingerprint != nil {
+// mergeHeartbeat applies one heartbeat of a digest. If several instances share the fingerprint, the heartbeat counts
+// for each of them, but its number is ignored.
+func (t *Table) mergeHeartbeat(
+	now time.Time, first *record, receiver string, lastHeartbeatAt time.Time, seq uint64, changed []Instance,
+) []Instance {
+	if first.nextSameFingerprint != nil {
 		seq = 0
 	}
-	for known := first; known != nil; known = known.nextFingerprint {
+	for known := first; known != nil; known = known.nextSameFingerprint {
 		if known.Final() {
 			continue
 		}
 		before := known.State
-		known.noteHeard(by, heardAt, seq)
+		known.updateLastHeartbeat(receiver, lastHeartbeatAt, seq)
 		if before == StateSilent || before == StateGone {
 			t.refreshState(now, known)
 			t.rehash(known)
@@ -207,29 +216,29 @@
 	return changed
 }
 
-// compareTables asks for a comparison of the buckets where the tables have differed for a while.
+// compareTables requests a comparison of the buckets if the tables have differed for several digests.
 func (t *Table) compareTables(now time.Time, sender *peer, digest *feedpb.RegistryDigest, answer *feedpb.RegistryMessage) {
 	if digest.GetTableHash() == t.hash() {
-		sender.mismatches = 0
+		sender.digestMismatches = 0
 		return
 	}
-	sender.mismatches++
+	sender.digestMismatches++
 	needed, interval := mismatchesBeforeSync, syncInterval
 	if !t.Complete(now) {
-		needed, interval = 1, firstSyncInterval
+		needed, interval = 1, initialSyncInterval
 	}
-	if sender.mismatches < needed || now.Sub(t.lastSync) < interval {
+	if sender.digestMismatches < needed || now.Sub(t.lastSync) < interval {
 		return
 	}
 	t.lastSync = now
 	answer.Buckets = slices.Clone(t.buckets[:])
 }
 
-// answerUnknown adds the instances that the other process asks for by fingerprint.
+// answerUnknown adds the instances that the other process requested by fingerprint.
 func (t *Table) answerUnknown(now time.Time, fingerprints []uint32, answer *feedpb.RegistryMessage) {
 	for _, fingerprint := range fingerprints {
-		for known := t.fingerprints[fingerprint]; known != nil; known = known.nextFingerprint {
-			t.tell(now, known, answer)
+		for known := t.fingerprints[fingerprint]; known != nil; known = known.nextSameFingerprint {
+			t.appendInstance(now, known, answer)
 		}
 	}
 }
@@ -242,28 +251,28 @@
 	for _, known := range t.records {
 		bucket := bucketOf(known.ID)
 		if theirs[bucket] != t.buckets[bucket] {
-			t.tell(now, known, answer)
+			t.appendInstance(now, known, answer)
 		}
 	}
 }
 
-// tell adds an instance to a message, if there is room.
-func (t *Table) tell(now time.Time, known *record, message *feedpb.RegistryMessage) {
-	if len(message.Instances) < mostPerMessage {
+// appendInstance adds an instance to a message unless the message is full.
+func (t *Table) appendInstance(now time.Time, known *record, message *feedpb.RegistryMessage) {
+	if len(message.Instances) < maxInstancesPerMessage {
 		message.Instances = append(message.Instances, t.toWire(now, known))
 	}
 }
 
-// toWire turns a record into a message to another control process.
+// toWire encodes a record for another control process. Times are encoded as ages because clocks differ.
 func (t *Table) toWire(now time.Time, known *record) *feedpb.Instance {
 	message := ToWire(now, known.Instance)
-	message.HeardAgoMs = wireMilliseconds(now.Sub(known.heardAt))
-	message.KnownForMs = wireMilliseconds(now.Sub(known.knownSince))
+	message.HeardAgoMs = durationToWire(now.Sub(known.lastHeartbeatAt))
+	message.KnownForMs = durationToWire(now.Sub(known.firstSeenAt))
 	return message
 }
 
-// takeSuperseded returns the instances that lost their address since the last call.
-func (t *Table) takeSuperseded() []Instance {
+// takeSupersededInstances returns the instances that lost their address since the last call.
+func (t *Table) takeSupersededInstances() []Instance {
 	var lost []Instance
 	for _, known := range t.superseded {
 		lost = append(lost, known.Instance)
--- a/internal/registry/merge_test.go
+++ b/internal/registry/merge_test.go
@@ -11,16 +11,16 @@
 	"wallflow/internal/distribution/feedpb"
 )
 
-// pair is two control processes that are in touch.
-func pair(now time.Time) (one, two *Table) {
+// connectedPair returns the tables of two control processes that reach each other.
+func connectedPair(now time.Time) (one, two *Table) {
 	one, two = newTestTable("c1", "hall-a", now), newTestTable("c2", "hall-b", now)
 	one.SetPeers([]Peer{{Name: "c2", Zone: "hall-b"}}, []string{"c1", "c2"})
 	two.SetPeers([]Peer{{Name: "c1", Zone: "hall-a"}}, []string{"c1", "c2"})
 	return one, two
 }
 
-// pass gives a message to a table, and the answers to and fro until there is none.
-func pass(now time.Time, from, to *Table, message *feedpb.RegistryMessage) []Instance {
+// exchange delivers a message to a table, and the replies back and forth until there is none.
+func exchange(now time.Time, from, to *Table, message *feedpb.RegistryMessage) []Instance {
 	var all []Instance
 	for message != nil {
 		changed, reply := to.Merge(now, message)
@@ -31,62 +31,62 @@
 	return all
 }
 
-// tickBoth ticks two tables that hear each other.
-func tickBoth(from, to int, one, two *Table) {
+// tickBothUntil ticks two tables every 100 ms and delivers their digests to each other.
+func tickBothUntil(from, to int, one, two *Table) {
 	for ms := from; ms <= to; ms += 100 {
-		pass(at(ms), one, two, one.Tick(at(ms)).Broadcast)
-		pass(at(ms), two, one, two.Tick(at(ms)).Broadcast)
+		exchange(at(ms), one, two, one.Tick(at(ms)).Broadcast)
+		exchange(at(ms), two, one, two.Tick(at(ms)).Broadcast)
 	}
 }
 
-func TestDrainIsSafeOnceAnotherZoneHasIt(t *testing.T) {
+func TestDrainIsCommittedOnceAnotherZoneHasIt(t *testing.T) {
 	one := newTestTable("c1", "hall-a", at(0))
 	one.SetPeers([]Peer{{Name: "c2", Zone: "hall-a"}, {Name: "c3", Zone: "hall-b"}}, []string{"c1", "c2", "c3"})
-	neighbour, distant := newTestTable("c2", "hall-a", at(0)), newTestTable("c3", "hall-b", at(0))
+	sameZonePeer, otherZonePeer := newTestTable("c2", "hall-a", at(0)), newTestTable("c3", "hall-b", at(0))
 	change := one.Heartbeat(at(0), heartbeatOf("i", 1).draining())
 	assert.Assert(t, change.NeedsReplica)
 	replica := one.Replicate(at(0), change)
 	assert.Assert(t, !replica.Safe)
-	pass(at(10), one, neighbour, replica.Message)
-	assert.Assert(t, !one.Acked(replica.ID))
-	pass(at(20), one, distant, replica.Message)
-	assert.Assert(t, one.Acked(replica.ID))
+	exchange(at(10), one, sameZonePeer, replica.Message)
+	assert.Assert(t, !one.IsCommitted(replica.ID))
+	exchange(at(20), one, otherZonePeer, replica.Message)
+	assert.Assert(t, one.IsCommitted(replica.ID))
 	assert.DeepEqual(t, one.TakeSafe(), []uint64{replica.ID})
 	assert.Equal(t, len(one.TakeSafe()), 0)
 	again := one.Heartbeat(at(1200), heartbeatOf("i", 2).draining())
 	assert.Assert(t, !again.NeedsReplica)
-	assert.Equal(t, stateOf(t, distant, "i"), StateDraining)
+	assert.Equal(t, stateOf(t, otherZonePeer, "i"), StateDraining)
 }
 
 func TestLeaveNeedsItsOwnReplica(t *testing.T) {
-	one, two := pair(at(0))
-	pass(at(0), one, two, one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1).draining())).Message)
+	one, two := connectedPair(at(0))
+	exchange(at(0), one, two, one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1).draining())).Message)
 	change := one.Leave(at(100), "i")
 	assert.Assert(t, change.NeedsReplica)
-	pass(at(100), one, two, one.Replicate(at(100), change).Message)
+	exchange(at(100), one, two, one.Replicate(at(100), change).Message)
 	assert.Assert(t, !one.Leave(at(200), "i").NeedsReplica)
 	assert.Equal(t, stateOf(t, two, "i"), StateGone)
 }
 
-func TestNeighbourIsEnoughWhenNoOtherZoneIsLeft(t *testing.T) {
+func TestSameZonePeerSufficesWhenNoOtherZoneIsReachable(t *testing.T) {
 	one := newTestTable("c1", "hall-a", at(0))
 	one.SetPeers([]Peer{{Name: "c2", Zone: "hall-a"}, {Name: "c3", Zone: "hall-b"}}, []string{"c1", "c2", "c3"})
-	neighbour := newTestTable("c2", "hall-a", at(0))
+	sameZonePeer := newTestTable("c2", "hall-a", at(0))
 	replica := one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1).draining()))
-	pass(at(10), one, neighbour, replica.Message)
-	assert.Assert(t, !one.Acked(replica.ID))
+	exchange(at(10), one, sameZonePeer, replica.Message)
+	assert.Assert(t, !one.IsCommitted(replica.ID))
 	one.SetPeers([]Peer{{Name: "c2", Zone: "hall-a"}}, []string{"c1", "c2", "c3"})
-	assert.Assert(t, one.Acked(replica.ID))
+	assert.Assert(t, one.IsCommitted(replica.ID))
 }
 
-func TestReplicaOnALostProcessDoesNotCount(t *testing.T) {
-	one, two := pair(at(0))
-	pass(at(0), one, two, one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1).draining())).Message)
+func TestReplicaOnAnUnreachablePeerDoesNotCount(t *testing.T) {
+	one, two := connectedPair(at(0))
+	exchange(at(0), one, two, one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1).draining())).Message)
 	one.SetPeers([]Peer{{Name: "c3", Zone: "hall-c"}}, []string{"c1", "c2", "c3"})
 	assert.Assert(t, one.Heartbeat(at(100), heartbeatOf("i", 2).draining()).NeedsReplica)
 }
 
-func TestProcessThatIsAloneAcknowledgesOnlyInTouch(t *testing.T) {
+func TestSingleProcessCommitsOnlyWithMajority(t *testing.T) {
 	one := newTestTable("c1", "hall-a", at(0))
 	one.SetPeers(nil, []string{"c1"})
 	change := one.Heartbeat(at(0), heartbeatOf("i", 1).draining())
@@ -99,28 +99,28 @@
 }
 
 func TestChangeIsSentAgainUntilAcknowledged(t *testing.T) {
-	one, two := pair(at(0))
+	one, two := connectedPair(at(0))
 	replica := one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1).draining()))
 	assert.Equal(t, len(one.Tick(at(200)).Sends), 0)
 	sends := one.Tick(at(300)).Sends
 	assert.Equal(t, len(sends), 1)
 	assert.Equal(t, sends[0].To, "c2")
-	pass(at(310), one, two, sends[0].Message)
-	assert.Assert(t, one.Acked(replica.ID))
+	exchange(at(310), one, two, sends[0].Message)
+	assert.Assert(t, one.IsCommitted(replica.ID))
 	assert.Equal(t, len(one.Tick(at(600)).Sends), 0)
 	assert.Equal(t, len(one.replicas), 0)
 }
 
-func TestChangeIsGivenUpInTheEnd(t *testing.T) {
-	one, _ := pair(at(0))
+func TestUnacknowledgedChangeIsDroppedAfterTimeout(t *testing.T) {
+	one, _ := connectedPair(at(0))
 	one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1).draining()))
 	tickUntil(one, 0, 3000)
 	assert.Equal(t, len(one.replicas), 0)
 	assert.Equal(t, len(one.TakeSafe()), 0)
 }
 
-func TestAcknowledgementOfAnEarlierLifeDoesNotCount(t *testing.T) {
-	before, two := pair(at(0))
+func TestAcknowledgementToAnEarlierRunDoesNotCount(t *testing.T) {
+	before, two := connectedPair(at(0))
 	replica := before.Replicate(at(0), before.Heartbeat(at(0), heartbeatOf("i", 1).draining()))
 	_, reply := two.Merge(at(10), replica.Message)
 	after := newTestTable("c1", "hall-a", at(20))
@@ -128,17 +128,17 @@
 	mine := after.Replicate(at(20), after.Heartbeat(at(20), heartbeatOf("j", 1).draining()))
 	assert.Equal(t, mine.ID, replica.ID)
 	after.Merge(at(30), reply)
-	assert.Assert(t, !after.Acked(mine.ID))
+	assert.Assert(t, !after.IsCommitted(mine.ID))
 }
 
-func TestDigestKeepsInstancesAliveElsewhere(t *testing.T) {
-	one, two := pair(at(0))
+func TestDigestKeepsInstancesReadyAtPeers(t *testing.T) {
+	one, two := connectedPair(at(0))
 	for ms := 0; ms <= 6000; ms += 1200 {
 		change := one.Heartbeat(at(ms), heartbeatOf("i", uint64(ms/1200+1)))
 		if change.Changed {
-			pass(at(ms), one, two, one.Replicate(at(ms), change).Message)
+			exchange(at(ms), one, two, one.Replicate(at(ms), change).Message)
 		}
-		tickBoth(ms, ms+1100, one, two)
+		tickBothUntil(ms, ms+1100, one, two)
 	}
 	assert.Equal(t, stateOf(t, two, "i"), StateReady)
 	instance, _ := two.Instance("i")
@@ -146,19 +146,19 @@
 }
 
 func TestDigestBringsASilentInstanceBack(t *testing.T) {
-	one, two := pair(at(0))
-	pass(at(0), one, two, one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1))).Message)
+	one, two := connectedPair(at(0))
+	exchange(at(0), one, two, one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1))).Message)
 	tickUntil(two, 0, 4000)
 	assert.Equal(t, stateOf(t, two, "i"), StateSilent)
 	one.Heartbeat(at(4000), heartbeatOf("i", 2))
-	changed := pass(at(4000), one, two, one.Tick(at(4000)).Broadcast)
+	changed := exchange(at(4000), one, two, one.Tick(at(4000)).Broadcast)
 	assert.Equal(t, len(changed), 1)
 	assert.Equal(t, stateOf(t, two, "i"), StateReady)
 }
 
 func TestDigestBringsAnExpiredInstanceBack(t *testing.T) {
-	one, two := pair(at(0))
-	pass(at(0), one, two, one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1))).Message)
+	one, two := connectedPair(at(0))
+	exchange(at(0), one, two, one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1))).Message)
 	tickUntil(two, 0, 13_000)
 	assert.Equal(t, stateOf(t, two, "i"), StateGone)
 	one.Heartbeat(at(13_000), heartbeatOf("i", 2))
@@ -170,63 +170,63 @@
 }
 
 func TestRepeatedMessageChangesNothing(t *testing.T) {
-	one, two := pair(at(0))
+	one, two := connectedPair(at(0))
 	message := one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1).draining())).Message
 	changed, _ := two.Merge(at(0), message)
 	assert.Equal(t, len(changed), 1)
 	changed, reply := two.Merge(at(0), message)
 	assert.Equal(t, len(changed), 0)
-	assert.Equal(t, reply.GetAcknowledgement().GetDelta(), message.GetDelta(), "it is acknowledged again all the same")
+	assert.Equal(t, reply.GetAcknowledgement().GetDelta(), message.GetDelta(), "a repeated message must be acknowledged again")
 }
 
-func TestDigestShowsAMissingInstance(t *testing.T) {
-	one, two := pair(at(0))
-	one.Heartbeat(at(0), heartbeatOf("i", 1)) // the message that told of it was lost
-	changed := pass(at(500), one, two, one.Tick(at(500)).Broadcast)
+func TestDigestRevealsAMissingInstance(t *testing.T) {
+	one, two := connectedPair(at(0))
+	one.Heartbeat(at(0), heartbeatOf("i", 1)) // the message that replicates it is lost
+	changed := exchange(at(500), one, two, one.Tick(at(500)).Broadcast)
 	assert.Equal(t, len(changed), 1)
 	assert.Equal(t, stateOf(t, two, "i"), StateReady)
 }
 
-func TestDifferentTablesFindEachOther(t *testing.T) {
-	one, two := pair(at(0))
-	pass(at(0), one, two, one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1))).Message)
-	tickBoth(100, 3000, one, two)
-	one.Heartbeat(at(3000), heartbeatOf("i", 2).draining()) // the message that told of it was lost
-	tickBoth(3000, 5000, one, two)
+func TestDifferingTablesConverge(t *testing.T) {
+	one, two := connectedPair(at(0))
+	exchange(at(0), one, two, one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1))).Message)
+	tickBothUntil(100, 3000, one, two)
+	one.Heartbeat(at(3000), heartbeatOf("i", 2).draining()) // the message that replicates it is lost
+	tickBothUntil(3000, 5000, one, two)
 	assert.Equal(t, stateOf(t, two, "i"), StateDraining)
 	assert.Equal(t, one.hash(), two.hash())
 }
 
-func TestRestartedProcessLearnsAll(t *testing.T) {
-	one, _ := pair(at(0))
+func TestRestartedProcessReceivesAllInstances(t *testing.T) {
+	one, _ := connectedPair(at(0))
 	for index := range 300 {
-		one.Heartbeat(at(0), heartbeatOf(fmt.Sprint("i", index), 1).on(fmt.Sprint("a:", index)))
+		one.Heartbeat(at(0), heartbeatOf(fmt.Sprint("i", index), 1).withAddress(fmt.Sprint("a:", index)))
 	}
 	restarted := newTestTable("c2", "hall-b", at(1000))
 	assert.Assert(t, !restarted.Complete(at(1100)))
-	tickBoth(1000, 1700, one, restarted)
+	tickBothUntil(1000, 1700, one, restarted)
 	assert.Equal(t, len(restarted.Instances()), 300)
 	assert.Equal(t, restarted.hash(), one.hash())
 }
 
-func TestLostMessengerGivesInstancesExtraTime(t *testing.T) {
-	one, two := pair(at(0))
+func TestInstancesOfAnUnreachablePeerGetExtraTime(t *testing.T) {
+	one, two := connectedPair(at(0))
 	for ms := 0; ms <= 6000; ms += 1200 {
 		change := one.Heartbeat(at(ms), heartbeatOf("i", uint64(ms/1200+1)))
 		if change.Changed {
-			pass(at(ms), one, two, one.Replicate(at(ms), change).Message)
+			exchange(at(ms), one, two, one.Replicate(at(ms), change).Message)
 		}
-		tickBoth(ms, ms+1100, one, two)
+		tickBothUntil(ms, ms+1100, one, two)
 	}
-	// The newest heartbeat came at 6,000; the last digest at about 7,000: c1 is lost then.
+	// The last heartbeat arrives at 6,000 ms and the last digest at about 7,000 ms. From then on c1 is unreachable.
 	assert.Equal(t, len(tickUntil(two, 7200, 10_500)), 0)
 	assert.Equal(t, len(tickUntil(two, 10_600, 11_600)), 1)
 }
 
 func TestForgottenInstanceIsNotBroughtBack(t *testing.T) {
-	one, two := pair(at(0))
+	one, two := connectedPair(at(0))
 	one.Heartbeat(at(0), heartbeatOf("i", 1))
-	one.SetInTouch(at(0), false) // it doesn't let the instance expire
+	one.SetInTouch(at(0), false) // without majority contact the instance does not expire
 	tickUntil(one, 0, 15_000)
 	tickUntil(two, 0, 15_000)
 	message := one.newMessage()
@@ -236,9 +236,9 @@
 	assert.Equal(t, len(two.Instances()), 0)
 }
 
-func TestAddressReuseReachesTheOthers(t *testing.T) {
-	one, two := pair(at(0))
-	pass(at(0), one, two, one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("old", 1))).Message)
+func TestAddressReuseReachesThePeers(t *testing.T) {
+	one, two := connectedPair(at(0))
+	exchange(at(0), one, two, one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("old", 1))).Message)
 	changed, _ := two.Merge(at(2500), one.Replicate(at(2500), one.Heartbeat(at(2500), heartbeatOf("new", 1))).Message)
 	assert.Equal(t, len(changed), 2)
 	assert.Equal(t, stateOf(t, two, "old"), StateGone)
@@ -253,8 +253,8 @@
 	assert.Equal(t, stateOf(t, two, "new"), StateReady)
 }
 
-func TestMessageOfOwnOrOfNobodyIsIgnored(t *testing.T) {
-	one, _ := pair(at(0))
+func TestMessageFromSelfOrWithoutSourceIsIgnored(t *testing.T) {
+	one, _ := connectedPair(at(0))
 	for _, source := range []string{"", "c1"} {
 		changed, reply := one.Merge(at(0), &feedpb.RegistryMessage{Source: source, Delta: 1})
 		assert.Equal(t, len(changed), 0)
@@ -262,18 +262,19 @@
 	}
 }
 
-// TestDigestSize holds the size that Table.digest names: 12,000 instances that call 28 processes.
+// TestDigestSize checks the message size that the comment of Table.digest states for 12,000 instances and 28
+// processes.
 func TestDigestSize(t *testing.T) {
 	const instances = 12_000 / 28
 	table := newTestTable("10.128.0.9:7720", "hall-a", at(0))
 	for index := range instances {
-		heartbeat := heartbeatOf(fmt.Sprintf("i-%08x", index*7919), 3000).on(fmt.Sprint("a:", index))
+		heartbeat := heartbeatOf(fmt.Sprintf("i-%08x", index*7919), 3000).withAddress(fmt.Sprint("a:", index))
 		table.Heartbeat(at(index*1200/instances), heartbeat)
 	}
 	size := proto.Size(table.Tick(at(500)).Broadcast) + proto.Size(table.Tick(at(1000)).Broadcast)
-	assert.Assert(t, size < 2*4000, "first digests hold all that called so far: %d bytes", size)
+	assert.Assert(t, size < 2*4000, "the first digests cover all instances so far: %d bytes", size)
 	for index := range instances * 500 / 1200 {
-		heartbeat := heartbeatOf(fmt.Sprintf("i-%08x", index*7919), 3001).on(fmt.Sprint("a:", index))
+		heartbeat := heartbeatOf(fmt.Sprintf("i-%08x", index*7919), 3001).withAddress(fmt.Sprint("a:", index))
 		table.Heartbeat(at(1000+index), heartbeat)
 	}
 	steady := proto.Size(table.Tick(at(1500)).Broadcast)
@@ -281,7 +282,7 @@
 	t.Logf("a digest of %d heartbeats takes %d bytes", instances*500/1200, steady)
 }
 
-// fiveTables are control processes in three zones, all of them in touch.
+// fiveTables returns the tables of control processes in three zones that all reach each other.
 func fiveTables() map[string]*Table {
 	zones := map[string]string{"c1": "hall-a", "c2": "hall-b", "c3": "hall-a", "c4": "hall-b", "c5": "hall-c"}
 	electorate := []string{"c1", "c2", "c3", "c4", "c5"}
@@ -297,56 +298,56 @@
 	return tables
 }
 
-// Two of five processes are cut off together, and have not noticed yet. What they take in reaches nobody else before the cut ends, so
-// that neither may acknowledge that an endpoint leaves.
+// Two of five processes are partitioned from the others and have not detected this yet. The changes that they receive
+// reach no other process before the partition ends, so neither may acknowledge the departure of an endpoint.
 func TestMinorityAcknowledgesNoDeparture(t *testing.T) {
 	tables := fiveTables()
 	one := tables["c1"]
 	drain := one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1).draining()))
-	pass(at(10), one, tables["c2"], drain.Message)
-	assert.Assert(t, !one.Acked(drain.ID))
+	exchange(at(10), one, tables["c2"], drain.Message)
+	assert.Assert(t, !one.IsCommitted(drain.ID))
 	assert.Assert(t, one.Heartbeat(at(100), heartbeatOf("i", 2).draining()).NeedsReplica)
 	assert.Assert(t, tables["c2"].Heartbeat(at(100), heartbeatOf("i", 3).draining()).NeedsReplica)
 	leave := one.Replicate(at(200), one.Leave(at(200), "i"))
-	pass(at(210), one, tables["c2"], leave.Message)
-	assert.Assert(t, !one.Acked(leave.ID))
+	exchange(at(210), one, tables["c2"], leave.Message)
+	assert.Assert(t, !one.IsCommitted(leave.ID))
 
-	pass(at(5000), one, tables["c5"], leave.Message) // the cut is over
-	assert.Assert(t, one.Acked(leave.ID))
+	exchange(at(5000), one, tables["c5"], leave.Message) // the partition has ended
+	assert.Assert(t, one.IsCommitted(leave.ID))
 	assert.Assert(t, !one.Leave(at(5100), "i").NeedsReplica)
 }
 
-// What a process held is gone when it starts again: it counts anew once it has heard of it.
-func TestProcessThatStartedAgainHoldsNothing(t *testing.T) {
-	one, two := pair(at(0))
+// A process loses its table when it restarts. It counts as holding a departure again only after it has received it anew.
+func TestRestartedPeerNoLongerCountsAsReplica(t *testing.T) {
+	one, two := connectedPair(at(0))
 	drain := one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1).draining()))
-	pass(at(10), one, two, drain.Message)
+	exchange(at(10), one, two, drain.Message)
 	assert.Assert(t, !one.Heartbeat(at(100), heartbeatOf("i", 2).draining()).NeedsReplica)
-	again := newTestTable("c2", "hall-b", at(200))
-	again.SetPeers([]Peer{{Name: "c1", Zone: "hall-a"}}, []string{"c1", "c2"})
-	pass(at(700), again, one, again.Tick(at(700)).Broadcast)
+	restarted := newTestTable("c2", "hall-b", at(200))
+	restarted.SetPeers([]Peer{{Name: "c1", Zone: "hall-a"}}, []string{"c1", "c2"})
+	exchange(at(700), restarted, one, restarted.Tick(at(700)).Broadcast)
 	assert.Assert(t, one.Heartbeat(at(800), heartbeatOf("i", 3).draining()).NeedsReplica)
 }
 
-// A process that is told of an instance which nobody has heard of for a while holds it silent, not ready and not gone.
-func TestInstanceToldOfAfterASilenceIsSilent(t *testing.T) {
-	one, two := pair(at(0))
+// An instance that is first reported when its last heartbeat is older than SilentAfter is silent, not ready and not gone.
+func TestInstanceReportedAfterASilenceIsSilent(t *testing.T) {
+	one, two := connectedPair(at(0))
 	change := one.Heartbeat(at(0), heartbeatOf("i", 1))
 	later := at(0).Add(2*one.options.SilentAfter - time.Millisecond)
 	one.SetInTouch(later, true)
-	pass(later, one, two, one.Replicate(later, change).Message)
+	exchange(later, one, two, one.Replicate(later, change).Message)
 	assert.Equal(t, stateOf(t, two, "i"), StateSilent)
 }
 
-// A departure that a majority holds is still sent to those that have not acknowledged it.
-func TestSafeChangeIsSentToThoseThatLackIt(t *testing.T) {
+// A committed departure is still sent to the processes that have not acknowledged it.
+func TestCommittedChangeIsResentToUnacknowledgedPeers(t *testing.T) {
 	tables := fiveTables()
 	one := tables["c1"]
 	drain := one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1).draining()))
 	for _, name := range []string{"c2", "c5"} {
-		pass(at(10), one, tables[name], drain.Message)
+		exchange(at(10), one, tables[name], drain.Message)
 	}
-	assert.Assert(t, one.Acked(drain.ID))
+	assert.Assert(t, one.IsCommitted(drain.ID))
 	lacking := make(map[string]bool)
 	for _, send := range one.Tick(at(300)).Sends {
 		lacking[send.To] = true
@@ -354,15 +355,15 @@
 	assert.DeepEqual(t, lacking, map[string]bool{"c3": true, "c4": true})
 }
 
-// A digest that tells fewer numbers or ages than instances is taken as far as it goes.
-func TestDigestOfUnequalListsIsTakenAsFarAsItGoes(t *testing.T) {
+// A digest with fewer heartbeat numbers or ages than fingerprints is applied up to the shortest list.
+func TestDigestWithUnequalListsIsAppliedUpToTheShortest(t *testing.T) {
 	for _, shorten := range []func(*feedpb.RegistryDigest){
 		func(digest *feedpb.RegistryDigest) { digest.Seqs = digest.Seqs[:1] },
 		func(digest *feedpb.RegistryDigest) { digest.AgesMs = digest.AgesMs[:1] },
 	} {
-		one, two := pair(at(0))
+		one, two := connectedPair(at(0))
 		for _, id := range []string{"i", "j"} {
-			pass(at(0), one, two, one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf(id, 1))).Message)
+			exchange(at(0), one, two, one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf(id, 1))).Message)
 		}
 		tickUntil(two, 0, 4000)
 		one.Heartbeat(at(4000), heartbeatOf("i", 2))
@@ -375,41 +376,43 @@
 	}
 }
 
-// What a process is known to have of an instance that leaves is the furthest that it told in one life. What it told in another life is
-// lost with that.
-func TestHolderIsKnownByTheFurthestOfItsLife(t *testing.T) {
-	one, _ := pair(at(0))
+// Within one run of a peer, the recorded state of a departing instance is the most advanced one that the peer acknowledged.
+// A new run of the peer starts afresh.
+func TestReplicaStateIsTheMostAdvancedOfOneRun(t *testing.T) {
+	one, _ := connectedPair(at(0))
 	one.Heartbeat(at(0), heartbeatOf("i", 1).draining())
 	known, holder := one.records["i"], one.peers["c2"]
-	holder.life = 7
-	one.noteReplica(known, holder, StateGone)
-	one.noteReplica(known, holder, StateDraining)
-	assert.Equal(t, known.heldBy["c2"], holding{life: 7, reported: StateGone})
-	holder.life = 8
-	one.noteReplica(known, holder, StateDraining)
-	assert.Equal(t, known.heldBy["c2"], holding{life: 8, reported: StateDraining})
-	one.noteReplica(known, holder, StateReady)
-	assert.Equal(t, known.heldBy["c2"], holding{life: 8, reported: StateDraining}, "who has it ready knows nothing of its leaving")
+	holder.runID = 7
+	one.recordReplica(known, holder, StateGone)
+	one.recordReplica(known, holder, StateDraining)
+	assert.Equal(t, known.replicatedTo["c2"], replicaState{runID: 7, reported: StateGone})
+	holder.runID = 8
+	one.recordReplica(known, holder, StateDraining)
+	assert.Equal(t, known.replicatedTo["c2"], replicaState{runID: 8, reported: StateDraining})
+	one.recordReplica(known, holder, StateReady)
+	assert.Equal(t, known.replicatedTo["c2"], replicaState{runID: 8, reported: StateDraining},
+		"a ready state does not show that the peer knows the departure")
 }
 
-// While a table fills, a difference is looked into at once and often; afterwards only one that lasts, once in a while.
-func TestDifferenceIsLookedIntoSoonerWhileATableFills(t *testing.T) {
+// While a table fills, a mismatch triggers a comparison at the first digest and at short intervals. Afterwards only a
+// repeated mismatch does, at longer intervals.
+func TestTableMismatchIsSyncedSoonerWhileFilling(t *testing.T) {
 	differs := &feedpb.RegistryDigest{TableHash: 12345}
 	asked := func(table *Table, ms int) bool {
 		var answer feedpb.RegistryMessage
 		table.compareTables(at(ms), table.peers["c2"], differs, &answer)
 		return len(answer.Buckets) > 0
 	}
-	filling, _ := pair(at(0))
+	filling, _ := connectedPair(at(0))
 	filling.SetInTouch(at(0), true)
 	const settled = 60_000
 	assert.Assert(t, !filling.Complete(at(1000)) && filling.Complete(at(settled)))
-	assert.Assert(t, asked(filling, 1000), "the first difference")
-	assert.Assert(t, !asked(filling, 1299), "not too often")
+	assert.Assert(t, asked(filling, 1000), "the first mismatch must trigger a comparison")
+	assert.Assert(t, !asked(filling, 1299), "a comparison must not repeat within the interval")
 	assert.Assert(t, asked(filling, 1301))
-	filling.peers["c2"].mismatches = 0
-	assert.Assert(t, !asked(filling, settled), "one digest proves nothing")
+	filling.peers["c2"].digestMismatches = 0
+	assert.Assert(t, !asked(filling, settled), "a single mismatch must not trigger a comparison")
 	assert.Assert(t, asked(filling, settled+1))
-	assert.Assert(t, !asked(filling, settled+900), "not too often")
+	assert.Assert(t, !asked(filling, settled+900), "a comparison must not repeat within the interval")
 	assert.Assert(t, asked(filling, settled+1100))
 }
--- a/internal/registry/receive.go
+++ b/internal/registry/receive.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// coldTolerance is the difference up to which two statements of the end of a warm-up are taken for the same.
-const coldTolerance = 250 * time.Millisecond
+// endTimeTolerance is the difference up to which two announced end times, of a warm-up or a notice, count as equal.
+// Heartbeats announce the remaining time, and their delays vary.
+const endTimeTolerance = 250 * time.Millisecond
 
-// Heartbeat takes in a heartbeat that came to this process.
+// Heartbeat applies a heartbeat that this process received.
 func (t *Table) Heartbeat(now time.Time, heartbeat Heartbeat) Change {
 	known, exists := t.records[heartbeat.ID]
 	if !exists {
 		known = t.add(heartbeat.ID)
-		known.knownSince = now
+		known.firstSeenAt = now
 		known.State, known.Reported = StateReady, StateReady
 	}
 	if known.Final() {
@@ -20,14 +21,14 @@
 		return t.change(known, false)
 	}
 	before := known.Instance
-	known.heardAt = now
-	known.heardBy = t.options.Self
+	known.lastHeartbeatAt = now
+	known.receivedBy = t.options.Self
 	known.Seq = heartbeat.Seq
-	if t.holderBlocks(now, known, heartbeat.Address, exists) {
+	if t.addressClaimRejected(now, known, heartbeat.Address, exists) {
 		return t.change(known, false)
 	}
-	t.noteHeartbeat(known)
-	describe(now, &known.Instance, heartbeat)
+	t.queueForDigest(known)
+	applyHeartbeat(now, &known.Instance, heartbeat)
 	changed := !exists || !known.SameAs(before)
 	if changed {
 		known.ChangedSeq = heartbeat.Seq
@@ -36,8 +37,9 @@
 	return t.change(known, changed)
 }
 
-// describe takes over what a heartbeat says. A heartbeat brings a silent instance back, and never one that is draining.
-func describe(now time.Time, instance *Instance, heartbeat Heartbeat) {
+// applyHeartbeat copies the fields of a heartbeat. It makes a silent instance ready again, but not one that is
+// draining.
+func applyHeartbeat(now time.Time, instance *Instance, heartbeat Heartbeat) {
 	instance.Backend = heartbeat.Backend
 	instance.Address = heartbeat.Address
 	instance.Zone = heartbeat.Zone
@@ -47,101 +49,104 @@
 	instance.Models = heartbeat.Models
 	instance.Reported = Furthest(instance.Reported, heartbeat.State)
 	instance.State = instance.Reported
-	instance.ColdUntil = coldUntil(now, instance.ColdUntil, heartbeat.Warmup)
+	instance.ColdUntil = mergeColdUntil(now, instance.ColdUntil, heartbeat.Warmup)
 	if heartbeat.Notice {
-		instance.GoneAt = earliestEnd(instance.GoneAt, now.Add(heartbeat.Remaining))
+		instance.GoneAt = earliestGoneAt(instance.GoneAt, now.Add(heartbeat.Remaining))
 	}
 }
 
-// coldUntil returns the end of the warm-up after a heartbeat. Of two that are nearly the same the known one stays, so that
-// each heartbeat of a cold endpoint isn't a change.
-func coldUntil(now, known time.Time, warmup time.Duration) time.Time {
-	said := now.Add(warmup)
+// mergeColdUntil returns the end of the warm-up after a heartbeat. It keeps the known end if the announced one is
+// within endTimeTolerance, so that not every heartbeat of a cold endpoint counts as a change.
+func mergeColdUntil(now, known time.Time, warmup time.Duration) time.Time {
+	announced := now.Add(warmup)
 	if warmup == 0 {
-		said = time.Time{}
+		announced = time.Time{}
 	}
 	if !known.After(now) && warmup == 0 {
 		return known
 	}
-	difference := known.Sub(said)
-	if difference.Abs() <= coldTolerance {
+	difference := known.Sub(announced)
+	if difference.Abs() <= endTimeTolerance {
 		return known
 	}
-	return said
+	return announced
 }
 
-// earliestEnd returns the end of a notice; the first one told stays, unless a later one is clearly earlier.
-func earliestEnd(known, said time.Time) time.Time {
-	if known.IsZero() || said.Before(known.Add(-coldTolerance)) {
-		return said
+// earliestGoneAt returns the time of termination by a notice. The first announced time stays unless a later notice
+// announces one that is earlier by more than endTimeTolerance.
+func earliestGoneAt(known, announced time.Time) time.Time {
+	if known.IsZero() || announced.Before(known.Add(-endTimeTolerance)) {
+		return announced
 	}
 	return known
 }
 
-// Leave takes in that an instance said it has ended.
+// Leave applies the report of an instance that it has ended.
 func (t *Table) Leave(now time.Time, id string) Change {
 	known, exists := t.records[id]
 	if !exists {
 		known = t.add(id)
-		known.knownSince = now
+		known.firstSeenAt = now
 	}
 	changed := !known.Final()
-	t.end(now, known)
+	t.markFinal(now, known)
 	return t.change(known, changed)
 }
 
-// end makes an instance gone for good.
-func (t *Table) end(now time.Time, known *record) {
+// markFinal makes an instance gone for good.
+func (t *Table) markFinal(now time.Time, known *record) {
 	if known.Final() {
 		return
 	}
 	known.Reported = StateGone
-	t.lose(now, known)
+	t.markGone(now, known)
 }
 
-// lose makes an instance gone; unless it said so itself, it may come back.
-func (t *Table) lose(now time.Time, known *record) {
+// markGone makes an instance gone. Unless the instance reported this itself, a later heartbeat restores it.
+func (t *Table) markGone(now time.Time, known *record) {
 	known.State = StateGone
 	known.goneSince = now
-	if t.holders[known.Address] == known {
-		delete(t.holders, known.Address)
+	if t.owners[known.Address] == known {
+		delete(t.owners, known.Address)
 	}
 	t.rehash(known)
 }
 
-// holderBlocks settles who has an address when a heartbeat names it. An instance that is new takes it from the one before,
-// which is then gone; one that lost its address earlier gets it back only when the new one is silent, so that a heartbeat
-// that was long under way can't do that. It returns true where the instance doesn't get the address.
-func (t *Table) holderBlocks(now time.Time, known *record, address string, exists bool) bool {
-	holder := t.holders[address]
-	if holder == known {
+// addressClaimRejected decides which instance owns an address that a heartbeat names, and reports whether the sender
+// does not get it. A new instance replaces the previous owner, which is then gone. An instance that lost the address
+// before gets it back only if the present owner is silent, so that a delayed heartbeat cannot replace the present
+// owner.
+func (t *Table) addressClaimRejected(now time.Time, known *record, address string, exists bool) bool {
+	owner := t.owners[address]
+	if owner == known {
 		return false
 	}
-	if holder != nil {
-		if exists && known.State == StateGone && now.Sub(holder.heardAt) < t.options.SilentAfter {
+	if owner != nil {
+		if exists && known.State == StateGone && now.Sub(owner.lastHeartbeatAt) < t.options.SilentAfter {
 			return true
 		}
-		t.supersede(now, holder)
+		t.markSuperseded(now, owner)
 	}
-	t.moveTo(known, address)
+	t.assignAddress(known, address)
 	return false
 }
 
-// moveTo makes known the holder of address.
-func (t *Table) moveTo(known *record, address string) {
-	if t.holders[known.Address] == known {
-		delete(t.holders, known.Address)
+// assignAddress makes a record the owner of an address instead of its previous one.
+func (t *Table) assignAddress(known *record, address string) {
+	if t.owners[known.Address] == known {
+		delete(t.owners, known.Address)
 	}
-	t.holders[address] = known
+	t.owners[address] = known
 }
 
-// supersede makes an instance gone because another one has its address; Tick tells of it.
-func (t *Table) supersede(now time.Time, holder *record) {
-	t.lose(now, holder)
-	t.superseded = append(t.superseded, holder)
+// markSuperseded makes an instance gone because another one has its address. The next Tick or Merge returns it as
+// changed.
+func (t *Table) markSuperseded(now time.Time, owner *record) {
+	t.markGone(now, owner)
+	t.superseded = append(t.superseded, owner)
 }
 
-// change describes what an input did to a record.
+// change returns the Change that describes the effect of an input on a record.
 func (t *Table) change(known *record, changed bool) Change {
 	return Change{
 		Instance:     known.Instance,
@@ -150,11 +155,11 @@
 	}
 }
 
-// noteHeartbeat puts a record into the next digest.
-func (t *Table) noteHeartbeat(known *record) {
-	if known.pendingBeat {
+// queueForDigest adds a record to the next digest.
+func (t *Table) queueForDigest(known *record) {
+	if known.unreported {
 		return
 	}
-	known.pendingBeat = true
-	t.beaten = append(t.beaten, known)
+	known.unreported = true
+	t.unreportedHeartbeats = append(t.unreportedHeartbeats, known)
 }
--- a/internal/registry/replicate.go
+++ b/internal/registry/replicate.go
@@ -8,39 +8,40 @@
 	"wallflow/internal/distribution/feedpb"
 )
 
-// Peer is another control process that is in touch.
+// Peer is another control process that is reachable.
 type Peer struct {
 	Name string // internal address
 	Zone string
 }
 
-// peer is what the table knows of another control process.
+// peer is the state kept about another control process.
 type peer struct {
-	name       string
-	zone       string
-	live       bool   // in touch
-	life       uint64 // random number of the life of the process that it last told
-	digestAt   time.Time
-	mismatches int // digests in a row that differed from the own table
+	name             string
+	zone             string
+	reachable        bool   // member of the list last passed to SetPeers
+	runID            uint64 // random ID of the run of the process, from its last message
+	lastDigestAt     time.Time
+	digestMismatches int // consecutive digests of the peer that differed from this table
 }
 
-// holding is what another process is known to have of an instance that leaves. A process that starts again has lost it.
-type holding struct {
-	life     uint64 // of that process
+// replicaState is the state of a departing instance that another process is known to hold. A process loses it when it
+// restarts.
+type replicaState struct {
+	runID    uint64 // run of the process in which it acknowledged the state
 	reported State
 }
 
-// hasPeerElsewhere says whether a control process of another zone is in touch.
-func (t *Table) hasPeerElsewhere() bool {
+// hasPeerInOtherZone reports whether a control process of another zone is reachable.
+func (t *Table) hasPeerInOtherZone() bool {
 	for _, other := range t.peers {
-		if other.live && other.zone != t.options.Zone {
+		if other.reachable && other.zone != t.options.Zone {
 			return true
 		}
 	}
 	return false
 }
 
-func (t *Table) peerNamed(name string) *peer {
+func (t *Table) peerByName(name string) *peer {
 	known := t.peers[name]
 	if known == nil {
 		known = &peer{name: name}
@@ -49,75 +50,77 @@
 	return known
 }
 
-// SetPeers tells which other control processes are in touch now, and by their internal addresses which control processes make up the
-// electorate, of which a majority decides, this one included if it is one of them.
+// SetPeers sets the other control processes that are reachable now, and the electorate: the internal addresses of the
+// control processes of which a majority decides. The electorate includes this process if it is a voter.
 func (t *Table) SetPeers(peers []Peer, electorate []string) {
 	t.electorate = electorate
 	for _, known := range t.peers {
-		known.live = false
+		known.reachable = false
 	}
-	for _, given := range peers {
-		if given.Name == t.options.Self {
+	for _, listed := range peers {
+		if listed.Name == t.options.Self {
 			continue
 		}
-		known := t.peerNamed(given.Name)
-		known.zone = given.Zone
-		known.live = true
+		known := t.peerByName(listed.Name)
+		known.zone = listed.Zone
+		known.reachable = true
 	}
-	t.settleReplicas()
+	t.updateAllCommitted()
 }
 
-// Replica is a change on its way to the other control processes.
+// Replica is a change that is being replicated to the other control processes.
 type Replica struct {
 	ID      uint64
-	Message *feedpb.RegistryMessage // to be sent to each of them
-	Safe    bool                    // there is nothing to wait for: the change may be acknowledged to the endpoint now
+	Message *feedpb.RegistryMessage // to be sent to each of these processes
+	Safe    bool                    // the change is committed already and may be acknowledged to the endpoint at once
 }
 
-// replica is what the table remembers of a change on its way.
+// replica is the state kept about a change that is being replicated.
 type replica struct {
-	ids       []string
-	reported  []State // of each id, when it was sent
-	createdAt time.Time
-	sentAt    time.Time
-	acked     map[string]bool // by name of the peer
-	safe      bool
-}
-
-// Replicate makes the message by which changes reach the other control processes. A change counts as safe once a majority of the
-// electorate has it, this process included, and among them one in another zone if there is one in touch: see TakeSafe. Whichever
-// processes a cut leaves with a majority, one of them has the change then and tells the others. Tick sends it again to those that
-// did not acknowledge it.
+	instanceIDs    []string
+	reported       []State // state of each instance when the change was created
+	createdAt      time.Time
+	sentAt         time.Time
+	acknowledgedBy map[string]bool // names of the peers that hold the change
+	committed      bool
+}
+
+// Replicate returns the message that replicates changes to the other control processes. A change is committed once a
+// majority of the electorate holds it, including this process and, if a control process of another zone is reachable,
+// one in another zone; see TakeSafe. Whichever side of a network partition has a majority, one of its processes then
+// holds the change and replicates it to the others. Tick resends it to the processes that did not acknowledge it.
 func (t *Table) Replicate(now time.Time, changes ...Change) Replica {
 	t.nextReplica++
-	added := &replica{createdAt: now, sentAt: now, acked: make(map[string]bool)}
+	added := &replica{createdAt: now, sentAt: now, acknowledgedBy: make(map[string]bool)}
 	for _, change := range changes {
-		added.ids = append(added.ids, change.Instance.ID)
+		added.instanceIDs = append(added.instanceIDs, change.Instance.ID)
 		added.reported = append(added.reported, change.Instance.Reported)
 	}
 	id := t.nextReplica
 	t.replicas[id] = added
-	added.safe = t.suffices(added.hasBeenTaken)
-	return Replica{ID: id, Message: t.replicaMessage(now, id, added), Safe: added.safe}
+	added.committed = t.isQuorum(added.isAcknowledgedBy)
+	return Replica{ID: id, Message: t.replicaMessage(now, id, added), Safe: added.committed}
 }
 
-// Acked says whether a change is known to be safe. Changes are forgotten once all have them or after a while.
-func (t *Table) Acked(id uint64) bool {
+// IsCommitted reports whether a change is committed. It returns false for changes that are forgotten: those that all
+// reachable processes acknowledged, and those older than Options.ResendTimeout.
+func (t *Table) IsCommitted(id uint64) bool {
 	known, exists := t.replicas[id]
-	return exists && known.safe
+	return exists && known.committed
 }
 
-// TakeSafe returns the changes that became safe since the last call.
+// TakeSafe returns the IDs of the changes that were committed since the last call.
 func (t *Table) TakeSafe() []uint64 {
-	taken := t.safe
-	t.safe = nil
+	taken := t.newlyCommitted
+	t.newlyCommitted = nil
 	return taken
 }
 
-func (t *Table) replicaMessage(now time.Time, id uint64, sent *replica) *feedpb.RegistryMessage {
+// replicaMessage returns the message that replicates a change, with the current state of its instances.
+func (t *Table) replicaMessage(now time.Time, id uint64, pending *replica) *feedpb.RegistryMessage {
 	message := t.newMessage()
 	message.Delta = id
-	for _, instanceID := range sent.ids {
+	for _, instanceID := range pending.instanceIDs {
 		if known := t.records[instanceID]; known != nil {
 			message.Instances = append(message.Instances, t.toWire(now, known))
 		}
@@ -125,8 +128,8 @@
 	return message
 }
 
-// takeAcknowledgement notes that a peer has a change.
-func (t *Table) takeAcknowledgement(sender *peer, acknowledgement *feedpb.Acknowledgement) {
+// applyAcknowledgement records that a peer holds a change.
+func (t *Table) applyAcknowledgement(sender *peer, acknowledgement *feedpb.Acknowledgement) {
 	if acknowledgement == nil || acknowledgement.GetLife() != t.options.Life {
 		return
 	}
@@ -135,117 +138,121 @@
 	if known == nil {
 		return
 	}
-	known.acked[sender.name] = true
-	for index, instanceID := range known.ids {
-		if held := t.records[instanceID]; held != nil {
-			t.noteReplica(held, sender, known.reported[index])
+	known.acknowledgedBy[sender.name] = true
+	for index, instanceID := range known.instanceIDs {
+		if instance := t.records[instanceID]; instance != nil {
+			t.recordReplica(instance, sender, known.reported[index])
 		}
 	}
-	t.settle(id, known)
+	t.updateCommitted(id, known)
 }
 
-// settleReplicas looks again at every change on its way, after the peers in touch changed.
-func (t *Table) settleReplicas() {
+// updateAllCommitted checks every pending change again after the reachable peers, or the contact to the majority,
+// changed.
+func (t *Table) updateAllCommitted() {
 	for id, known := range t.replicas {
-		t.settle(id, known)
+		t.updateCommitted(id, known)
 	}
 }
 
-func (t *Table) settle(id uint64, known *replica) {
-	if known.safe {
+func (t *Table) updateCommitted(id uint64, known *replica) {
+	if known.committed {
 		return
 	}
-	if !t.suffices(known.hasBeenTaken) {
+	if !t.isQuorum(known.isAcknowledgedBy) {
 		return
 	}
-	known.safe = true
-	t.safe = append(t.safe, id)
+	known.committed = true
+	t.newlyCommitted = append(t.newlyCommitted, id)
 }
 
-// hasBeenTaken says whether a peer has acknowledged the change.
-func (r *replica) hasBeenTaken(by *peer) bool { return r.acked[by.name] }
+// isAcknowledgedBy reports whether a peer has acknowledged the change.
+func (r *replica) isAcknowledgedBy(other *peer) bool { return r.acknowledgedBy[other.name] }
 
-// suffices says whether what the peers for which has is true hold, and this process, outlasts a cut or the loss of this zone.
-func (t *Table) suffices(has func(*peer) bool) bool {
-	holders, elsewhere := 0, false
+// isQuorum reports whether the copies at this process and at the peers for which holdsCopy is true survive a network
+// partition and the loss of this zone.
+func (t *Table) isQuorum(holdsCopy func(*peer) bool) bool {
+	copies, inOtherZone := 0, false
 	for _, name := range t.electorate {
 		if name == t.options.Self {
-			holders++
+			copies++
 			continue
 		}
 		other := t.peers[name]
-		if other == nil || !other.live || !has(other) {
+		if other == nil || !other.reachable || !holdsCopy(other) {
 			continue
 		}
-		holders++
-		elsewhere = elsewhere || other.zone != t.options.Zone
+		copies++
+		inOtherZone = inOtherZone || other.zone != t.options.Zone
 	}
 	switch {
-	case len(t.electorate) == 0 || holders <= len(t.electorate)/2:
+	case len(t.electorate) == 0 || copies <= len(t.electorate)/2:
 		return false
 	case len(t.electorate) == 1:
-		return t.inTouch
+		return t.majorityReachable
 	}
-	return elsewhere || !t.hasPeerElsewhere()
+	return inOtherZone || !t.hasPeerInOtherZone()
 }
 
-// noteReplica notes that a process holds what a leaving instance said.
-func (t *Table) noteReplica(known *record, holder *peer, reported State) {
-	if rank(reported) == rank(StateReady) {
+// recordReplica records that a peer holds the reported state of an instance that is draining or gone. Within one run
+// of the peer the state only advances.
+func (t *Table) recordReplica(known *record, holder *peer, reported State) {
+	if stateRank(reported) == stateRank(StateReady) {
 		return
 	}
-	if known.heldBy == nil {
-		known.heldBy = make(map[string]holding)
+	if known.replicatedTo == nil {
+		known.replicatedTo = make(map[string]replicaState)
 	}
-	before := known.heldBy[holder.name]
-	if before.life == holder.life {
+	before := known.replicatedTo[holder.name]
+	if before.runID == holder.runID {
 		reported = Furthest(before.reported, reported)
 	}
-	known.heldBy[holder.name] = holding{life: holder.life, reported: reported}
+	known.replicatedTo[holder.name] = replicaState{runID: holder.runID, reported: reported}
 }
 
-// needsReplica says whether the instance is leaving and too few processes are known to have that.
+// needsReplica reports whether the instance is departing and too few processes are known to hold its state.
 func (t *Table) needsReplica(known *record) bool {
-	if rank(known.Reported) == rank(StateReady) {
+	if stateRank(known.Reported) == stateRank(StateReady) {
 		return false
 	}
-	return !t.suffices(func(other *peer) bool {
-		held := known.heldBy[other.name]
-		return held.life == other.life && rank(held.reported) >= rank(known.Reported)
+	return !t.isQuorum(func(other *peer) bool {
+		replicated := known.replicatedTo[other.name]
+		return replicated.runID == other.runID && stateRank(replicated.reported) >= stateRank(known.Reported)
 	})
 }
 
-// resend returns the changes that are to be sent again, and forgets those that all have or that were sent long enough.
-func (t *Table) resend(now time.Time) []Send {
+// resendUnacknowledged returns the messages that resend changes to peers that have not acknowledged them. It forgets
+// changes that all peers hold or that reached the resend timeout.
+func (t *Table) resendUnacknowledged(now time.Time) []Send {
 	var sends []Send
 	for _, id := range slices.Sorted(maps.Keys(t.replicas)) {
-		sent := t.replicas[id]
-		if now.Sub(sent.createdAt) >= t.options.ResendFor {
+		pending := t.replicas[id]
+		if now.Sub(pending.createdAt) >= t.options.ResendTimeout {
 			delete(t.replicas, id)
 			continue
 		}
-		if now.Sub(sent.sentAt) < t.options.ResendInterval {
+		if now.Sub(pending.sentAt) < t.options.ResendInterval {
 			continue
 		}
-		sent.sentAt = now
-		missing := t.missing(sent)
-		if len(missing) == 0 && sent.safe {
+		pending.sentAt = now
+		recipients := t.unacknowledgedPeers(pending)
+		if len(recipients) == 0 && pending.committed {
 			delete(t.replicas, id)
 			continue
 		}
-		message := t.replicaMessage(now, id, sent)
-		for _, name := range missing {
+		message := t.replicaMessage(now, id, pending)
+		for _, name := range recipients {
 			sends = append(sends, Send{To: name, Message: message})
 		}
 	}
 	return sends
 }
 
-// missing returns the peers in touch that haven't acknowledged a change.
-func (t *Table) missing(sent *replica) []string {
+// unacknowledgedPeers returns the names of the reachable peers that have not acknowledged a change, sorted.
+func (t *Table) unacknowledgedPeers(pending *replica) []string {
 	var names []string
 	for name, other := range t.peers {
-		if other.live && !sent.acked[name] {
+		if other.reachable && !pending.acknowledgedBy[name] {
 			names = append(names, name)
 		}
 	}
--- a/internal/registry/table.go
+++ b/internal/registry/table.go
@@ -5,107 +5,108 @@
 	"time"
 )
 
-// Defaults of Options, as multiples of the heartbeat interval where the name says so.
+// Defaults of Options. Those named Intervals are multiples of the heartbeat interval.
 const (
-	defaultSilentIntervals   = 2.5
-	defaultGoneIntervals     = 10
-	defaultCompleteIntervals = 2
-	defaultDigestInterval    = 500 * time.Millisecond
-	defaultTombstone         = 60 * time.Second
-	defaultResendInterval    = 300 * time.Millisecond
-	defaultResendFor         = 3 * time.Second
+	defaultSilentAfterIntervals   = 2.5
+	defaultGoneAfterIntervals     = 10
+	defaultCompleteAfterIntervals = 2
+	defaultDigestInterval         = 500 * time.Millisecond
+	defaultTombstoneLifetime      = 60 * time.Second
+	defaultResendInterval         = 300 * time.Millisecond
+	defaultResendTimeout          = 3 * time.Second
 )
 
-// Options are the settings of a Table. Fields left at zero get their defaults, HeartbeatInterval and Self excepted.
+// Options are the settings of a Table. Fields that are zero get defaults, except HeartbeatInterval, Self, Zone and
+// Life.
 type Options struct {
-	HeartbeatInterval time.Duration // of the endpoints
+	HeartbeatInterval time.Duration // time between two heartbeats of an endpoint
 	Self              string        // internal address of this process
-	Zone              string        // of this process
-	Life              uint64        // random number of this life of the process
-	SilentAfter       time.Duration // without a heartbeat an instance is silent
-	GoneAfter         time.Duration // without a heartbeat an instance is gone
-	CompleteAfter     time.Duration // after a start, until the table counts as filled
-	DigestInterval    time.Duration // between digests to the other control processes
-	Tombstone         time.Duration // a gone instance is remembered for so long
-	ResendInterval    time.Duration // between sendings of a change that is not acknowledged
-	ResendFor         time.Duration // no longer than that
+	Zone              string        // zone of this process
+	Life              uint64        // random ID of this run of the process; each start has another one
+	SilentAfter       time.Duration // time without a heartbeat after which an instance is silent
+	GoneAfter         time.Duration // time without a heartbeat after which an instance is gone
+	CompleteAfter     time.Duration // time after the start, or after a loss of contact, until the table counts as complete
+	DigestInterval    time.Duration // time between digests to the other control processes
+	TombstoneLifetime time.Duration // how long a gone instance is remembered
+	ResendInterval    time.Duration // time between sends of a change that is not acknowledged
+	ResendTimeout     time.Duration // age at which a change is not sent again
 }
 
 func (o Options) withDefaults() Options {
 	interval := float64(o.HeartbeatInterval)
-	o.SilentAfter = cmp.Or(o.SilentAfter, time.Duration(defaultSilentIntervals*interval))
-	o.GoneAfter = cmp.Or(o.GoneAfter, time.Duration(defaultGoneIntervals*interval))
-	o.CompleteAfter = cmp.Or(o.CompleteAfter, time.Duration(defaultCompleteIntervals*interval))
+	o.SilentAfter = cmp.Or(o.SilentAfter, time.Duration(defaultSilentAfterIntervals*interval))
+	o.GoneAfter = cmp.Or(o.GoneAfter, time.Duration(defaultGoneAfterIntervals*interval))
+	o.CompleteAfter = cmp.Or(o.CompleteAfter, time.Duration(defaultCompleteAfterIntervals*interval))
 	o.DigestInterval = cmp.Or(o.DigestInterval, defaultDigestInterval)
-	o.Tombstone = cmp.Or(o.Tombstone, defaultTombstone)
+	o.TombstoneLifetime = cmp.Or(o.TombstoneLifetime, defaultTombstoneLifetime)
 	o.ResendInterval = cmp.Or(o.ResendInterval, defaultResendInterval)
-	o.ResendFor = cmp.Or(o.ResendFor, defaultResendFor)
+	o.ResendTimeout = cmp.Or(o.ResendTimeout, defaultResendTimeout)
 	return o
 }
 
-// Change is what an input did to one instance.
+// Change is the effect of an input on one instance.
 type Change struct {
 	Instance Instance
-	Changed  bool // what is known of the instance is different now
-	// NeedsReplica: the instance said that it leaves, and too few control processes are known to have that yet. It gets its
-	// acknowledgement once Replicate's change is safe.
+	Changed  bool // the known state or description of the instance changed
+	// NeedsReplica reports that the instance announced its departure and that too few control processes are known to
+	// hold this. It must not be acknowledged to the instance before the change that Replicate returns is committed.
 	NeedsReplica bool
 }
 
-// Table is the table of instances at one control process. It isn't safe for use by several goroutines at once.
+// Table is the table of instances at one control process. It isn't safe for concurrent use.
 type Table struct {
-	options      Options
-	records      map[string]*record
-	fingerprints map[uint32]*record // heads of the lists of the records that share a fingerprint
-	holders      map[string]*record // by address: the instance that has it
-	buckets      [bucketCount]uint64
-	peers        map[string]*peer
-	electorate   []string // names of the control processes of which a majority decides
-	replicas     map[uint64]*replica
-	nextReplica  uint64
-	safe         []uint64  // replicas that became safe since TakeSafe
-	beaten       []*record // heard here since the last digest
-	superseded   []*record // lost their address; Tick tells of them
-
-	inTouch    bool
-	startedAt  time.Time
-	watchFrom  time.Time // silence counts from then at the earliest
-	lastTick   time.Time
-	lastScan   time.Time
-	lastDigest time.Time
-	lastSync   time.Time // when a comparison of buckets was last asked for
+	options              Options
+	records              map[string]*record
+	fingerprints         map[uint32]*record // first record of each list that shares a fingerprint
+	owners               map[string]*record // owner of each address
+	buckets              [bucketCount]uint64
+	peers                map[string]*peer
+	electorate           []string // names of the voting control processes
+	replicas             map[uint64]*replica
+	nextReplica          uint64
+	newlyCommitted       []uint64  // IDs of the replicas committed since the last TakeSafe
+	unreportedHeartbeats []*record // received a heartbeat here since the last digest
+	superseded           []*record // lost their address; returned by the next Tick or Merge
+
+	majorityReachable  bool
+	startedAt          time.Time
+	silenceCountedFrom time.Time // silence before this time does not count
+	lastTick           time.Time
+	lastScan           time.Time
+	lastDigest         time.Time
+	lastSync           time.Time // last request for a comparison of buckets
 }
 
-// record is an instance with what the table itself needs to know of it.
+// record is an instance with the bookkeeping of the table.
 type record struct {
 	Instance
-	heardAt         time.Time          // its newest heartbeat at any control process
-	knownSince      time.Time          // its first heartbeat
-	heardBy         string             // the process that the newest heartbeat came to
-	goneSince       time.Time          // for the tombstone
-	heldBy          map[string]holding // by name of the process: what is known to be held elsewhere of a leaving instance
-	pendingBeat     bool               // a heartbeat came here since the last digest
-	hash            uint64             // its part of the bucket
-	nextFingerprint *record
+	lastHeartbeatAt     time.Time               // newest heartbeat at any control process
+	firstSeenAt         time.Time               // first heartbeat at any control process
+	receivedBy          string                  // name of the process that received the newest heartbeat
+	goneSince           time.Time               // start of the tombstone lifetime
+	replicatedTo        map[string]replicaState // by peer name: state of the departing instance that it holds
+	unreported          bool                    // a heartbeat was received here since the last digest
+	hash                uint64                  // contribution to its bucket
+	nextSameFingerprint *record
 }
 
 // NewTable returns an empty table.
 func NewTable(options Options, now time.Time) *Table {
 	return &Table{
-		options:      options.withDefaults(),
-		records:      make(map[string]*record),
-		fingerprints: make(map[uint32]*record),
-		holders:      make(map[string]*record),
-		peers:        make(map[string]*peer),
-		replicas:     make(map[uint64]*replica),
-		inTouch:      true,
-		startedAt:    now,
-		watchFrom:    now,
-		lastTick:     now,
+		options:            options.withDefaults(),
+		records:            make(map[string]*record),
+		fingerprints:       make(map[uint32]*record),
+		owners:             make(map[string]*record),
+		peers:              make(map[string]*peer),
+		replicas:           make(map[uint64]*replica),
+		majorityReachable:  true,
+		startedAt:          now,
+		silenceCountedFrom: now,
+		lastTick:           now,
 	}
 }
 
-// Instances returns all instances known, gone ones included as long as they are remembered.
+// Instances returns all known instances in no particular order, including gone ones until their tombstones expire.
 func (t *Table) Instances() []Instance {
 	instances := make([]Instance, 0, len(t.records))
 	for _, known := range t.records {
@@ -114,7 +115,7 @@
 	return instances
 }
 
-// Instance returns one instance.
+// Instance returns the instance with the given ID.
 func (t *Table) Instance(id string) (instance Instance, known bool) {
 	found, known := t.records[id]
 	if !known {
@@ -123,35 +124,36 @@
 	return found.Instance, true
 }
 
-// Complete says whether the process has been in touch for long enough that every instance had time to call.
+// Complete reports whether the process has been in contact with a majority for long enough that every instance had
+// time to send a heartbeat.
 func (t *Table) Complete(now time.Time) bool {
-	return t.inTouch && now.Sub(t.watchFrom) >= t.options.CompleteAfter
+	return t.majorityReachable && now.Sub(t.silenceCountedFrom) >= t.options.CompleteAfter
 }
 
-// SetInTouch tells whether this process is in touch with the majority of the control processes. While it isn't, no instance
-// expires, and afterwards silence counts afresh.
-func (t *Table) SetInTouch(now time.Time, inTouch bool) {
-	if inTouch && !t.inTouch {
-		t.watchFrom = now
+// SetInTouch sets whether this process is in contact with a majority of the control processes. Without that contact
+// no instance expires, and when it returns, silence is counted from then on.
+func (t *Table) SetInTouch(now time.Time, reachable bool) {
+	if reachable && !t.majorityReachable {
+		t.silenceCountedFrom = now
 	}
-	t.inTouch = inTouch
-	t.settleReplicas()
+	t.majorityReachable = reachable
+	t.updateAllCommitted()
 }
 
-// add makes a record for an id that isn't known.
+// add inserts a record for an unknown ID.
 func (t *Table) add(id string) *record {
 	fingerprint := fingerprintOf(id)
-	added := &record{Instance: Instance{ID: id}, nextFingerprint: t.fingerprints[fingerprint]}
+	added := &record{Instance: Instance{ID: id}, nextSameFingerprint: t.fingerprints[fingerprint]}
 	t.records[id] = added
 	t.fingerprints[fingerprint] = added
 	return added
 }
 
-// forget takes a record out.
+// forget deletes a record.
 func (t *Table) forget(known *record) {
 	delete(t.records, known.ID)
-	if t.holders[known.Address] == known {
-		delete(t.holders, known.Address)
+	if t.owners[known.Address] == known {
+		delete(t.owners, known.Address)
 	}
 	t.removeFingerprint(known)
 	bucket := bucketOf(known.ID)
@@ -161,22 +163,23 @@
 func (t *Table) removeFingerprint(known *record) {
 	fingerprint := fingerprintOf(known.ID)
 	if t.fingerprints[fingerprint] == known {
-		if known.nextFingerprint == nil {
+		if known.nextSameFingerprint == nil {
 			delete(t.fingerprints, fingerprint)
 			return
 		}
-		t.fingerprints[fingerprint] = known.nextFingerprint
+		t.fingerprints[fingerprint] = known.nextSameFingerprint
 		return
 	}
-	for other := t.fingerprints[fingerprint]; other != nil; other = other.nextFingerprint {
-		if other.nextFingerprint == known {
-			other.nextFingerprint = known.nextFingerprint
+	for other := t.fingerprints[fingerprint]; other != nil; other = other.nextSameFingerprint {
+		if other.nextSameFingerprint == known {
+			other.nextSameFingerprint = known.nextSameFingerprint
 			return
 		}
 	}
 }
 
-// rehash brings a record's part of its bucket up to date. Silence isn't part of it: each process judges that by itself.
+// rehash updates the hash of a record and its bucket. Silence isn't part of the hash, because each process judges it
+// by itself.
 func (t *Table) rehash(known *record) {
 	state := known.Reported
 	if known.State == StateGone {
--- a/internal/registry/table_test.go
+++ b/internal/registry/table_test.go
@@ -24,14 +24,14 @@
 	return Heartbeat{ID: id, Backend: "quiz", Address: "10.0.0.1:80", Zone: "hall-a", Slots: 4, State: StateReady, Seq: seq}
 }
 
-func (b Heartbeat) draining() Heartbeat {
-	b.State = StateDraining
-	return b
+func (h Heartbeat) draining() Heartbeat {
+	h.State = StateDraining
+	return h
 }
 
-func (b Heartbeat) on(address string) Heartbeat {
-	b.Address = address
-	return b
+func (h Heartbeat) withAddress(address string) Heartbeat {
+	h.Address = address
+	return h
 }
 
 func stateOf(t *testing.T, table *Table, id string) State {
@@ -41,7 +41,7 @@
 	return instance.State
 }
 
-// tickUntil ticks every 100 ms from one time to another and gathers what changed.
+// tickUntil ticks every 100 ms between two times and returns the changed instances.
 func tickUntil(table *Table, from, to int) []Instance {
 	var changed []Instance
 	for ms := from; ms <= to; ms += 100 {
@@ -50,7 +50,7 @@
 	return changed
 }
 
-func TestLateHeartbeatNeverWins(t *testing.T) {
+func TestLateHeartbeatIsIgnored(t *testing.T) {
 	table := newTestTable("c1", "hall-a", at(0))
 	assert.Assert(t, table.Heartbeat(at(0), heartbeatOf("i", 5)).Changed)
 	late := heartbeatOf("i", 4)
@@ -61,7 +61,7 @@
 	assert.Equal(t, instance.Seq, uint64(5))
 }
 
-func TestHeartbeatThatSaysNothingNewChangesNothing(t *testing.T) {
+func TestHeartbeatWithoutChangeReportsNoChange(t *testing.T) {
 	table := newTestTable("c1", "hall-a", at(0))
 	table.Heartbeat(at(0), heartbeatOf("i", 1))
 	assert.Assert(t, !table.Heartbeat(at(1200), heartbeatOf("i", 2)).Changed)
@@ -70,7 +70,7 @@
 	assert.Equal(t, instance.ChangedSeq, uint64(1))
 }
 
-func TestDrainingIsNeverTakenBack(t *testing.T) {
+func TestDrainingIsIrreversible(t *testing.T) {
 	table := newTestTable("c1", "hall-a", at(0))
 	table.Heartbeat(at(0), heartbeatOf("i", 1))
 	assert.Assert(t, table.Heartbeat(at(100), heartbeatOf("i", 2).draining()).Changed)
@@ -106,7 +106,7 @@
 	assert.Equal(t, table.hash(), uint64(0))
 }
 
-func TestSilentInstanceIsAvoidedThenGoneAndComesBack(t *testing.T) {
+func TestInstanceWithoutHeartbeatsIsSilentThenGoneThenReadyAgain(t *testing.T) {
 	table := newTestTable("c1", "hall-a", at(0))
 	table.Heartbeat(at(0), heartbeatOf("i", 1))
 	assert.Equal(t, len(tickUntil(table, 0, 2900)), 0)
@@ -130,17 +130,17 @@
 	assert.Equal(t, stateOf(t, table, "i"), StateDraining)
 }
 
-func TestOwnAbsenceIsNoProofOfSilence(t *testing.T) {
+func TestOwnPauseDoesNotCountAsSilence(t *testing.T) {
 	table := newTestTable("c1", "hall-a", at(0))
 	table.Heartbeat(at(0), heartbeatOf("i", 1))
 	tickUntil(table, 0, 1000)
-	assert.Equal(t, len(tickUntil(table, 9000, 11_900)), 0, "it was away for 8 s itself")
+	assert.Equal(t, len(tickUntil(table, 9000, 11_900)), 0, "the process was paused for 8 s itself")
 	changed := tickUntil(table, 12_000, 12_300)
 	assert.Equal(t, len(changed), 1)
 	assert.Equal(t, changed[0].State, StateSilent)
 }
 
-func TestNothingExpiresWhileCutOff(t *testing.T) {
+func TestNothingExpiresWithoutMajority(t *testing.T) {
 	table := newTestTable("c1", "hall-a", at(0))
 	table.Heartbeat(at(0), heartbeatOf("i", 1))
 	table.SetInTouch(at(500), false)
@@ -152,7 +152,7 @@
 	assert.Equal(t, len(tickUntil(table, 23_000, 23_300)), 1)
 }
 
-func TestNoticeEndsTheInstance(t *testing.T) {
+func TestInstanceIsGoneWhenItsNoticeRunsOut(t *testing.T) {
 	table := newTestTable("c1", "hall-a", at(0))
 	heartbeat := heartbeatOf("i", 1).draining()
 	heartbeat.Notice, heartbeat.Remaining = true, 2*time.Second
@@ -160,7 +160,7 @@
 	heartbeat.Seq, heartbeat.Remaining = 2, 1950*time.Millisecond
 	table.Heartbeat(at(100), heartbeat)
 	instance, _ := table.Instance("i")
-	assert.Equal(t, instance.GoneAt, at(2000), "the first end told stays")
+	assert.Equal(t, instance.GoneAt, at(2000), "the first announced end must stay")
 	tickUntil(table, 100, 1900)
 	assert.Equal(t, stateOf(t, table, "i"), StateDraining)
 	tickUntil(table, 2000, 2300)
@@ -168,7 +168,7 @@
 	assert.Assert(t, instance.Final())
 }
 
-func TestWarmUpIsKeptOnTheOwnClock(t *testing.T) {
+func TestWarmUpEndIsKeptOnTheLocalClock(t *testing.T) {
 	table := newTestTable("c1", "hall-a", at(0))
 	heartbeat := heartbeatOf("i", 1)
 	heartbeat.Warmup = 3 * time.Second
@@ -196,7 +196,7 @@
 	assert.Equal(t, len(changed), 1)
 	assert.Equal(t, changed[0].ID, "old")
 	assert.Equal(t, changed[0].State, StateGone)
-	assert.Assert(t, !table.Heartbeat(at(2200), heartbeatOf("old", 8)).Changed, "a heartbeat that was long under way")
+	assert.Assert(t, !table.Heartbeat(at(2200), heartbeatOf("old", 8)).Changed, "a delayed heartbeat must not reclaim the address")
 	assert.Equal(t, stateOf(t, table, "old"), StateGone)
 	assert.Equal(t, stateOf(t, table, "new"), StateReady)
 }
@@ -211,7 +211,7 @@
 	assert.Equal(t, stateOf(t, table, "two"), StateGone)
 }
 
-// sharedFingerprint returns two ids with the same fingerprint.
+// sharedFingerprint returns two IDs with the same fingerprint.
 func sharedFingerprint(t *testing.T) (one, two string) {
 	t.Helper()
 	const enough = 1_000_000
@@ -223,46 +223,46 @@
 		}
 		seen[fingerprintOf(id)] = id
 	}
-	t.Fatal("there is no such pair")
+	t.Fatal("found no two IDs with the same fingerprint")
 	return "", ""
 }
 
 func TestInstancesThatShareAFingerprintAreKeptApart(t *testing.T) {
 	one, two := sharedFingerprint(t)
 	table := newTestTable("c1", "hall-a", at(0))
-	table.Heartbeat(at(0), heartbeatOf(one, 1).on("a:1"))
-	table.Heartbeat(at(0), heartbeatOf(two, 1).on("a:2"))
+	table.Heartbeat(at(0), heartbeatOf(one, 1).withAddress("a:1"))
+	table.Heartbeat(at(0), heartbeatOf(two, 1).withAddress("a:2"))
 	digest := &feedpb.RegistryDigest{Fingerprints: []uint32{fingerprintOf(one)}, Seqs: []uint64{50}, AgesMs: []uint32{100}}
 	changed, reply := table.Merge(at(1000), &feedpb.RegistryMessage{Source: "c2", Digest: digest})
 	assert.Equal(t, len(changed), 0)
 	assert.Equal(t, len(reply.GetUnknown()), 0)
 	for _, id := range []string{one, two} {
-		assert.Equal(t, table.records[id].heardAt, at(900))
+		assert.Equal(t, table.records[id].lastHeartbeatAt, at(900))
 		assert.Equal(t, table.records[id].Seq, uint64(1))
 	}
 }
 
-func TestForgettingKeepsOthersOfTheSameFingerprint(t *testing.T) {
+func TestRemovalKeepsOthersOfTheSameFingerprint(t *testing.T) {
 	one, two := sharedFingerprint(t)
 	for _, order := range [][]string{{one, two}, {two, one}} {
 		table := newTestTable("c1", "hall-a", at(0))
-		table.Heartbeat(at(0), heartbeatOf(one, 1).on("a:1"))
-		table.Heartbeat(at(0), heartbeatOf(two, 1).on("a:2"))
+		table.Heartbeat(at(0), heartbeatOf(one, 1).withAddress("a:1"))
+		table.Heartbeat(at(0), heartbeatOf(two, 1).withAddress("a:2"))
 		table.forget(table.records[order[0]])
 		assert.Equal(t, table.fingerprints[fingerprintOf(one)].ID, order[1])
-		assert.Assert(t, table.fingerprints[fingerprintOf(one)].nextFingerprint == nil)
+		assert.Assert(t, table.fingerprints[fingerprintOf(one)].nextSameFingerprint == nil)
 		table.forget(table.records[order[1]])
 		assert.Equal(t, len(table.fingerprints), 0)
-		assert.Equal(t, len(table.holders), 0)
+		assert.Equal(t, len(table.owners), 0)
 	}
 }
 
 func TestInstanceMayMoveToAnotherAddress(t *testing.T) {
 	table := newTestTable("c1", "hall-a", at(0))
-	table.Heartbeat(at(0), heartbeatOf("i", 1).on("a:1"))
-	assert.Assert(t, table.Heartbeat(at(100), heartbeatOf("i", 2).on("a:2")).Changed)
-	assert.Equal(t, len(table.holders), 1)
-	assert.Equal(t, table.holders["a:2"].ID, "i")
+	table.Heartbeat(at(0), heartbeatOf("i", 1).withAddress("a:1"))
+	assert.Assert(t, table.Heartbeat(at(100), heartbeatOf("i", 2).withAddress("a:2")).Changed)
+	assert.Equal(t, len(table.owners), 1)
+	assert.Equal(t, table.owners["a:2"].ID, "i")
 }
 
 func TestWireKeepsAllAndMakesTimesRelative(t *testing.T) {
@@ -293,8 +293,9 @@
 	// draining true
 }
 
-// The end of a warm-up is taken from each heartbeat that tells another one than before, and ends with the first that tells none.
-func TestEndOfAWarmUp(t *testing.T) {
+// A heartbeat changes the known end of the warm-up if it announces a clearly different one. A heartbeat that
+// announces no warm-up ends it.
+func TestMergeColdUntil(t *testing.T) {
 	past, future := at(-100), at(3000)
 	for _, c := range []struct {
 		name   string
@@ -304,13 +305,13 @@
 	}{
 		{"never cold", time.Time{}, 0, time.Time{}},
 		{"cold for the first time", time.Time{}, 2 * time.Second, at(2000)},
-		{"warm since a while", past, 0, past},
+		{"warm for some time", past, 0, past},
 		{"cold again", past, 2 * time.Second, at(2000)},
-		{"as told before", future, 3 * time.Second, future},
-		{"nearly as told before", future, 3*time.Second + coldTolerance, future},
-		{"longer than told before", future, 3*time.Second + coldTolerance + 1, at(3000).Add(coldTolerance + 1)},
-		{"warm sooner than told before", future, 0, time.Time{}},
+		{"as announced before", future, 3 * time.Second, future},
+		{"nearly as announced before", future, 3*time.Second + endTimeTolerance, future},
+		{"longer than announced before", future, 3*time.Second + endTimeTolerance + 1, at(3000).Add(endTimeTolerance + 1)},
+		{"warm sooner than announced before", future, 0, time.Time{}},
 	} {
-		assert.Equal(t, coldUntil(at(0), c.known, c.warmup), c.want, c.name)
+		assert.Equal(t, mergeColdUntil(at(0), c.known, c.warmup), c.want, c.name)
 	}
 }
--- a/internal/registry/tick.go
+++ b/internal/registry/tick.go
@@ -8,12 +8,13 @@
 
 const (
 	scanInterval = 250 * time.Millisecond
-	// awayAfter is the time between two ticks from which this process counts as having been away.
-	awayAfter = time.Second
-	// peerSilentIntervals is how many digest intervals a peer may be silent before its instances get extra time: they must
-	// first find another process to call.
-	peerSilentIntervals = 2.5
-	peerForgetAfter     = time.Minute
+	// pauseThreshold is the time between two ticks from which this process counts as having been paused.
+	pauseThreshold = time.Second
+	// peerSilenceIntervals is the number of digest intervals after which a peer without digests counts as silent.
+	// The instances that sent their heartbeats to it then get extra time to find another process.
+	peerSilenceIntervals = 2.5
+	// peerRetention is how long an unreachable peer is remembered after its last digest.
+	peerRetention = time.Minute
 )
 
 // Send is a message to one process.
@@ -22,20 +23,20 @@
 	Message *feedpb.RegistryMessage
 }
 
-// Output is what a tick asks for.
+// Output holds the effects of a Tick that its caller has to carry out.
 type Output struct {
-	Changed   []Instance              // instances that fell silent or are gone
-	Broadcast *feedpb.RegistryMessage // to every control process in touch; nil: nothing
+	Changed   []Instance              // instances that became silent or gone
+	Broadcast *feedpb.RegistryMessage // to every reachable control process; nil if there is nothing to send
 	Sends     []Send
 }
 
-// Tick does what is due by time. It is to be called every 50 to 250 ms.
+// Tick performs all work that is due. The caller should call it every 50 to 250 ms.
 func (t *Table) Tick(now time.Time) Output {
-	if !t.inTouch || now.Sub(t.lastTick) >= awayAfter {
-		t.watchFrom = now
+	if !t.majorityReachable || now.Sub(t.lastTick) >= pauseThreshold {
+		t.silenceCountedFrom = now
 	}
 	t.lastTick = now
-	output := Output{Changed: t.takeSuperseded()}
+	output := Output{Changed: t.takeSupersededInstances()}
 	if now.Sub(t.lastScan) >= scanInterval {
 		t.lastScan = now
 		output.Changed = t.scan(now, output.Changed)
@@ -44,50 +45,51 @@
 		t.lastDigest = now
 		output.Broadcast = t.digest(now)
 	}
-	output.Sends = t.resend(now)
+	output.Sends = t.resendUnacknowledged(now)
 	return output
 }
 
-// digest makes the message that tells which instances called this process since the last one. For each there are 4 bytes of
-// fingerprint, 1 to 3 of the heartbeat's number and 1 or 2 of its age. Where 12,000 instances call 28 processes every 1.2 s,
-// one digest covers about 180 of them in 1.5 KB; to 27 peers twice a second that makes about 80 KB a second.
+// digest returns the message that lists the heartbeats that this process received since the last digest. An entry
+// takes 4 bytes for the fingerprint, 1 to 3 for the number of the heartbeat and 1 or 2 for its age. With 12,000
+// instances that send a heartbeat to one of 28 processes every 1.2 s, a digest covers about 180 instances in 1.5 KB.
+// Sent to 27 peers twice a second, that is about 80 KB per second.
 func (t *Table) digest(now time.Time) *feedpb.RegistryMessage {
 	digest := &feedpb.RegistryDigest{TableHash: t.hash()}
-	for _, known := range t.beaten {
-		known.pendingBeat = false
+	for _, known := range t.unreportedHeartbeats {
+		known.unreported = false
 		if known.Final() {
 			continue
 		}
 		digest.Fingerprints = append(digest.Fingerprints, fingerprintOf(known.ID))
 		digest.Seqs = append(digest.Seqs, known.Seq)
-		digest.AgesMs = append(digest.AgesMs, wireMilliseconds(now.Sub(known.heardAt)))
+		digest.AgesMs = append(digest.AgesMs, durationToWire(now.Sub(known.lastHeartbeatAt)))
 	}
-	t.beaten = t.beaten[:0]
+	t.unreportedHeartbeats = t.unreportedHeartbeats[:0]
 	message := t.newMessage()
 	message.Digest = digest
 	return message
 }
 
-// silence returns for how long nothing has been heard of an instance, as far as this process can tell: its own absence and
-// that of the process that the instance called don't count.
-func (t *Table) silence(now time.Time, known *record) time.Duration {
-	from := later(known.heardAt, t.watchFrom)
-	if messenger := t.peers[known.heardBy]; messenger != nil && t.isSilent(now, messenger) {
-		from = later(from, messenger.digestAt.Add(t.options.HeartbeatInterval))
+// silentDuration returns how long an instance has sent no heartbeat as far as this process can tell. Pauses of this
+// process, and silence of the process that received the instance's heartbeats, do not count.
+func (t *Table) silentDuration(now time.Time, known *record) time.Duration {
+	from := later(known.lastHeartbeatAt, t.silenceCountedFrom)
+	if receiver := t.peers[known.receivedBy]; receiver != nil && t.isPeerSilent(now, receiver) {
+		from = later(from, receiver.lastDigestAt.Add(t.options.HeartbeatInterval))
 	}
 	return now.Sub(from)
 }
 
-func (t *Table) isSilent(now time.Time, messenger *peer) bool {
-	allowed := time.Duration(peerSilentIntervals * float64(t.options.DigestInterval))
-	return now.Sub(messenger.digestAt) >= allowed
+func (t *Table) isPeerSilent(now time.Time, receiver *peer) bool {
+	allowed := time.Duration(peerSilenceIntervals * float64(t.options.DigestInterval))
+	return now.Sub(receiver.lastDigestAt) >= allowed
 }
 
-// scan lets instances fall silent, end and be forgotten.
+// scan updates the state of all instances by their silence, and forgets old tombstones and peers.
 func (t *Table) scan(now time.Time, changed []Instance) []Instance {
 	for _, known := range t.records {
 		if known.State == StateGone {
-			if now.Sub(known.goneSince) >= t.options.Tombstone {
+			if now.Sub(known.goneSince) >= t.options.TombstoneLifetime {
 				t.forget(known)
 			}
 			continue
@@ -99,22 +101,22 @@
 		}
 	}
 	for name, other := range t.peers {
-		if !other.live && now.Sub(other.digestAt) >= peerForgetAfter {
+		if !other.reachable && now.Sub(other.lastDigestAt) >= peerRetention {
 			delete(t.peers, name)
 		}
 	}
 	return changed
 }
 
-// expire moves one instance on by its silence or the end of its notice.
+// expire makes an instance gone when its notice runs out, and silent or gone by the time since its last heartbeat.
 func (t *Table) expire(now time.Time, known *record) {
 	if !known.GoneAt.IsZero() && !now.Before(known.GoneAt) {
-		t.end(now, known)
+		t.markFinal(now, known)
 		return
 	}
-	switch silence := t.silence(now, known); {
+	switch silence := t.silentDuration(now, known); {
 	case silence >= t.options.GoneAfter:
-		t.lose(now, known)
+		t.markGone(now, known)
 	case silence >= t.options.SilentAfter:
 		known.State = StateSilent
 	}
--- a/internal/registry/wire.go
+++ b/internal/registry/wire.go
@@ -7,7 +7,7 @@
 	"wallflow/internal/distribution/feedpb"
 )
 
-// ToWire turns an instance into a message that is sent now.
+// ToWire encodes an instance. Times are encoded as durations relative to now, the time of sending.
 func ToWire(now time.Time, instance Instance) *feedpb.Instance {
 	message := &feedpb.Instance{
 		Id:         instance.ID,
@@ -24,16 +24,16 @@
 		Models:     instance.Models,
 	}
 	if instance.Cold(now) {
-		message.ColdMs = wireMilliseconds(instance.ColdUntil.Sub(now))
+		message.ColdMs = durationToWire(instance.ColdUntil.Sub(now))
 	}
 	if !instance.GoneAt.IsZero() {
-		remaining := wireMilliseconds(instance.GoneAt.Sub(now))
+		remaining := durationToWire(instance.GoneAt.Sub(now))
 		message.GoneInMs = &remaining
 	}
 	return message
 }
 
-// FromWire turns a message that came now into an instance.
+// FromWire decodes an instance that was received at the time now.
 func FromWire(now time.Time, message *feedpb.Instance) Instance {
 	instance := Instance{
 		ID:         message.GetId(),
@@ -50,21 +50,21 @@
 		Models:     message.GetModels(),
 	}
 	if message.GetColdMs() > 0 {
-		instance.ColdUntil = now.Add(wireDuration(message.GetColdMs()))
+		instance.ColdUntil = now.Add(durationFromWire(message.GetColdMs()))
 	}
 	if message.GoneInMs != nil {
-		instance.GoneAt = now.Add(wireDuration(message.GetGoneInMs()))
+		instance.GoneAt = now.Add(durationFromWire(message.GetGoneInMs()))
 	}
 	return instance
 }
 
-// wireMilliseconds rounds a span up to milliseconds, 0 at least.
-func wireMilliseconds(span time.Duration) uint32 {
+// durationToWire rounds a duration up to milliseconds and limits it to the range of uint32.
+func durationToWire(span time.Duration) uint32 {
 	count := (span + time.Millisecond - 1) / time.Millisecond
 	return uint32(max(0, min(count, math.MaxUint32)))
 }
 
-func wireDuration(count uint32) time.Duration { return time.Duration(count) * time.Millisecond }
+func durationFromWire(count uint32) time.Duration { return time.Duration(count) * time.Millisecond }
 
 func stateToWire(state State) feedpb.InstanceState {
 	switch state {
--- a/internal/swim/convert.go
+++ b/internal/swim/convert.go
@@ -6,17 +6,18 @@
 	"wallflow/internal/swim/swimpb"
 )
 
-// maxIncarnation bounds what is believed of others, so that raising past it never wraps around.
+// maxIncarnation bounds the incarnations accepted from other processes, so that a process that raises its own above a
+// received one cannot overflow.
 const maxIncarnation = 1 << 62
 
-// hashName returns the short form of a name.
+// hashName returns the 32-bit hash that identifies a name in messages.
 func hashName(name string) uint32 {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name))
 	return hash.Sum32()
 }
 
-// encodeMember returns the state of a member; the meta is left out unless the state needs it.
+// encodeMember returns the wire form of the state of a member. It includes the meta only if withMeta is set.
 func encodeMember(member Member, accuser string, withMeta bool) *swimpb.State {
 	state := &swimpb.State{
 		Name:        member.Name,
@@ -39,14 +40,14 @@
 	}
 }
 
-// report is what a message says of one member.
+// report is the state of a member as a message reports it.
 type report struct {
 	Member
 	hasMeta bool
 	accuser string
 }
 
-// decodeState checks a state that came; false means that it is of no use.
+// decodeState decodes and validates a received state. It returns false if the state is invalid.
 func decodeState(state *swimpb.State) (report, bool) {
 	if state.GetName() == "" || state.GetAddress() == "" {
 		return report{}, false
@@ -54,18 +55,18 @@
 	if state.GetIncarnation() >= maxIncarnation || state.GetStatus() > swimpb.Status_STATUS_LEFT || state.GetStatus() < 0 {
 		return report{}, false
 	}
-	decoded := report{hasMeta: state.Meta != nil, accuser: state.GetAccuser()}
-	decoded.Name = state.GetName()
-	decoded.Address = state.GetAddress()
-	decoded.Incarnation = state.GetIncarnation()
-	decoded.Status = Status(state.GetStatus())
+	reported := report{hasMeta: state.Meta != nil, accuser: state.GetAccuser()}
+	reported.Name = state.GetName()
+	reported.Address = state.GetAddress()
+	reported.Incarnation = state.GetIncarnation()
+	reported.Status = Status(state.GetStatus())
 	if state.Meta != nil {
-		decoded.Meta = decodeMeta(state.Meta)
+		reported.Meta = decodeMeta(state.Meta)
 	}
-	if decoded.Status == Alive && !decoded.hasMeta {
+	if reported.Status == Alive && !reported.hasMeta {
 		return report{}, false
 	}
-	return decoded, true
+	return reported, true
 }
 
 func decodeMeta(meta *swimpb.Meta) Meta {
--- a/internal/swim/doc.go
+++ b/internal/swim/doc.go
@@ -1,40 +1,45 @@
-// Package swim keeps the membership of the system: which processes run, where, and what they tell of themselves. It is a
-// state machine: calls carry the time, and return the messages to send and the members that changed.
+// Package swim implements the SWIM membership protocol: which processes run, where, and the metadata that each announces. It
+// is a state machine without I/O: the caller passes the time and received messages in, and each call returns the messages to
+// send and the members that changed.
 //
 // # Probing
 //
-// Members probe each other with small datagrams, as SWIM does: a ping that is not acknowledged is tried again through
-// three helpers, then the member is suspected, and a suspect that does not refute in time is declared dead. A member
-// refutes by raising its incarnation. Updates ride on the probes and on a few datagrams of their own.
+// Members probe each other with small datagrams. If a ping is not acknowledged, three helpers are asked to ping the target. If
+// that fails too, the target is suspected, and a suspected member that does not refute in time is declared dead. A member
+// refutes by raising its incarnation. Updates are piggybacked on the probes and also sent in gossip datagrams of their own.
 //
-// SWIM picks the target of a probe by chance. Here the members form a ring, sorted by region, zone and a hash of the name,
-// and each is probed by the three that follow it in every period. The cost for one member does not grow with the fleet, the
-// wait for the first probe is bounded by the period, and nearly all probes stay inside a zone, which keeps the bytes between
-// regions low. Only the ends of a zone are watched from the next one. When a whole zone or region goes, these notice; whoever
-// hears of a suspect in another zone probes one member near it by chance, few for each, so that the rest of the zone or
-// region is found within a round or two. Every few periods a member also probes one of all by chance.
+// SWIM picks probe targets at random. Here the members form a ring, sorted by region, zone and a hash of the name, and each is
+// probed in every probe interval by the three members that follow it. The cost per member does not grow with the fleet, the
+// time to the first probe of a failed member is bounded by the probe interval, and nearly all probes stay inside a zone, which
+// keeps the traffic between regions low. Only the members at the ends of a zone are probed from the next zone. When a whole
+// zone or region fails, those probes detect it. Any member that learns of a suspect in another zone may then probe a random
+// member near the suspect; the rate is limited to a few such probes per possibly affected member. The rest of the zone or
+// region is thus found within one or two rounds. Every few probe intervals a member also probes a random member of the fleet.
 //
 // # Slow members
 //
-// As in Lifeguard, a member that gets no answer even from its helpers takes that as a sign of its own trouble and waits
-// longer before it accuses; helpers say so when the target did not answer them. A member that finds that its own clock
-// jumped between two calls was frozen or starved, forgets its open probes and gives suspects that much more time. A
-// suspicion shortens when other members share it, and grows with the logarithm of the fleet.
+// As in Lifeguard, a member that gets no answer even from its helpers assumes that it is slow itself, and uses longer timeouts
+// before it accuses others. Helpers therefore send a nack when a target does not answer them. A member that finds a long gap
+// between two calls was paused or starved: it discards its probes in flight and extends all suspicions by the gap. The
+// timeout of a suspicion shrinks when other members confirm it, and grows with the logarithm of the fleet size.
 //
-// # Finding each other
+// # Discovery
 //
-// A new member asks one seed after the other, every 200 ms, until one answers with all it knows. For a few seconds it goes on to ask
-// those that are no members, since who answered may be cut off from the rest. Every few seconds a member
-// compares a digest of the live members with another one, mostly of its own zone. Where the digests differ, one sends a summary
-// of the members that it knows, about 16 bytes for each; the other answers with the states that it knows better and asks for
-// those that it lacks, so that only what differs is sent in full. The dead are kept for a while and pinged now and then, as are
-// seeds that are not members, so that halves that were cut apart find each other. A ping to a member that is not thought alive
-// carries that belief, which the member then refutes. A report of a death in an exchange is not believed but checked, so that
-// halves that meet again do not bury each other.
+// A new member sends a join request to one seed after another, every 200 ms, until one answers with the states of all members
+// that it knows. For a few more seconds it continues with the seeds that are not members yet, because the seed that answered
+// may be partitioned from the rest. Every few seconds a member sends a digest of its live members to another one, mostly in
+// its own zone. If the digests differ, the receiver returns a summary of the members that it knows, about 16 bytes for each.
+// The other side answers with the states that are newer there and requests those that it lacks, so that only the differences
+// are sent in full.
+//
+// Dead members are remembered for a while and pinged occasionally, and so are seeds that are not members, so that the two
+// sides of a network partition find each other after it heals. A ping to a member that is not believed alive carries that
+// belief, which the member then refutes. A death that is reported in a full exchange is verified with a probe first;
+// otherwise the sides of a healed partition would declare each other's members dead.
 //
 // # Incarnations
 //
-// The incarnation starts from the wall clock in milliseconds, so that a process that restarts with an empty memory wins over
-// its earlier life at once. If the clock was set back, it learns its old incarnation with the first answer and raises its
-// own past that.
+// The incarnation starts at the wall clock time in milliseconds, so that a process that restarts without stored state
+// supersedes its previous run at once. If the clock was set back, the process learns its old incarnation from the first answer
+// and raises its own above it.
 package swim
--- a/internal/swim/example_test.go
+++ b/internal/swim/example_test.go
@@ -8,7 +8,7 @@
 	"wallflow/internal/swim"
 )
 
-// exchange hands the messages of two nodes to each other until none is left, at one moment of virtual time.
+// exchange delivers the messages between the nodes, and the answers to them, until none is left. Virtual time does not advance.
 func exchange(now time.Time, nodes map[string]*swim.Node, from string, output swim.Output) {
 	for _, send := range append(output.Datagrams, output.Messages...) {
 		if receiver := nodes[send.To]; receiver != nil {
@@ -42,7 +42,7 @@
 	// edge-1 alive
 }
 
-// A process that stops says so.
+// A process that stops announces its departure.
 func ExampleNode_Leave() {
 	now := time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 	nodes := map[string]*swim.Node{
--- a/internal/swim/trouble_test.go
+++ b/internal/swim/faults_test.go
@@ -8,52 +8,53 @@
 	"gotest.tools/v3/assert"
 )
 
-// twoRegions is a settled fleet of two regions with three zones each.
-func twoRegions(t *testing.T, seed uint64, eachZone int) *network {
+// convergedTwoRegions returns a converged fleet of two regions with three zones each.
+func convergedTwoRegions(t *testing.T, seed uint64, membersPerZone int) *network {
 	t.Helper()
 	n := newNetwork(t, seed)
 	for _, region := range []string{"north", "south"} {
 		for zone := range 3 {
-			for range eachZone {
+			for range membersPerZone {
 				n.addIn(region, fmt.Sprintf("%s-hall-%d", region, zone))
 			}
 		}
 	}
 	for index := range 3 {
-		n.seeds = append(n.seeds, n.all[index*eachZone].self.Address)
+		n.seeds = append(n.seeds, n.all[index*membersPerZone].self.Address)
 	}
 	for _, each := range n.all {
 		n.start(each)
 	}
-	_, ok := n.runUntil(10*time.Second, n.complete)
+	_, ok := n.runUntil(10*time.Second, n.converged)
 	assert.Assert(t, ok)
 	n.run(5 * time.Second)
 	return n
 }
 
-func TestZoneIsLost(t *testing.T) {
+func TestLossOfAZoneIsDetected(t *testing.T) {
 	for seed := range uint64(5) {
-		n := twoRegions(t, seed, 10)
+		n := convergedTwoRegions(t, seed, 10)
 		for _, each := range n.all {
 			if each.self.Meta.Zone == "south-hall-1" {
 				n.kill(each)
 			}
 		}
-		took, ok := n.runUntil(simBound, n.complete)
+		took, ok := n.runUntil(simContactBound, n.converged)
 		assert.Assert(t, ok, "seed %d", seed)
 		t.Logf("seed %d: until all knew: %v", seed, took)
-		assert.Equal(t, n.deaths(), 10*len(n.running()), "seed %d: others were taken for dead", seed)
+		assert.Equal(t, n.countDeaths(), 10*len(n.running()), "seed %d: other members were declared dead", seed)
 	}
 }
 
-// TestTroublesByChance plays kills, restarts, freezes, cuts and loss by chance; once it is calm all must agree again.
-func TestTroublesByChance(t *testing.T) {
+// TestConvergenceAfterRandomFaults injects random kills, restarts, pauses, partitions and packet loss. After the
+// faults end, all members must converge.
+func TestConvergenceAfterRandomFaults(t *testing.T) {
 	for seed := range uint64(15) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			n := settled(t, seed, 15)
+			n := convergedFleet(t, seed, 15)
 			for range 25 {
-				n.trouble()
+				n.injectRandomFault()
 				n.run(time.Duration(n.random.Int64N(int64(3 * time.Second))))
 			}
 			n.loss = 0.01
@@ -63,16 +64,16 @@
 					n.start(each)
 				}
 			}
-			n.run(3 * time.Second) // freezes end
-			took, ok := n.runUntil(10*time.Second, n.complete)
+			n.run(3 * time.Second) // the longest pause ends
+			took, ok := n.runUntil(10*time.Second, n.converged)
 			assert.Assert(t, ok, "seed %d", seed)
 			t.Logf("seed %d: agreed after %v", seed, took)
 		})
 	}
 }
 
-// trouble does one thing by chance.
-func (n *network) trouble() {
+// injectRandomFault performs one random fault or repair.
+func (n *network) injectRandomFault() {
 	victim := n.all[n.random.IntN(len(n.all))]
 	other := n.all[n.random.IntN(len(n.all))]
 	switch n.random.IntN(7) {
--- a/internal/swim/member.go
+++ b/internal/swim/member.go
@@ -5,22 +5,23 @@
 	"slices"
 )
 
-// Status is what is believed of a member.
+// Status is the believed state of a member.
 type Status uint8
 
-// The states of a member, in the order in which one replaces another of the same incarnation.
+// The statuses of a member. Within one incarnation, a later one in this list replaces an earlier one.
 const (
-	// Alive members answer, as far as is known.
+	// Alive is the status of a member that answers, as far as is known.
 	Alive Status = iota
-	// Suspect members did not answer a probe and have not refuted yet. They still count as members.
+	// Suspect is the status of a member that did not answer a probe and has not refuted yet. It still counts as a
+	// live member.
 	Suspect
-	// Dead members did not refute in time.
+	// Dead is the status of a member that was suspected and did not refute in time.
 	Dead
-	// Left members said that they go.
+	// Left is the status of a member that announced its departure.
 	Left
 )
 
-// String returns the status in words.
+// String returns the lower-case name of the status.
 func (s Status) String() string {
 	switch s {
 	case Alive:
@@ -36,27 +37,28 @@
 	}
 }
 
-// live reports whether a member with this status counts as one.
+// live reports whether a member with this status counts as a live member.
 func (s Status) live() bool { return s == Alive || s == Suspect }
 
-// Meta is what a member tells of itself. Addresses are empty where it does not serve them. All of it must fit into one
-// datagram: some 900 bytes at most.
+// Meta is the metadata that a member announces about itself. Addresses that the member does not serve are empty. The
+// encoded metadata must fit into one datagram, which leaves about 900 bytes for it.
 type Meta struct {
-	// Class is the machine class, Role the name of the role.
+	// Class is the machine class, Role the name of the process's role.
 	Class, Role string
-	// Zone and Region tell where the member runs.
+	// Zone and Region are the location of the member.
 	Zone, Region string
-	// Front, Ready, Control and Directory are the addresses that the member listens on for others.
+	// Front, Ready, Control and Directory are the addresses on which the member serves clients, readiness checks,
+	// the control API and the directory.
 	Front, Ready, Control, Directory string
-	// Serving tells that the member is ready to take traffic.
+	// Serving reports whether the member is ready to accept traffic.
 	Serving bool
-	// Identity is the store identity of a control process.
+	// Identity identifies a control process in the replicated store.
 	Identity string
-	// Labels are further facts, short and few.
+	// Labels are additional attributes. They should be few and short.
 	Labels []string
 }
 
-// Equal reports whether both say the same.
+// Equal reports whether all fields are equal.
 func (m Meta) Equal(other Meta) bool {
 	return m.Class == other.Class && m.Role == other.Role &&
 		m.Zone == other.Zone && m.Region == other.Region &&
@@ -68,17 +70,18 @@
 
 // Member is one process of the system.
 type Member struct {
-	// Name is unique for a machine and role.
+	// Name is unique per machine and role.
 	Name string
-	// Address is the internal address.
+	// Address is the internal address (host:port) on which the process accepts messages from other processes of the
+	// system.
 	Address string
-	// Incarnation orders what is said of the member: only the member itself raises it.
+	// Incarnation orders the states reported of the member. Only the member itself raises it.
 	Incarnation uint64
 	Status      Status
 	Meta        Meta
 }
 
-// supersedes reports whether a state of a member replaces another one.
+// supersedes reports whether a state with the given incarnation and status replaces the known one.
 func supersedes(incarnation uint64, status Status, known Member) bool {
 	if incarnation != known.Incarnation {
 		return incarnation > known.Incarnation
--- a/internal/swim/merge.go
+++ b/internal/swim/merge.go
@@ -2,81 +2,82 @@
 
 import "time"
 
-// merge takes what a message says of a member. Deaths that a full exchange reports are checked first.
-func (n *Node) merge(now time.Time, told report) {
-	if told.Name == n.self.Name {
-		n.refute(told)
+// merge applies the state of a member that a message reports. A death reported in a full exchange is verified with a
+// probe first.
+func (n *Node) merge(now time.Time, reported report) {
+	if reported.Name == n.self.Name {
+		n.refute(reported)
 		return
 	}
-	known := n.table.byName[told.Name]
+	known := n.table.byName[reported.Name]
 	switch {
 	case known == nil:
-		n.meet(now, told)
-	case told.Status == Suspect && known.Status == Suspect && told.Incarnation == known.Incarnation:
-		n.confirm(known, told.accuser)
-	case !supersedes(told.Incarnation, told.Status, known.Member):
-		n.updates.heardAgain(told)
-	case told.Status == Alive:
-		n.renew(now, known, told)
-	case told.Status == Suspect:
-		n.doubt(now, known, told)
-	case n.inExchange && told.Status == Dead && known.Status.live():
-		n.checkSoon(check{target: known, claim: encodeMember(told.Member, "", false)})
+		n.addMember(now, reported)
+	case reported.Status == Suspect && known.Status == Suspect && reported.Incarnation == known.Incarnation:
+		n.confirmSuspicion(known, reported.accuser)
+	case !supersedes(reported.Incarnation, reported.Status, known.Member):
+		n.updates.noteDuplicate(reported)
+	case reported.Status == Alive:
+		n.applyAlive(now, known, reported)
+	case reported.Status == Suspect:
+		n.applySuspect(now, known, reported)
+	case n.inFullExchange && reported.Status == Dead && known.Status.live():
+		n.queueProbe(probeRequest{target: known, claim: encodeMember(reported.Member, "", false)})
 	default:
-		n.mourn(now, known, told)
+		n.applyDeparture(now, known, reported)
 	}
 }
 
-// refute answers a wrong report of this process with a higher incarnation.
-func (n *Node) refute(told report) {
-	if n.self.Status == Left || told.Incarnation < n.self.Incarnation {
+// refute raises the incarnation of this process above that of an incorrect report about it.
+func (n *Node) refute(reported report) {
+	if n.self.Status == Left || reported.Incarnation < n.self.Incarnation {
 		return
 	}
-	same := told.Status == Alive && told.Address == n.self.Address && told.Meta.Equal(n.self.Meta)
-	if told.Incarnation == n.self.Incarnation && same {
+	matchesSelf := reported.Status == Alive && reported.Address == n.self.Address && reported.Meta.Equal(n.self.Meta)
+	if reported.Incarnation == n.self.Incarnation && matchesSelf {
 		return
 	}
-	if told.Status == Suspect || told.Status == Dead {
-		n.health = min(n.health+1, maxHealth) // others had to wait for this process
+	if reported.Status == Suspect || reported.Status == Dead {
+		n.healthScore = min(n.healthScore+1, maxHealthScore) // this process answered too late
 	}
-	n.table.withdraw(n.self)
-	n.self.Incarnation = told.Incarnation + 1
-	n.table.enter(n.self)
+	n.table.remove(n.self)
+	n.self.Incarnation = reported.Incarnation + 1
+	n.table.insert(n.self)
 	n.announceSelf()
 }
 
-// meet adds a member that was unknown. Who is reported dead need not be known.
-func (n *Node) meet(now time.Time, told report) {
-	if !told.Status.live() || !told.hasMeta {
+// addMember adds an unknown member. Unknown members that are reported dead or left are ignored.
+func (n *Node) addMember(now time.Time, reported report) {
+	if !reported.Status.live() || !reported.hasMeta {
 		return
 	}
-	added := &peer{Member: told.Member, nameHash: hashName(told.Name), since: now}
+	added := &peer{Member: reported.Member, nameHash: hashName(reported.Name), statusSince: now}
 	added.Status = Alive
 	n.table.byName[added.Name] = added
-	n.arrive(now, added)
+	n.insertMember(now, added)
 }
 
-// renew takes a newer word of a member that it is alive.
-func (n *Node) renew(now time.Time, known *peer, told report) {
-	back := !known.Status.live()
-	if back {
-		n.table.exhume(known)
+// applyAlive applies a newer report that a member is alive.
+func (n *Node) applyAlive(now time.Time, known *peer, reported report) {
+	returned := !known.Status.live()
+	if returned {
+		n.table.removeTombstone(known)
 	} else {
-		n.table.withdraw(known)
+		n.table.remove(known)
 	}
-	n.moveFrom(known, told.Address)
-	known.Member = told.Member
-	known.since = now
+	n.releaseAddress(known, reported.Address)
+	known.Member = reported.Member
+	known.statusSince = now
 	known.suspicion = nil
-	n.arrive(now, known)
-	if back {
-		known.heard = time.Time{}
-		n.wantSync(now, known.Address)
+	n.insertMember(now, known)
+	if returned {
+		known.lastContact = time.Time{}
+		n.triggerSync(now, known.Address)
 	}
 }
 
-// moveFrom frees the address of a member that moved.
-func (n *Node) moveFrom(known *peer, address string) {
+// releaseAddress removes the address index entry of a member that now has another address.
+func (n *Node) releaseAddress(known *peer, address string) {
 	if known.Address == address {
 		return
 	}
@@ -86,56 +87,57 @@
 	}
 }
 
-// arrive puts a member into the ring. A member that was known at its address has lost it.
-func (n *Node) arrive(now time.Time, arrived *peer) {
-	former := n.table.byAddress[arrived.Address]
-	n.table.place(arrived)
-	n.table.enter(arrived)
-	n.changed(arrived)
-	n.tell(arrived, "")
-	if former == nil || former == arrived || former == n.self || !former.Status.live() {
+// insertMember inserts a member into the ring. Another live member with the same address and a lower incarnation is
+// declared dead.
+func (n *Node) insertMember(now time.Time, inserted *peer) {
+	previous := n.table.byAddress[inserted.Address]
+	n.table.indexAddress(inserted)
+	n.table.insert(inserted)
+	n.changed(inserted)
+	n.queueUpdate(inserted, "")
+	if previous == nil || previous == inserted || previous == n.self || !previous.Status.live() {
 		return
 	}
-	if former.Incarnation < arrived.Incarnation {
-		n.bury(now, former, Dead, former.Incarnation)
+	if previous.Incarnation < inserted.Incarnation {
+		n.markDeparted(now, previous, Dead, previous.Incarnation)
 	}
 }
 
-// confirm adds an accuser to a suspicion.
-func (n *Node) confirm(known *peer, accuser string) {
-	if accuser == "" || n.isGone(accuser) {
+// confirmSuspicion adds an accuser to an existing suspicion. Accusers that have departed do not count.
+func (n *Node) confirmSuspicion(known *peer, accuser string) {
+	if accuser == "" || n.hasDeparted(accuser) {
 		return
 	}
 	if known.suspicion.confirm(accuser) {
-		n.tell(known, accuser)
+		n.queueUpdate(known, accuser)
 	}
 }
 
-// doubt takes the word of another that a member is suspect, unless the accuser itself is gone.
-func (n *Node) doubt(now time.Time, known *peer, told report) {
-	if !known.Status.live() || n.isGone(told.accuser) {
+// applySuspect applies a newer report that a member is suspected. It ignores accusers that have departed.
+func (n *Node) applySuspect(now time.Time, known *peer, reported report) {
+	if !known.Status.live() || n.hasDeparted(reported.accuser) {
 		return
 	}
-	n.table.withdraw(known)
-	known.Incarnation = told.Incarnation
-	n.table.enter(known)
-	n.suspect(now, known, told.accuser)
+	n.table.remove(known)
+	known.Incarnation = reported.Incarnation
+	n.table.insert(known)
+	n.suspect(now, known, reported.accuser)
 }
 
-// isGone reports whether a member is known to be dead or to have left.
-func (n *Node) isGone(name string) bool {
+// hasDeparted reports whether a member is known to be dead or to have left.
+func (n *Node) hasDeparted(name string) bool {
 	known := n.table.byName[name]
 	return known != nil && !known.Status.live()
 }
 
-// mourn takes the word that a member is dead or has left.
-func (n *Node) mourn(now time.Time, known *peer, told report) {
+// applyDeparture applies a newer report that a member is dead or has left.
+func (n *Node) applyDeparture(now time.Time, known *peer, reported report) {
 	if known.Status.live() {
-		n.bury(now, known, told.Status, told.Incarnation)
+		n.markDeparted(now, known, reported.Status, reported.Incarnation)
 		return
 	}
-	known.Incarnation = told.Incarnation
-	known.Status = told.Status
+	known.Incarnation = reported.Incarnation
+	known.Status = reported.Status
 	n.changed(known)
-	n.tell(known, "")
+	n.queueUpdate(known, "")
 }
--- a/internal/swim/network_test.go
+++ b/internal/swim/network_test.go
@@ -13,40 +13,40 @@
 )
 
 const (
-	simTick       = 75 * time.Millisecond
-	simBound      = 4 * time.Second
-	zoneDelay     = 900 * time.Microsecond
-	regionDelay   = 35 * time.Millisecond
-	datagramLimit = 1199 // one byte is the transport's
-	headerBytes   = 28   // of IP and UDP
+	simTick          = 75 * time.Millisecond
+	simContactBound  = 4 * time.Second
+	zoneDelay        = 900 * time.Microsecond
+	regionDelay      = 35 * time.Millisecond
+	maxDatagramBytes = 1199 // 1,200 bytes less one that the transport adds
+	ipUDPHeaderBytes = 28   // sizes of the IPv4 and UDP headers
 )
 
 var simEpoch = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// machine is one process in the virtual network.
+// machine is one process in the simulated network.
 type machine struct {
-	self        Member
-	node        *Node
-	life        int
-	clockOffset time.Duration
-	frozenUntil time.Time
-	waiting     []func()
-	died        map[string]time.Time // when it took others for dead
+	self            Member
+	node            *Node
+	incarnation     int // counts starts and stops, so that events of an earlier run are ignored
+	clockOffset     time.Duration
+	frozenUntil     time.Time
+	delayedMessages []func()             // arrived while frozen
+	deathsSeen      map[string]time.Time // by name: when this machine learned that another one is dead
 }
 
-// network is a virtual network of processes.
+// network is a simulated network of processes in virtual time.
 type network struct {
 	t        testing.TB
 	random   *rand.Rand
 	now      time.Time
 	events   virtualtime.Queue
 	machines map[string]*machine // by address
-	all      []*machine
+	all      []*machine          // in the order of their creation
 	seeds    []string
-	loss     float64
+	loss     float64 // probability that a datagram is lost
 	blocked  func(from, to *machine) bool
 
-	crossBytes, bytes, datagrams, messageBytes int
+	crossRegionBytes, datagramBytes, datagrams, exchangeBytes int // traffic counters
 }
 
 func newNetwork(t testing.TB, seed uint64) *network {
@@ -61,21 +61,22 @@
 
 func (n *network) at(when time.Time, run func()) { n.events.At(when, run) }
 
-// run plays events for a span of virtual time.
+// run executes the events of a span of virtual time.
 func (n *network) run(span time.Duration) {
 	end := n.now.Add(span)
 	for {
-		at, happen, due := n.events.Next(end)
+		at, execute, due := n.events.Next(end)
 		if !due {
 			break
 		}
 		n.now = at
-		happen()
+		execute()
 	}
 	n.now = end
 }
 
-// runUntil plays events until the condition holds, and returns how long that took.
+// runUntil executes events until the condition holds. It returns the virtual time that passed and whether the
+// condition holds.
 func (n *network) runUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
 	start := n.now
 	for n.now.Sub(start) < limit {
@@ -87,10 +88,10 @@
 	return limit, condition()
 }
 
-// add puts a machine into a region that has one zone; it is not started.
+// add adds a machine to a region with a single zone, without starting it.
 func (n *network) add(region string) *machine { return n.addIn(region, region+"-hall-a") }
 
-// addIn puts a machine into a zone; it is not started.
+// addIn adds a machine to a zone, without starting it.
 func (n *network) addIn(region, zone string) *machine {
 	index := len(n.all)
 	added := &machine{self: Member{
@@ -107,71 +108,73 @@
 	return added
 }
 
-// start begins a life of a machine with an empty memory.
+// start starts a machine with no stored state.
 func (n *network) start(started *machine) {
-	started.life++
-	started.died = map[string]time.Time{}
-	started.waiting = nil
+	started.incarnation++
+	started.deathsSeen = map[string]time.Time{}
+	started.delayedMessages = nil
 	started.frozenUntil = time.Time{}
 	started.node = New(Options{
 		Self:         started.self,
 		Seeds:        n.seeds,
-		ContactBound: simBound,
+		ContactBound: simContactBound,
 		Random:       rand.New(rand.NewPCG(n.random.Uint64(), 1)),
 	}, n.clock(started))
-	life := started.life
-	n.at(n.now.Add(time.Duration(n.random.Int64N(int64(simTick)))), func() { n.tick(started, life) })
+	incarnation := started.incarnation
+	n.at(n.now.Add(time.Duration(n.random.Int64N(int64(simTick)))), func() { n.tick(started, incarnation) })
 }
 
-func (n *network) clock(of *machine) time.Time { return n.now.Add(of.clockOffset) }
+// clock returns the time on the wall clock of a machine.
+func (n *network) clock(owner *machine) time.Time { return n.now.Add(owner.clockOffset) }
 
-func (n *network) tick(ticked *machine, life int) {
-	if ticked.life != life || ticked.node == nil {
+func (n *network) tick(ticked *machine, incarnation int) {
+	if ticked.incarnation != incarnation || ticked.node == nil {
 		return
 	}
 	if ticked.frozenUntil.After(n.now) {
-		n.at(ticked.frozenUntil, func() { n.tick(ticked, life) })
+		n.at(ticked.frozenUntil, func() { n.tick(ticked, incarnation) })
 		return
 	}
 	n.deliver(ticked, ticked.node.Tick(n.clock(ticked)))
-	n.at(n.now.Add(simTick), func() { n.tick(ticked, life) })
+	n.at(n.now.Add(simTick), func() { n.tick(ticked, incarnation) })
 }
 
-// kill ends a machine's life.
+// kill stops a machine without an announcement.
 func (n *network) kill(killed *machine) {
 	killed.node = nil
-	killed.life++
+	killed.incarnation++
 }
 
-// freeze stops a machine for a while; what arrives waits.
+// freeze pauses a machine for a span. Messages that arrive meanwhile are processed afterwards.
 func (n *network) freeze(frozen *machine, span time.Duration) {
 	frozen.frozenUntil = n.now.Add(span)
-	life := frozen.life
+	incarnation := frozen.incarnation
 	n.at(frozen.frozenUntil, func() {
-		if frozen.life != life {
+		if frozen.incarnation != incarnation {
 			return
 		}
-		waiting := frozen.waiting
-		frozen.waiting = nil
-		for _, run := range waiting {
+		delayed := frozen.delayedMessages
+		frozen.delayedMessages = nil
+		for _, run := range delayed {
 			run()
 		}
 	})
 }
 
+// deliver sends the output of a machine, loses datagrams at random and counts the traffic.
 func (n *network) deliver(sender *machine, output Output) {
 	for _, member := range output.Changed {
 		if member.Status == Dead {
-			sender.died[member.Name] = n.now
+			sender.deathsSeen[member.Name] = n.now
 		}
 	}
 	for _, send := range output.Datagrams {
 		size := proto.Size(send.Message)
-		assert.Assert(n.t, size <= datagramLimit, "datagram of %d bytes: %v", size, send.Message.GetType())
+		assert.Assert(n.t, size <= maxDatagramBytes, "datagram of %d bytes: %v", size, send.Message.GetType())
 		n.datagrams++
-		n.bytes += size + headerBytes
+		n.datagramBytes += size + ipUDPHeaderBytes
 		if target := n.machines[send.To]; target != nil && target.self.Meta.Region != sender.self.Meta.Region {
-			n.crossBytes += size + headerBytes
+			n.crossRegionBytes += size + ipUDPHeaderBytes
 		}
 		if n.random.Float64() < n.loss {
 			continue
@@ -179,7 +182,7 @@
 		n.send(sender, send)
 	}
 	for _, send := range output.Messages {
-		n.messageBytes += proto.Size(send.Message)
+		n.exchangeBytes += proto.Size(send.Message)
 		n.send(sender, send)
 	}
 }
@@ -202,21 +205,21 @@
 	if target.node == nil {
 		return
 	}
-	life := target.life
+	incarnation := target.incarnation
 	receive := func() {
-		if target.life == life {
+		if target.incarnation == incarnation {
 			n.deliver(target, target.node.Receive(n.clock(target), from, send.Message))
 		}
 	}
 	if target.frozenUntil.After(n.now) {
-		target.waiting = append(target.waiting, receive)
+		target.delayedMessages = append(target.delayedMessages, receive)
 		return
 	}
 	receive()
 }
 
-// fleet builds and starts members spread over three regions, within 0.3 s in any order, and lets them find each other.
-func fleet(t testing.TB, seed uint64, members int) *network {
+// startFleet creates members in three regions and starts them in random order within 0.3 s.
+func startFleet(t testing.TB, seed uint64, members int) *network {
 	t.Helper()
 	n := newNetwork(t, seed)
 	regions := []string{"tema", "takoradi", "kumasi"}
@@ -234,18 +237,18 @@
 	return n
 }
 
-// settled is a fleet whose members know each other.
-func settled(t testing.TB, seed uint64, members int) *network {
+// convergedFleet returns a fleet whose members know each other.
+func convergedFleet(t testing.TB, seed uint64, members int) *network {
 	t.Helper()
-	n := fleet(t, seed, members)
-	_, ok := n.runUntil(20*time.Second, n.complete)
+	n := startFleet(t, seed, members)
+	_, ok := n.runUntil(20*time.Second, n.converged)
 	assert.Assert(t, ok, "the members did not find each other")
 	n.run(5 * time.Second)
 	return n
 }
 
-// complete reports whether every running machine knows exactly the running ones, all of them alive.
-func (n *network) complete() bool {
+// converged reports whether every running machine knows exactly the running machines, all of them alive.
+func (n *network) converged() bool {
 	running := n.running()
 	for _, each := range running {
 		if len(each.node.Members()) != len(running) {
@@ -271,18 +274,18 @@
 	return running
 }
 
-// agree reports whether all of the given machines see another one with a status.
-func agree(among []*machine, about *machine, status Status) bool {
+// allSeeStatus reports whether all of the given machines believe that another one has a status.
+func allSeeStatus(among []*machine, subject *machine, status Status) bool {
 	for _, each := range among {
-		if member, ok := each.node.Find(about.self.Name); each != about && (!ok || member.Status != status) {
+		if member, ok := each.node.Find(subject.self.Name); each != subject && (!ok || member.Status != status) {
 			return false
 		}
 	}
 	return true
 }
 
-// stopServing has a member tell that it does not serve any more, and returns how long it takes until all know.
-func (n *network) stopServing(changed *machine, limit time.Duration) time.Duration {
+// announceNotServing makes a member announce that it no longer serves, and returns the time until all members know.
+func (n *network) announceNotServing(changed *machine, limit time.Duration) time.Duration {
 	n.t.Helper()
 	meta := changed.self.Meta
 	meta.Serving = false
@@ -299,11 +302,11 @@
 	return took
 }
 
-// deaths counts how often running machines took each other for dead since their start.
-func (n *network) deaths() int {
+// countDeaths counts how often the running machines declared others dead since they started.
+func (n *network) countDeaths() int {
 	count := 0
 	for _, each := range n.running() {
-		count += len(each.died)
+		count += len(each.deathsSeen)
 	}
 	return count
 }
--- a/internal/swim/node.go
+++ b/internal/swim/node.go
@@ -8,8 +8,8 @@
 	"wallflow/internal/swim/swimpb"
 )
 
-// Node is the membership of one process. It is not safe for concurrent use. The times that it is given should come from
-// time.Now, so that steps of the wall clock do not matter after the start.
+// Node is the membership protocol of one process. It is not safe for concurrent use. Callers should pass times from
+// time.Now: their monotonic clock reading keeps later steps of the wall clock from having an effect.
 type Node struct {
 	timing timing
 	random *rand.Rand
@@ -18,111 +18,112 @@
 	self   *peer
 	output Output
 
-	now      time.Time // of the present call
-	started  time.Time
-	lastTick time.Time
-	health   int // 0 is well; waits grow with it
+	now         time.Time // time of the current call
+	started     time.Time
+	lastTick    time.Time
+	healthScore int // local health as in Lifeguard: 0 is healthy; probe timeouts grow with it
 
 	sequence      uint32
 	probes        []*probe
 	relayedProbes []*relayedProbe
-	urgent        []check
-	suspects      []*peer // those that were suspect after the last Tick, and newer ones
-
-	updates      updateQueue
-	nextGossip   time.Time
-	spreadWanted bool // updates are to be sent at the end of this call
-	inExchange   bool // the states of a full exchange are being taken in
-
-	joined         bool
-	nextJoin       time.Time
-	nextSeed       int
-	nextCompare    time.Time
-	nextRandom     time.Time
-	nextStranger   time.Time
-	nextAnswerSync time.Time
+	queuedProbes  []probeRequest
+	suspects      []*peer // includes members that have refuted since the last Tick
+
+	updates        updateQueue
+	nextGossip     time.Time
+	gossipPending  bool // queued updates are sent at the end of the current call
+	inFullExchange bool // the states of a full exchange are being merged
+
+	joined            bool
+	nextJoin          time.Time
+	seedIndex         int
+	nextDigest        time.Time
+	nextRandomProbe   time.Time
+	nextRecontact     time.Time
+	nextTriggeredSync time.Time
 }
 
-// New starts the membership of a process that knows nobody yet.
+// New returns the membership of a process that knows no other members yet.
 func New(options Options, now time.Time) *Node {
 	times := newTiming(options.ContactBound)
 	node := &Node{
-		timing:       times,
-		random:       options.Random,
-		table:        newTable(),
-		now:          now,
-		started:      now,
-		lastTick:     now,
-		sequence:     options.Random.Uint32(),
-		updates:      newUpdateQueue(),
-		nextJoin:     now,
-		nextSeed:     options.Random.IntN(1 << 16),
-		nextCompare:  now.Add(times.compareEarly),
-		nextRandom:   now.Add(times.random),
-		nextStranger: now.Add(times.random),
+		timing:          times,
+		random:          options.Random,
+		table:           newTable(),
+		now:             now,
+		started:         now,
+		lastTick:        now,
+		sequence:        options.Random.Uint32(),
+		updates:         newUpdateQueue(),
+		nextJoin:        now,
+		seedIndex:       options.Random.IntN(1 << 16),
+		nextDigest:      now.Add(times.initialDigestInterval),
+		nextRandomProbe: now.Add(times.randomProbeInterval),
+		nextRecontact:   now.Add(times.randomProbeInterval),
 	}
 	self := options.Self
 	self.Incarnation = uint64(max(now.UnixMilli(), 1))
 	self.Status = Alive
-	node.self = &peer{Member: self, nameHash: hashName(self.Name), since: now}
+	node.self = &peer{Member: self, nameHash: hashName(self.Name), statusSince: now}
 	node.table.byName[self.Name] = node.self
-	node.table.place(node.self)
-	node.table.enter(node.self)
+	node.table.indexAddress(node.self)
+	node.table.insert(node.self)
 	node.SetSeeds(options.Seeds)
 	return node
 }
 
-// SetSeeds replaces the seeds; the own address among them is left out.
+// SetSeeds replaces the seeds. The address of this process is left out if it is among them.
 func (n *Node) SetSeeds(seeds []string) {
 	n.seeds = slices.DeleteFunc(slices.Clone(seeds), func(seed string) bool { return seed == n.self.Address })
 }
 
-// Tick does what is due. The owner calls it every 50 to 100 ms.
+// Tick performs all work that is due. The caller should call it every 50 to 100 ms.
 func (n *Node) Tick(now time.Time) Output {
-	n.observe(now)
+	n.detectPause(now)
 	n.lastTick = now
 	if n.self.Status == Left {
 		n.gossip(now)
-		return n.take()
+		return n.takeOutput()
 	}
 	n.join(now)
-	n.settleProbes(now)
-	n.settleRelayedProbes(now)
-	n.settleSuspicions(now)
-	n.startProbes(now)
-	n.compare(now)
-	n.contactStranger(now)
+	n.advanceProbes(now)
+	n.advanceRelayedProbes(now)
+	n.expireSuspicions(now)
+	n.startDueProbes(now)
+	n.compareDigests(now)
+	n.recontactAbsent(now)
 	n.gossip(now)
-	n.table.forgetBefore(now.Add(-n.timing.graveLifetime))
-	return n.take()
+	n.table.expireTombstones(now.Add(-n.timing.tombstoneLifetime))
+	return n.takeOutput()
 }
 
-// observe notices that this process did not run for a while: its open probes prove nothing then.
-func (n *Node) observe(now time.Time) {
+// detectPause detects that this process was paused, for example by a starved CPU. The probes in flight are dropped
+// because answers may have gone unread, and suspicions are extended by the length of the pause.
+func (n *Node) detectPause(now time.Time) {
 	n.now = now
 	gap := now.Sub(n.lastTick)
 	if gap <= maxTickGap {
 		return
 	}
 	n.lastTick = now
-	n.health = min(n.health+1, maxHealth)
+	n.healthScore = min(n.healthScore+1, maxHealthScore)
 	n.probes = n.probes[:0]
 	n.relayedProbes = n.relayedProbes[:0]
-	for _, suspect := range n.suspects {
-		if suspect.suspicion != nil {
-			suspect.suspicion.started = suspect.suspicion.started.Add(gap)
+	for _, suspected := range n.suspects {
+		if suspected.suspicion != nil {
+			suspected.suspicion.started = suspected.suspicion.started.Add(gap)
 		}
 	}
 }
 
-// Receive takes a message that came from an internal address.
+// Receive processes a message that came from the internal address from.
 func (n *Node) Receive(now time.Time, from string, message *swimpb.Message) Output {
-	n.observe(now)
+	n.detectPause(now)
 	if from == n.self.Address {
-		return n.take()
+		return n.takeOutput()
 	}
-	n.mergeAll(now, message)
-	n.correct(from, message)
+	n.mergeStates(now, message)
+	n.sendRefutations(from, message)
 	switch message.GetType() {
 	case swimpb.Type_TYPE_PING:
 		n.onPing(from, message)
@@ -141,84 +142,85 @@
 	case swimpb.Type_TYPE_STATES:
 		n.onStates(from, message)
 	}
-	return n.take()
+	return n.takeOutput()
 }
 
-// mergeAll takes in the states that a message carries.
-func (n *Node) mergeAll(now time.Time, message *swimpb.Message) {
-	n.inExchange = message.GetType() == swimpb.Type_TYPE_STATES
+// mergeStates applies the states that a message carries.
+func (n *Node) mergeStates(now time.Time, message *swimpb.Message) {
+	n.inFullExchange = message.GetType() == swimpb.Type_TYPE_STATES
 	for _, state := range message.GetStates() {
-		if told, ok := decodeState(state); ok {
-			n.merge(now, told)
+		if reported, ok := decodeState(state); ok {
+			n.merge(now, reported)
 		}
 	}
-	n.inExchange = false
+	n.inFullExchange = false
 }
 
-// correct tells a sender that still suspects members that they have refuted since: it may be the one that the refutation missed, and
-// would declare them dead.
-func (n *Node) correct(from string, message *swimpb.Message) {
+// sendRefutations sends newer states to a sender that still suspects members that have refuted. The sender may have
+// missed the refutation and would otherwise declare them dead.
+func (n *Node) sendRefutations(from string, message *swimpb.Message) {
 	var newer []*swimpb.State
 	for _, state := range message.GetStates() {
 		known := n.table.byName[state.GetName()]
-		if state.GetStatus() == swimpb.Status_STATUS_SUSPECT && known != nil && known.Status == Alive && known.Incarnation > state.GetIncarnation() {
+		if state.GetStatus() == swimpb.Status_STATUS_SUSPECT && known != nil &&
+			known.Status == Alive && known.Incarnation > state.GetIncarnation() {
 			newer = append(newer, encodeMember(known.Member, "", true))
 		}
 	}
 	if len(newer) > 0 {
-		n.datagram(from, &swimpb.Message{Type: swimpb.Type_TYPE_GOSSIP, States: trim(newer)})
+		n.datagram(from, &swimpb.Message{Type: swimpb.Type_TYPE_GOSSIP, States: trimToDatagram(newer)})
 	}
 }
 
-// Heard tells that a message came from a process over a connection, which counts as an acknowledgement: a connection needs
-// both directions.
+// Heard records that a message came from a process over a connection. It counts as an acknowledgement, because a
+// connection works only if messages pass in both directions.
 func (n *Node) Heard(now time.Time, address string) {
 	if known := n.table.byAddress[address]; known != nil && known != n.self {
-		known.heard = now
+		known.lastContact = now
 	}
 }
 
-// SetMeta changes what this process tells of itself, with a new incarnation.
+// SetMeta replaces the metadata of this process and raises its incarnation.
 func (n *Node) SetMeta(now time.Time, meta Meta) Output {
 	n.now = now
 	if n.self.Status == Left || n.self.Meta.Equal(meta) {
-		return n.take()
+		return n.takeOutput()
 	}
-	n.table.withdraw(n.self)
+	n.table.remove(n.self)
 	n.self.Meta = meta
 	n.self.Incarnation++
-	n.table.enter(n.self)
+	n.table.insert(n.self)
 	n.announceSelf()
 	n.changed(n.self)
-	return n.take()
+	return n.takeOutput()
 }
 
-// announceSelf spreads the own state at once.
+// announceSelf queues the state of this process and sends it at the end of the current call.
 func (n *Node) announceSelf() {
-	n.tell(n.self, "")
-	n.spreadWanted = true
+	n.queueUpdate(n.self, "")
+	n.gossipPending = true
 }
 
-// Leave tells the others that this process goes. It probes nobody from then on, but passes updates on.
+// Leave announces that this process stops. From then on it starts no probes, but still passes updates on.
 func (n *Node) Leave(now time.Time) Output {
 	n.now = now
 	if n.self.Status == Left {
-		return n.take()
+		return n.takeOutput()
 	}
 	n.self.Status = Left
-	n.table.withdraw(n.self)
-	n.probes, n.relayedProbes, n.urgent = nil, nil, nil
+	n.table.remove(n.self)
+	n.probes, n.relayedProbes, n.queuedProbes = nil, nil, nil
 	n.announceSelf()
-	n.spread(now)
+	n.sendGossip(now)
 	n.changed(n.self)
-	return n.take()
+	return n.takeOutput()
 }
 
-// Members returns all members that are not dead or left, this process included, sorted by name. The slice stays valid but
-// must not be written to.
-func (n *Node) Members() []Member { return n.table.list() }
+// Members returns all members that are alive or suspected, including this process, sorted by name. The slice stays
+// valid but must not be modified.
+func (n *Node) Members() []Member { return n.table.liveMembers() }
 
-// Find returns a member by name, also one that is dead or left as long as it is remembered.
+// Find returns a member by name. Members that are dead or have left are found as long as they are remembered.
 func (n *Node) Find(name string) (Member, bool) {
 	known, ok := n.table.byName[name]
 	if !ok {
--- a/internal/swim/node_test.go
+++ b/internal/swim/node_test.go
@@ -14,14 +14,14 @@
 
 func TestJoinInAnyOrder(t *testing.T) {
 	for seed := range uint64(20) {
-		n := fleet(t, seed, 30)
-		took, ok := n.runUntil(5*time.Second, n.complete)
+		n := startFleet(t, seed, 30)
+		took, ok := n.runUntil(5*time.Second, n.converged)
 		assert.Assert(t, ok, "seed %d: the members did not find each other", seed)
 		assert.Assert(t, took < 2*time.Second, "seed %d: took %v", seed, took)
 	}
 }
 
-func TestJoinWhileSeedsComeLate(t *testing.T) {
+func TestJoinWhenSeedsStartLate(t *testing.T) {
 	n := newNetwork(t, 3)
 	for range 6 {
 		n.add("tema")
@@ -34,13 +34,13 @@
 	for _, seed := range n.all[:3] {
 		n.start(seed)
 	}
-	took, ok := n.runUntil(5*time.Second, n.complete)
+	took, ok := n.runUntil(5*time.Second, n.converged)
 	assert.Assert(t, ok)
 	assert.Assert(t, took < 2*time.Second, "took %v", took)
 }
 
-// A member that starts while the only seed that is up is cut off from all others goes on asking the other seeds, and finds them soon after
-// they have come up.
+// A new member must keep asking the other seeds if the only seed that is up is partitioned from all others, and find
+// them soon after they start.
 func TestJoinThroughASeedThatIsCutOff(t *testing.T) {
 	var worst time.Duration
 	for seed := range uint64(30) {
@@ -76,80 +76,80 @@
 	t.Logf("%v at most", worst)
 }
 
-func TestDeathIsNoticedWithinAThirdOfTheBound(t *testing.T) {
+func TestFailureIsDetectedWithinAThirdOfTheBound(t *testing.T) {
 	const trials = 60
 	var total, worst time.Duration
 	for seed := range uint64(trials) {
-		n := settled(t, seed, 20)
+		n := convergedFleet(t, seed, 20)
 		victim := n.all[n.random.IntN(len(n.all))]
 		n.kill(victim)
-		took, ok := n.runUntil(simBound, func() bool { return agree(n.running(), victim, Dead) })
+		took, ok := n.runUntil(simContactBound, func() bool { return allSeeStatus(n.running(), victim, Dead) })
 		assert.Assert(t, ok, "seed %d", seed)
 		total += took
 		worst = max(worst, took)
-		assert.Equal(t, n.deaths(), len(n.running()), "seed %d: others were taken for dead", seed)
+		assert.Equal(t, n.countDeaths(), len(n.running()), "seed %d: other members were declared dead", seed)
 	}
 	mean := total / trials
 	t.Logf("until all knew: mean %v, worst %v", mean, worst)
-	assert.Assert(t, mean < simBound/3, "mean %v", mean)
-	assert.Assert(t, worst < simBound/2, "worst %v", worst)
+	assert.Assert(t, mean < simContactBound/3, "mean %v", mean)
+	assert.Assert(t, worst < simContactBound/2, "worst %v", worst)
 }
 
-func TestManyDeathsAtOnce(t *testing.T) {
+func TestManyFailuresAtOnce(t *testing.T) {
 	for seed := range uint64(10) {
-		n := settled(t, seed, 30)
+		n := convergedFleet(t, seed, 30)
 		for _, index := range n.random.Perm(30)[:12] {
 			n.kill(n.all[index])
 		}
-		took, ok := n.runUntil(simBound, n.complete)
+		took, ok := n.runUntil(simContactBound, n.converged)
 		assert.Assert(t, ok, "seed %d", seed)
 		t.Logf("seed %d: %v", seed, took)
 	}
 }
 
-// Without the correction of senders that still suspect a member, one in twelve of these fleets took a live member for dead: one that the
-// refutation had missed.
-func TestNoFalseDeathUnderLoss(t *testing.T) {
+// A member that misses a refutation would declare a live member dead unless sendRefutations corrected it. Without
+// that correction, one in twelve of these fleets declared a live member dead.
+func TestNoFalseFailureUnderLoss(t *testing.T) {
 	for seed := range uint64(40) {
-		n := settled(t, seed, 30)
+		n := convergedFleet(t, seed, 30)
 		n.loss = 0.05
 		n.run(60 * time.Second)
-		assert.Equal(t, n.deaths(), 0, "seed %d", seed)
+		assert.Equal(t, n.countDeaths(), 0, "seed %d", seed)
 	}
 }
 
-func TestRegionCutIsNoticedAndHeals(t *testing.T) {
+func TestRegionPartitionIsDetectedAndHeals(t *testing.T) {
 	for _, members := range []int{11, 30} {
 		for seed := range uint64(10) {
 			t.Run(fmt.Sprintf("%d members, seed %d", members, seed), func(t *testing.T) {
 				t.Parallel()
-				cutOffAndHeal(t, seed, members)
+				partitionAndHeal(t, seed, members)
 			})
 		}
 	}
 }
 
-func cutOffAndHeal(t *testing.T, seed uint64, members int) {
+func partitionAndHeal(t *testing.T, seed uint64, members int) {
 	t.Helper()
-	n := settled(t, seed, members)
+	n := convergedFleet(t, seed, members)
 	n.blocked = func(from, to *machine) bool {
 		return (from.self.Meta.Region == "kumasi") != (to.self.Meta.Region == "kumasi")
 	}
 	inside, outside := n.inRegion("kumasi"), n.outsideRegion("kumasi")
-	took, ok := n.runUntil(simBound, func() bool {
-		return sees(inside, len(inside)) && sees(outside, len(outside))
+	took, ok := n.runUntil(simContactBound, func() bool {
+		return allCountMembers(inside, len(inside)) && allCountMembers(outside, len(outside))
 	})
-	assert.Assert(t, ok, "seed %d: the cut was not noticed", seed)
+	assert.Assert(t, ok, "seed %d: the partition was not detected", seed)
 	n.run(20 * time.Second)
 	n.blocked = func(_, _ *machine) bool { return false }
-	healed, ok := n.runUntil(10*time.Second, n.complete)
-	assert.Assert(t, ok, "seed %d: the halves did not meet", seed)
-	t.Logf("%d members, seed %d: noticed after %v, healed after %v", members, seed, took, healed)
+	healed, ok := n.runUntil(10*time.Second, n.converged)
+	assert.Assert(t, ok, "seed %d: the two sides did not converge", seed)
+	t.Logf("%d members, seed %d: detected after %v, healed after %v", members, seed, took, healed)
 	assert.Assert(t, healed < 5*time.Second, "seed %d: %v", seed, healed)
 }
 
-// sees reports whether each machine counts so many members.
-func sees(among []*machine, members int) bool {
+// allCountMembers reports whether each machine has the given number of live members.
+func allCountMembers(among []*machine, members int) bool {
 	for _, each := range among {
 		if len(each.node.Members()) != members {
 			return false
@@ -158,48 +158,48 @@
 	return true
 }
 
-func TestCutBetweenTwoRegionsIsBridgedByTheThird(t *testing.T) {
-	n := settled(t, 4, 30)
+func TestPartitionBetweenTwoRegionsIsBridgedByTheThird(t *testing.T) {
+	n := convergedFleet(t, 4, 30)
 	n.blocked = func(from, to *machine) bool {
 		regions := from.self.Meta.Region + " " + to.self.Meta.Region
 		return regions == "kumasi takoradi" || regions == "takoradi kumasi"
 	}
 	n.run(30 * time.Second)
-	assert.Equal(t, n.deaths(), 0)
+	assert.Equal(t, n.countDeaths(), 0)
 }
 
-func TestMemberThatHearsNobodyIsTakenOutAndComesBack(t *testing.T) {
-	n := settled(t, 5, 20)
-	deaf := n.all[7]
-	n.blocked = func(_, to *machine) bool { return to == deaf }
-	others := without(n.running(), deaf)
-	_, ok := n.runUntil(simBound, func() bool { return agree(others, deaf, Dead) })
+func TestMemberThatReceivesNothingIsRemovedAndRejoins(t *testing.T) {
+	n := convergedFleet(t, 5, 20)
+	isolated := n.all[7]
+	n.blocked = func(_, to *machine) bool { return to == isolated }
+	others := excluding(n.running(), isolated)
+	_, ok := n.runUntil(simContactBound, func() bool { return allSeeStatus(others, isolated, Dead) })
 	assert.Assert(t, ok)
 	n.run(20 * time.Second)
 	for _, each := range others {
-		delete(each.died, deaf.self.Name)
-		assert.Equal(t, len(each.died), 0, "%s took others for dead", each.self.Name)
+		delete(each.deathsSeen, isolated.self.Name)
+		assert.Equal(t, len(each.deathsSeen), 0, "%s declared others dead", each.self.Name)
 	}
 	n.blocked = func(_, _ *machine) bool { return false }
-	took, ok := n.runUntil(simBound, n.complete)
+	took, ok := n.runUntil(simContactBound, n.converged)
 	assert.Assert(t, ok)
-	t.Logf("back after %v", took)
+	t.Logf("rejoined after %v", took)
 }
 
-func TestMemberThatNobodyHearsIsTakenOutAndComesBack(t *testing.T) {
-	n := settled(t, 6, 20)
-	mute := n.all[7]
-	n.blocked = func(from, _ *machine) bool { return from == mute }
-	others := without(n.running(), mute)
-	_, ok := n.runUntil(simBound, func() bool { return agree(others, mute, Dead) })
+func TestMemberThatCannotSendIsRemovedAndRejoins(t *testing.T) {
+	n := convergedFleet(t, 6, 20)
+	isolated := n.all[7]
+	n.blocked = func(from, _ *machine) bool { return from == isolated }
+	others := excluding(n.running(), isolated)
+	_, ok := n.runUntil(simContactBound, func() bool { return allSeeStatus(others, isolated, Dead) })
 	assert.Assert(t, ok)
 	n.run(20 * time.Second)
 	n.blocked = func(_, _ *machine) bool { return false }
-	_, ok = n.runUntil(simBound, n.complete)
+	_, ok = n.runUntil(simContactBound, n.converged)
 	assert.Assert(t, ok)
 }
 
-func without(machines []*machine, excluded *machine) []*machine {
+func excluding(machines []*machine, excluded *machine) []*machine {
 	var rest []*machine
 	for _, each := range machines {
 		if each != excluded {
@@ -211,44 +211,44 @@
 
 func TestSlowMemberAccusesNobody(t *testing.T) {
 	for seed := range uint64(5) {
-		n := settled(t, seed, 20)
+		n := convergedFleet(t, seed, 20)
 		slow := n.all[3]
 		for range 30 {
 			n.freeze(slow, 700*time.Millisecond)
 			n.run(1200 * time.Millisecond)
 		}
 		for _, each := range n.running() {
-			delete(each.died, slow.self.Name)
-			assert.Equal(t, len(each.died), 0, "seed %d: %s took others for dead", seed, each.self.Name)
+			delete(each.deathsSeen, slow.self.Name)
+			assert.Equal(t, len(each.deathsSeen), 0, "seed %d: %s declared others dead", seed, each.self.Name)
 		}
-		took, ok := n.runUntil(simBound, n.complete)
+		took, ok := n.runUntil(simContactBound, n.converged)
 		assert.Assert(t, ok)
-		t.Logf("seed %d: settled after %v", seed, took)
+		t.Logf("seed %d: converged after %v", seed, took)
 	}
 }
 
-func TestFrozenMemberIsTakenOutAndComesBack(t *testing.T) {
+func TestFrozenMemberIsRemovedAndRejoins(t *testing.T) {
 	for seed := range uint64(5) {
-		n := settled(t, seed, 20)
+		n := convergedFleet(t, seed, 20)
 		frozen := n.all[4]
 		n.freeze(frozen, 6*time.Second)
 		n.run(5900 * time.Millisecond)
-		assert.Assert(t, agree(without(n.running(), frozen), frozen, Dead), "seed %d", seed)
+		assert.Assert(t, allSeeStatus(excluding(n.running(), frozen), frozen, Dead), "seed %d", seed)
 		n.run(100 * time.Millisecond)
-		took, ok := n.runUntil(simBound, n.complete)
+		took, ok := n.runUntil(simContactBound, n.converged)
 		assert.Assert(t, ok, "seed %d", seed)
 		assert.Assert(t, took < 1500*time.Millisecond, "seed %d: %v", seed, took)
-		assert.Equal(t, len(frozen.died), 0, "seed %d: it took others for dead", seed)
+		assert.Equal(t, len(frozen.deathsSeen), 0, "seed %d: it declared others dead", seed)
 	}
 }
 
-func TestRestartWithEmptyMemoryJoinsAtOnce(t *testing.T) {
-	for _, offset := range []time.Duration{0, -time.Hour} {
-		n := settled(t, 8, 20)
+func TestRestartWithoutStateRejoinsAtOnce(t *testing.T) {
+	for _, clockOffset := range []time.Duration{0, -time.Hour} {
+		n := convergedFleet(t, 8, 20)
 		restarted := n.all[11]
 		n.kill(restarted)
 		n.run(400 * time.Millisecond)
-		restarted.clockOffset = offset
+		restarted.clockOffset = clockOffset
 		restarted.self.Meta.Front = "10.9.9.9:1"
 		n.start(restarted)
 		took, ok := n.runUntil(5*time.Second, func() bool {
@@ -258,26 +258,26 @@
 					return false
 				}
 			}
-			return n.complete()
+			return n.converged()
 		})
-		assert.Assert(t, ok, "clock %v", offset)
-		assert.Assert(t, took < 1500*time.Millisecond, "clock %v: %v", offset, took)
+		assert.Assert(t, ok, "clock %v", clockOffset)
+		assert.Assert(t, took < 1500*time.Millisecond, "clock %v: %v", clockOffset, took)
 	}
 }
 
-func TestReturnAfterDeathJoinsAtOnce(t *testing.T) {
-	n := settled(t, 9, 20)
+func TestRestartAfterDetectedFailureRejoinsAtOnce(t *testing.T) {
+	n := convergedFleet(t, 9, 20)
 	returned := n.all[12]
 	n.kill(returned)
 	n.run(10 * time.Second)
 	n.start(returned)
-	took, ok := n.runUntil(5*time.Second, n.complete)
+	took, ok := n.runUntil(5*time.Second, n.converged)
 	assert.Assert(t, ok)
 	assert.Assert(t, took < 1500*time.Millisecond, "%v", took)
 }
 
-func TestWholeFleetKilledAndBack(t *testing.T) {
-	n := settled(t, 10, 30)
+func TestWholeFleetRestarts(t *testing.T) {
+	n := convergedFleet(t, 10, 30)
 	for _, each := range n.all {
 		n.kill(each)
 	}
@@ -285,34 +285,34 @@
 	for _, each := range n.all {
 		n.start(each)
 	}
-	took, ok := n.runUntil(5*time.Second, n.complete)
+	took, ok := n.runUntil(5*time.Second, n.converged)
 	assert.Assert(t, ok)
 	assert.Assert(t, took < 2*time.Second, "%v", took)
 }
 
 func TestLeave(t *testing.T) {
-	n := settled(t, 11, 20)
+	n := convergedFleet(t, 11, 20)
 	n.loss = 0.05
 	leaver := n.all[5]
 	n.deliver(leaver, leaver.node.Leave(n.now))
-	took, ok := n.runUntil(2*time.Second, func() bool { return agree(n.running(), leaver, Left) })
+	took, ok := n.runUntil(2*time.Second, func() bool { return allSeeStatus(n.running(), leaver, Left) })
 	assert.Assert(t, ok)
 	t.Logf("known to all after %v", took)
 	n.run(20 * time.Second)
-	assert.Assert(t, agree(n.running(), leaver, Left))
-	assert.Equal(t, n.deaths(), 0)
+	assert.Assert(t, allSeeStatus(n.running(), leaver, Left))
+	assert.Equal(t, n.countDeaths(), 0)
 	assert.Equal(t, len(leaver.node.Members()), 19)
 }
 
-func TestMetaSpreads(t *testing.T) {
-	n := settled(t, 12, 30)
-	took := n.stopServing(n.all[5], 2*time.Second)
+func TestMetaChangeSpreads(t *testing.T) {
+	n := convergedFleet(t, 12, 30)
+	took := n.announceNotServing(n.all[5], 2*time.Second)
 	t.Logf("known to all after %v", took)
 	assert.Assert(t, took < time.Second, "%v", took)
 }
 
 func TestAddressPassesToAnotherName(t *testing.T) {
-	n := settled(t, 13, 20)
+	n := convergedFleet(t, 13, 20)
 	former := n.all[6]
 	n.kill(former)
 	n.run(time.Second)
@@ -321,24 +321,24 @@
 	n.all[6] = successor
 	n.machines[successor.self.Address] = successor
 	n.start(successor)
-	others := without(n.running(), successor) // which never knew the former one
+	others := excluding(n.running(), successor) // the successor never knew the former member
 	_, ok := n.runUntil(5*time.Second, func() bool {
-		return n.complete() && agree(others, former, Dead)
+		return n.converged() && allSeeStatus(others, former, Dead)
 	})
 	assert.Assert(t, ok)
 }
 
-func TestHeardCountsAsAcknowledgement(t *testing.T) {
-	n := settled(t, 14, 3)
-	watcher, talker := n.all[0], n.all[1]
-	n.blocked = func(from, _ *machine) bool { return from == talker }
+func TestConnectionContactCountsAsAcknowledgement(t *testing.T) {
+	n := convergedFleet(t, 14, 3)
+	watcher, silenced := n.all[0], n.all[1]
+	n.blocked = func(from, _ *machine) bool { return from == silenced }
 	for range 100 {
-		for _, each := range without(n.all, talker) {
-			each.node.Heard(n.now, talker.self.Address)
+		for _, each := range excluding(n.all, silenced) {
+			each.node.Heard(n.now, silenced.self.Address)
 		}
 		n.run(100 * time.Millisecond)
 	}
-	member, _ := watcher.node.Find(talker.self.Name)
+	member, _ := watcher.node.Find(silenced.self.Name)
 	assert.Equal(t, member.Status, Alive)
 }
 
@@ -350,11 +350,11 @@
 	n.run(time.Second)
 	assert.Equal(t, len(first.node.Members()), 1)
 	first.node.SetSeeds([]string{second.self.Address, first.self.Address})
-	_, ok := n.runUntil(time.Second, n.complete)
+	_, ok := n.runUntil(time.Second, n.converged)
 	assert.Assert(t, ok)
 }
 
-func TestUselessStatesAreIgnored(t *testing.T) {
+func TestInvalidStatesAreIgnored(t *testing.T) {
 	node := New(Options{
 		Self:   Member{Name: "a", Address: "10.0.0.1:7000"},
 		Random: rand.New(rand.NewPCG(1, 1)),
--- a/internal/swim/options.go
+++ b/internal/swim/options.go
@@ -8,102 +8,109 @@
 
 // Options are the settings of a Node.
 type Options struct {
-	// Self is this process; its incarnation and status are set by New.
+	// Self describes this process. New sets its incarnation and status.
 	Self Member
-	// Seeds are internal addresses of processes to join through; the own address may be among them.
+	// Seeds are the internal addresses of processes to join through. The address of this process may be among them.
 	Seeds []string
-	// ContactBound is the time within which the system must have noticed what happened (bounds.contactMs). All times of
-	// the protocol are derived from it.
+	// ContactBound is the time within which the processes must detect membership changes such as failures (setting
+	// bounds.contactMs). The intervals and timeouts in timing are derived from it.
 	ContactBound time.Duration
-	// Random is the source of chance.
+	// Random is the source of randomness.
 	Random *rand.Rand
 }
 
-// Fixed counts of the protocol.
+// Counts of the protocol that do not depend on Options.
 const (
-	// watchers is how many members probe each member in every period.
-	watchers = 3
-	// helpers is how many members are asked to probe a silent target.
-	helpers = 3
-	// fanout is how many members get a datagram of updates at a time.
-	fanout = 3
-	// maxHealth bounds the local health score; waits for answers grow with it.
-	maxHealth = 3
-	// confirmations is how many further accusers shorten a suspicion to its least.
-	confirmations = watchers - 1
-	// updateFactor times the binary logarithm of the fleet is how often a member passes an update on.
-	updateFactor = 2
-	// urgentPerTick bounds the probes out of turn that one Tick starts.
-	urgentPerTick = 4
-	// maxUrgent bounds the probes out of turn that wait.
-	maxUrgent = 1024
-	// lookAroundProbes is about how many members probe each member near a new suspect.
-	lookAroundProbes = 4
-	// maxGraves bounds the dead that are remembered.
-	maxGraves = 1024
-	// strangerScale is the fleet size from which contacts to the dead and to absent seeds get rarer for each member.
-	strangerScale = 32
+	// watcherCount is the number of members that probe each member in every probe interval.
+	watcherCount = 3
+	// helperCount is the number of members that are asked to probe an unresponsive target.
+	helperCount = 3
+	// gossipFanout is the number of members that get updates in each round of gossip.
+	gossipFanout = 3
+	// maxHealthScore bounds the local health score. Probe timeouts are multiplied by the score plus one.
+	maxHealthScore = 3
+	// maxConfirmations is the number of accusers beyond the first that shorten a suspicion to its minimum.
+	maxConfirmations = watcherCount - 1
+	// retransmitFactor times the binary logarithm of the fleet size is the number of times that a member sends an
+	// update.
+	retransmitFactor = 2
+	// maxQueuedProbesPerTick bounds the unscheduled probes that one Tick starts.
+	maxQueuedProbesPerTick = 4
+	// maxQueuedProbes bounds the queue of unscheduled probes.
+	maxQueuedProbes = 1024
+	// probesPerNearbyMember is the approximate number of probes that each member near a new suspect gets from the
+	// rest of the fleet.
+	probesPerNearbyMember = 4
+	// maxTombstones bounds the remembered members that are dead or have left.
+	maxTombstones = 1024
+	// recontactFleetSize is the fleet size up to which members contact dead members and absent seeds at the full
+	// rate. In a larger fleet each member does so less often, in proportion to the size.
+	recontactFleetSize = 32
 )
 
-// Fixed times of the protocol.
+// Times of the protocol that do not depend on Options.
 const (
 	joinInterval   = 200 * time.Millisecond
 	gossipInterval = 200 * time.Millisecond
-	// maxTickGap is how long after a call of Tick the next one may come before the member takes itself for frozen.
+	// maxTickGap is the longest time between two calls of Tick after which this process does not count as paused.
 	maxTickGap = 350 * time.Millisecond
-	// directWait and helperWait are how long answers may take beyond the round trip.
-	directWait = 150 * time.Millisecond
-	helperWait = 250 * time.Millisecond
-	// relayedProbeWait is the same for a helper, short enough that its word reaches the asker before that gives up.
-	relayedProbeWait = 100 * time.Millisecond
-	// remoteRoundTrip is assumed for another region until it has been measured.
-	remoteRoundTrip = 150 * time.Millisecond
-	// answerSyncPause is the least time between exchanges that something unexpected started.
-	answerSyncPause = 500 * time.Millisecond
+	// directAckTimeout and indirectAckTimeout are how long the answer to a direct and to a relayed probe may take
+	// beyond the expected round trip.
+	directAckTimeout   = 150 * time.Millisecond
+	indirectAckTimeout = 250 * time.Millisecond
+	// relayedAckTimeout is the same for the ping that a helper sends. It is shorter than indirectAckTimeout so that
+	// the helper's nack arrives before the requester gives up.
+	relayedAckTimeout = 100 * time.Millisecond
+	// assumedRemoteRoundTrip is the round trip assumed for members of another region until it is measured.
+	assumedRemoteRoundTrip = 150 * time.Millisecond
+	// minTriggeredSyncInterval is the minimum time between exchanges that are triggered by a message rather than by
+	// the schedule.
+	minTriggeredSyncInterval = 500 * time.Millisecond
 )
 
-// timing holds the times that follow from the contact bound.
+// timing holds the intervals and timeouts that are derived from the contact bound.
 type timing struct {
-	period        time.Duration // of the probes of one member by each of its watchers
-	suspicion     time.Duration // the least suspicion in a fleet of ten or fewer
-	random        time.Duration // between probes of members picked by chance
-	compare       time.Duration // between comparisons of digests
-	compareEarly  time.Duration // the same soon after the start
-	early         time.Duration // how long a member counts as new
-	graveLifetime time.Duration // how long the dead are remembered
+	probeInterval         time.Duration // between probes of a member by each of its watchers
+	minSuspicionTimeout   time.Duration // minimum suspicion timeout in a fleet of up to ten members
+	randomProbeInterval   time.Duration // between probes of random members
+	digestInterval        time.Duration // between comparisons of digests
+	initialDigestInterval time.Duration // the same during initialPhase
+	initialPhase          time.Duration // time after the start with more frequent joins and digests
+	tombstoneLifetime     time.Duration // how long members that are dead or have left are remembered
 }
 
 const (
-	defaultContactBound = 4 * time.Second
-	leastPeriod         = 250 * time.Millisecond
-	longestPeriod       = time.Second
-	leastSuspicion      = 250 * time.Millisecond
+	defaultContactBound   = 4 * time.Second
+	minProbeInterval      = 250 * time.Millisecond
+	maxProbeInterval      = time.Second
+	suspicionTimeoutFloor = 250 * time.Millisecond
 )
 
-func newTiming(bound time.Duration) timing {
-	if bound <= 0 {
-		bound = defaultContactBound
+func newTiming(contactBound time.Duration) timing {
+	if contactBound <= 0 {
+		contactBound = defaultContactBound
 	}
-	period := min(max(bound/8, leastPeriod), longestPeriod)
+	probeInterval := min(max(contactBound/8, minProbeInterval), maxProbeInterval)
 	return timing{
-		period:        period,
-		suspicion:     max(bound/12, leastSuspicion),
-		random:        4 * period,
-		compare:       10 * period,
-		compareEarly:  2 * period,
-		early:         20 * period,
-		graveLifetime: 30 * bound,
+		probeInterval:         probeInterval,
+		minSuspicionTimeout:   max(contactBound/12, suspicionTimeoutFloor),
+		randomProbeInterval:   4 * probeInterval,
+		digestInterval:        10 * probeInterval,
+		initialDigestInterval: 2 * probeInterval,
+		initialPhase:          20 * probeInterval,
+		tombstoneLifetime:     30 * contactBound,
 	}
 }
 
-// suspicionBounds returns the least and longest time a suspect has to refute in a fleet of the given size.
-func (t timing) suspicionBounds(members int) (least, longest time.Duration) {
+// suspicionTimeouts returns the shortest and the longest time that a suspected member of a fleet of the given size
+// has to refute.
+func (t timing) suspicionTimeouts(members int) (minTimeout, maxTimeout time.Duration) {
 	scale := max(1, math.Log10(float64(members)))
-	least = time.Duration(float64(t.suspicion) * scale)
-	return least, least * 7 / 4
+	minTimeout = time.Duration(float64(t.minSuspicionTimeout) * scale)
+	return minTimeout, minTimeout * 7 / 4
 }
 
-// updateLimit is how often a member passes one update on in a fleet of the given size.
-func updateLimit(members int) int {
-	return updateFactor * int(math.Ceil(math.Log2(float64(members+1))))
+// retransmitLimit is the number of times that a member of a fleet of the given size sends one update.
+func retransmitLimit(members int) int {
+	return retransmitFactor * int(math.Ceil(math.Log2(float64(members+1))))
 }
--- a/internal/swim/probe.go
+++ b/internal/swim/probe.go
@@ -7,88 +7,91 @@
 	"wallflow/internal/swim/swimpb"
 )
 
-// probe is a question to a member that is not answered yet.
+// probe is a ping that has not been acknowledged yet.
 type probe struct {
-	sequence uint32
-	target   *peer
-	sent     time.Time
-	askAt    time.Time // when helpers are asked
-	failAt   time.Time // when the member is accused
-	asked    int       // helpers
-	nacks    int       // helpers that had no answer either
-	isCheck  bool      // out of turn
-}
-
-// check is a probe out of turn: near a new suspect, or of a member that another reported dead.
-type check struct {
+	sequence     uint32
+	target       *peer
+	sentAt       time.Time
+	askHelpersAt time.Time // when helpers are asked to probe the target
+	failsAt      time.Time // when the target is accused
+	helpersAsked int
+	nacks        int  // helpers that reported no answer from the target
+	unscheduled  bool // started from a probeRequest of the queue
+}
+
+// probeRequest asks for an unscheduled probe: of a member near a new suspect, or of a member that another process
+// reported dead.
+type probeRequest struct {
 	target *peer
-	claim  *swimpb.State // what the target should refute, if anything
+	claim  *swimpb.State // belief about the target that it should refute; may be nil
 }
 
-// startProbes probes the watched members whose time has come, the checks that wait, and one member by chance now and then.
-func (n *Node) startProbes(now time.Time) {
-	n.targets(func(target *peer) {
+// startDueProbes starts the scheduled probes of watched members that are due, some queued probes and, at times, the
+// probe of a random member.
+func (n *Node) startDueProbes(now time.Time) {
+	n.forEachProbeTarget(func(target *peer) {
 		if now.Before(target.nextProbe) {
 			return
 		}
-		target.nextProbe = now.Add(n.jittered(n.timing.period))
-		if now.Sub(target.heard) < n.timing.period/2 {
-			return // it was heard a moment ago
+		target.nextProbe = now.Add(n.withJitter(n.timing.probeInterval))
+		if now.Sub(target.lastContact) < n.timing.probeInterval/2 {
+			return // recent contact makes the probe unnecessary
 		}
-		n.startProbe(now, check{target: target}, false)
+		n.startProbe(now, probeRequest{target: target}, false)
 	})
-	for range min(urgentPerTick, len(n.urgent)) {
-		next := n.urgent[0]
-		n.urgent = n.urgent[1:]
+	for range min(maxQueuedProbesPerTick, len(n.queuedProbes)) {
+		next := n.queuedProbes[0]
+		n.queuedProbes = n.queuedProbes[1:]
 		n.startProbe(now, next, true)
 	}
-	if now.Before(n.nextRandom) {
+	if now.Before(n.nextRandomProbe) {
 		return
 	}
-	n.nextRandom = now.Add(n.jittered(n.timing.random))
-	if target := n.pick(n.everywhere(), nil); target != nil {
-		n.startProbe(now, check{target: target}, false)
+	n.nextRandomProbe = now.Add(n.withJitter(n.timing.randomProbeInterval))
+	if target := n.pickRandom(n.wholeRing(), nil); target != nil {
+		n.startProbe(now, probeRequest{target: target}, false)
 	}
 }
 
-// jittered returns a time within a tenth of the given one.
-func (n *Node) jittered(base time.Duration) time.Duration {
+// withJitter returns a random duration within 10% of base.
+func (n *Node) withJitter(base time.Duration) time.Duration {
 	return base*9/10 + time.Duration(n.random.Int64N(int64(base)/5+1))
 }
 
-// startProbe pings a live member unless a ping to it is open.
-func (n *Node) startProbe(now time.Time, wanted check, outOfTurn bool) {
-	target, claim := wanted.target, wanted.claim
+// startProbe pings a live member unless a probe of it is in flight. A claim is sent in any case.
+func (n *Node) startProbe(now time.Time, request probeRequest, unscheduled bool) {
+	target, claim := request.target, request.claim
 	if !target.Status.live() || target == n.self {
 		return
 	}
-	open := slices.ContainsFunc(n.probes, func(open *probe) bool { return open.target == target })
-	if open && claim == nil {
+	inFlight := slices.ContainsFunc(n.probes, func(inFlight *probe) bool { return inFlight.target == target })
+	if inFlight && claim == nil {
 		return
 	}
-	states := n.riding
-	if outOfTurn {
-		states = n.ridingLightly
+	piggyback := n.piggybackUpdates
+	if unscheduled {
+		piggyback = n.piggybackWithinRegion
 	}
-	sequence := n.ping(target, claim, states)
-	if open {
+	sequence := n.ping(target, claim, piggyback)
+	if inFlight {
 		return
 	}
-	patience := time.Duration(1 + n.health)
+	timeoutMultiplier := time.Duration(1 + n.healthScore)
 	roundTrip := n.roundTrip(target)
-	askAt := now.Add(patience * (directWait + roundTrip))
+	askHelpersAt := now.Add(timeoutMultiplier * (directAckTimeout + roundTrip))
 	n.probes = append(n.probes, &probe{
-		sequence: sequence,
-		target:   target,
-		sent:     now,
-		askAt:    askAt,
-		failAt:   askAt.Add(patience * (helperWait + roundTrip)),
-		isCheck:  outOfTurn,
+		sequence:     sequence,
+		target:       target,
+		sentAt:       now,
+		askHelpersAt: askHelpersAt,
+		failsAt:      askHelpersAt.Add(timeoutMultiplier * (indirectAckTimeout + roundTrip)),
+		unscheduled:  unscheduled,
 	})
 }
 
-// ping sends a ping, with a claim that the target should refute or else with the states that ride along, and returns its sequence number.
-func (n *Node) ping(target *peer, claim *swimpb.State, riding func(*peer) []*swimpb.State) uint32 {
+// ping sends a ping and returns its sequence number. The ping carries the claim if there is one, otherwise the states
+// that piggyback returns.
+func (n *Node) ping(target *peer, claim *swimpb.State, piggyback func(*peer) []*swimpb.State) uint32 {
 	n.sequence++
 	message := &swimpb.Message{
 		Type:     swimpb.Type_TYPE_PING,
@@ -98,89 +101,92 @@
 	if claim != nil {
 		message.States = append(message.States, claim)
 	} else {
-		message.States = riding(target)
+		message.States = piggyback(target)
 	}
 	n.datagram(target.Address, message)
 	return n.sequence
 }
 
-// roundTrip returns how long an answer of a member may take on its way, with a margin.
+// roundTrip returns the expected round trip to a member, with a margin.
 func (n *Node) roundTrip(target *peer) time.Duration {
 	switch {
 	case target.roundTrip > 0:
 		return target.roundTrip * 5 / 4
 	case target.Meta.Region != n.self.Meta.Region:
-		return remoteRoundTrip
+		return assumedRemoteRoundTrip
 	default:
 		return 0
 	}
 }
 
-// settleProbes asks helpers about silent members, and accuses those that stay silent.
-func (n *Node) settleProbes(now time.Time) {
+// advanceProbes asks helpers to probe targets that did not answer in time, and accuses the targets that still do not
+// answer.
+func (n *Node) advanceProbes(now time.Time) {
 	var failed []*probe
 	n.probes = slices.DeleteFunc(n.probes, func(open *probe) bool {
-		if !open.target.Status.live() || !open.target.heard.Before(open.sent) {
+		if !open.target.Status.live() || !open.target.lastContact.Before(open.sentAt) {
 			return true
 		}
-		if !now.Before(open.failAt) {
+		if !now.Before(open.failsAt) {
 			failed = append(failed, open)
 			return true
 		}
-		if open.asked == 0 && !now.Before(open.askAt) {
+		if open.helpersAsked == 0 && !now.Before(open.askHelpersAt) {
 			n.askHelpers(open)
-			if !open.isCheck {
-				n.lookAround(open.target)
+			if !open.unscheduled {
+				n.probeSurroundings(open.target)
 			}
 		}
 		return false
 	})
-	for _, silent := range failed {
-		n.fail(now, silent)
+	for _, unanswered := range failed {
+		n.handleFailedProbe(now, unanswered)
 	}
 }
 
-// askHelpers asks other members to ping a silent target.
+// askHelpers asks other members to ping an unresponsive target.
 func (n *Node) askHelpers(open *probe) {
 	for _, helper := range n.chooseHelpers(open.target) {
-		open.asked++
+		open.helpersAsked++
 		n.datagram(helper.Address, &swimpb.Message{
 			Type:          swimpb.Type_TYPE_PING_REQUEST,
 			Sequence:      open.sequence,
 			Target:        open.target.nameHash,
 			TargetAddress: open.target.Address,
-			States:        n.ridingLightly(helper),
+			States:        n.piggybackWithinRegion(helper),
 		})
 	}
 }
 
-// fail accuses a silent member. Without a word from any helper, this process doubts itself as well.
-func (n *Node) fail(now time.Time, silent *probe) {
-	if silent.asked > 0 && silent.nacks == 0 {
-		n.health = min(n.health+1, maxHealth)
+// handleFailedProbe accuses the target of a failed probe. If no helper sent even a nack, the problem may be at this
+// process, so its health score gets worse as well.
+func (n *Node) handleFailedProbe(now time.Time, failed *probe) {
+	if failed.helpersAsked > 0 && failed.nacks == 0 {
+		n.healthScore = min(n.healthScore+1, maxHealthScore)
 	}
-	n.accuse(now, silent.target)
+	n.accuse(now, failed.target)
 }
 
-// onPing answers a ping.
+// onPing answers a ping with an ack.
 func (n *Node) onPing(from string, message *swimpb.Message) {
-	asker := n.known(from, message)
+	sender := n.senderOf(from, message)
 	answer := &swimpb.Message{
 		Type:     swimpb.Type_TYPE_ACK,
 		Sequence: message.GetSequence(),
 		Target:   message.GetTarget(),
-		States:   n.ridingLightly(asker),
+		States:   n.piggybackWithinRegion(sender),
 	}
-	if n.mustTellSelf(message) {
+	if n.needsOwnState(message) {
 		answer.States = append([]*swimpb.State{encodeMember(n.self.Member, "", true)}, answer.States...)
-		answer.States = trim(answer.States)
+		answer.States = trimToDatagram(answer.States)
 	}
-	answer.AnswerWanted = asker == nil || asker.Incarnation < message.GetIncarnation()
+	answer.AnswerWanted = sender == nil || sender.Incarnation < message.GetIncarnation()
 	n.datagram(from, answer)
 }
 
-// mustTellSelf reports whether an asker should learn the own state: it holds a wrong belief, or meant somebody else.
-func (n *Node) mustTellSelf(message *swimpb.Message) bool {
+// needsOwnState reports whether the ack must carry the state of this process: the ping carried a belief about this
+// process that may need refuting, or was meant for another process.
+func (n *Node) needsOwnState(message *swimpb.Message) bool {
 	if message.GetTarget() != n.self.nameHash {
 		return true
 	}
@@ -189,8 +195,8 @@
 	})
 }
 
-// known returns the member that sent a message, or nil if another or none is known at its address.
-func (n *Node) known(from string, message *swimpb.Message) *peer {
+// senderOf returns the member that sent a message, or nil if no member or another one is known at its address.
+func (n *Node) senderOf(from string, message *swimpb.Message) *peer {
 	known := n.table.byAddress[from]
 	if known == nil || known.nameHash != message.GetSender() {
 		return nil
@@ -198,10 +204,10 @@
 	return known
 }
 
-// onAck closes the probe, own or relayed, that an answer belongs to.
+// onAck ends the probe or relayed probe that an ack belongs to.
 func (n *Node) onAck(now time.Time, from string, message *swimpb.Message) {
 	if message.GetAnswerWanted() {
-		n.introduce(now, from)
+		n.introduceSelf(now, from)
 	}
 	if n.finishRelayedProbe(from, message) {
 		return
@@ -213,19 +219,19 @@
 	open := n.probes[index]
 	direct := from == open.target.Address
 	if direct && message.GetSender() != open.target.nameHash {
-		return // another process has its address now
+		return // another process has the address now
 	}
-	open.target.heard = now
+	open.target.lastContact = now
 	n.probes = slices.Delete(n.probes, index, index+1)
 	if direct {
-		n.health = max(n.health-1, 0)
-		open.target.measure(now.Sub(open.sent))
+		n.healthScore = max(n.healthScore-1, 0)
+		open.target.updateRoundTrip(now.Sub(open.sentAt))
 	}
 }
 
-// measure takes a measured round trip into the smoothed one.
-func (p *peer) measure(roundTrip time.Duration) {
-	roundTrip = min(max(roundTrip, time.Microsecond), remoteRoundTrip*2)
+// updateRoundTrip adds a measured round trip to the smoothed one.
+func (p *peer) updateRoundTrip(roundTrip time.Duration) {
+	roundTrip = min(max(roundTrip, time.Microsecond), assumedRemoteRoundTrip*2)
 	if p.roundTrip == 0 {
 		p.roundTrip = roundTrip
 		return
@@ -233,7 +239,7 @@
 	p.roundTrip += (roundTrip - p.roundTrip) / 8
 }
 
-// onNack notes that a helper lives but had no answer.
+// onNack counts a helper that is alive but got no answer from the target.
 func (n *Node) onNack(message *swimpb.Message) {
 	for _, open := range n.probes {
 		if open.sequence == message.GetSequence() {
--- a/internal/swim/scale_test.go
+++ b/internal/swim/scale_test.go
@@ -9,81 +9,81 @@
 
 func TestLargeFleetJoins(t *testing.T) {
 	t.Parallel()
-	n := fleet(t, 1, 300)
-	took, ok := n.runUntil(15*time.Second, n.complete)
+	n := startFleet(t, 1, 300)
+	took, ok := n.runUntil(15*time.Second, n.converged)
 	assert.Assert(t, ok)
-	t.Logf("all knew all after %v, %d bytes of full exchanges", took, n.messageBytes)
+	t.Logf("all knew all after %v, %d bytes of full exchanges", took, n.exchangeBytes)
 }
 
-func TestLargeFleetNoticesDeathsAndLosesNobodyElse(t *testing.T) {
+func TestLargeFleetDetectsOnlyTheActualFailure(t *testing.T) {
 	t.Parallel()
-	n := settled(t, 2, 300)
+	n := convergedFleet(t, 2, 300)
 	victim := n.all[17]
 	n.kill(victim)
-	took, ok := n.runUntil(simBound, func() bool { return agree(n.running(), victim, Dead) })
+	took, ok := n.runUntil(simContactBound, func() bool { return allSeeStatus(n.running(), victim, Dead) })
 	assert.Assert(t, ok)
 	t.Logf("until all knew: %v", took)
-	assert.Equal(t, n.deaths(), len(n.running()))
+	assert.Equal(t, n.countDeaths(), len(n.running()))
 }
 
-func TestLargeFleetLosesARegion(t *testing.T) {
+func TestLargeFleetDetectsTheLossOfARegion(t *testing.T) {
 	t.Parallel()
-	n := settled(t, 3, 300)
+	n := convergedFleet(t, 3, 300)
 	for _, lost := range n.inRegion("takoradi") {
 		n.kill(lost)
 	}
-	took, ok := n.runUntil(2*simBound, n.complete)
+	took, ok := n.runUntil(2*simContactBound, n.converged)
 	assert.Assert(t, ok)
 	t.Logf("until all knew: %v", took)
-	assert.Assert(t, took < simBound, "%v", took)
+	assert.Assert(t, took < simContactBound, "%v", took)
 }
 
-func TestLargeFleetHeals(t *testing.T) {
+func TestLargeFleetHealsAfterAPartition(t *testing.T) {
 	t.Parallel()
-	n := settled(t, 4, 150)
+	n := convergedFleet(t, 4, 150)
 	n.blocked = func(from, to *machine) bool {
 		return (from.self.Meta.Region == "kumasi") != (to.self.Meta.Region == "kumasi")
 	}
 	n.run(15 * time.Second)
 	n.blocked = func(_, _ *machine) bool { return false }
-	took, ok := n.runUntil(30*time.Second, n.complete)
+	took, ok := n.runUntil(30*time.Second, n.converged)
 	assert.Assert(t, ok)
 	t.Logf("healed after %v", took)
 }
 
-func TestCalmFleetIsCheap(t *testing.T) {
+func TestTrafficOfAStableFleetIsBounded(t *testing.T) {
 	t.Parallel()
 	for _, members := range []int{11, 300} {
-		n := settled(t, 5, members)
+		n := convergedFleet(t, 5, members)
 		n.run(10 * time.Second)
-		n.bytes, n.crossBytes, n.datagrams, n.messageBytes = 0, 0, 0, 0
+		n.datagramBytes, n.crossRegionBytes, n.datagrams, n.exchangeBytes = 0, 0, 0, 0
 		const seconds = 20
 		n.run(seconds * time.Second)
 		each := members * seconds
 		t.Logf("%d members, each a second: %d datagrams, %d bytes, %d between regions, %d in full exchanges", members,
-			n.datagrams/each, n.bytes/each, n.crossBytes/each, n.messageBytes/each)
+			n.datagrams/each, n.datagramBytes/each, n.crossRegionBytes/each, n.exchangeBytes/each)
 		assert.Assert(t, n.datagrams/each <= 16)
-		assert.Assert(t, n.bytes/each <= 1200)
-		assert.Equal(t, n.messageBytes, 0)
+		assert.Assert(t, n.datagramBytes/each <= 1200)
+		assert.Equal(t, n.exchangeBytes, 0)
 	}
 }
 
-// A region that can be heard but hears nobody costs few bytes between regions: the probes that look for it carry no updates. With them
-// the cut took 56 MB.
-func TestCutRegionIsCheap(t *testing.T) {
+// When a region can send to the others but not receive from them, many unscheduled probes cross regions. They must
+// carry no queued updates: with them, the partition caused 56 MB of traffic between regions.
+func TestTrafficDuringAOneWayRegionPartitionIsBounded(t *testing.T) {
 	t.Parallel()
-	n := settled(t, 6, 300)
-	n.bytes, n.crossBytes = 0, 0
+	n := convergedFleet(t, 6, 300)
+	n.datagramBytes, n.crossRegionBytes = 0, 0
 	n.blocked = func(from, to *machine) bool {
 		return from.self.Meta.Region == "takoradi" && to.self.Meta.Region != "takoradi"
 	}
 	n.run(6 * time.Second)
-	t.Logf("cut: %d bytes between regions of %d", n.crossBytes, n.bytes)
-	assert.Assert(t, n.crossBytes <= 14<<20, "%d", n.crossBytes)
-	n.crossBytes = 0
+	t.Logf("partition: %d bytes between regions of %d", n.crossRegionBytes, n.datagramBytes)
+	assert.Assert(t, n.crossRegionBytes <= 14<<20, "%d", n.crossRegionBytes)
+	n.crossRegionBytes = 0
 	n.blocked = func(_, _ *machine) bool { return false }
-	took, ok := n.runUntil(10*time.Second, n.complete)
-	t.Logf("healed after %v, %d bytes between regions", took, n.crossBytes)
+	took, ok := n.runUntil(10*time.Second, n.converged)
+	t.Logf("healed after %v, %d bytes between regions", took, n.crossRegionBytes)
 	assert.Assert(t, ok)
-	assert.Assert(t, n.crossBytes <= 14<<20, "%d", n.crossBytes)
+	assert.Assert(t, n.crossRegionBytes <= 14<<20, "%d", n.crossRegionBytes)
 }
