--- a/internal/swim/summary.go
+++ b/internal/swim/summary.go
@@ -6,107 +6,109 @@
 	"wallflow/internal/swim/swimpb"
 )
 
-// statusBits is the room of the status in a version.
+// statusBits is the number of low bits of a version that hold the status.
 const statusBits = 2
 
-// keyOf is the short form of a name in summaries.
-func keyOf(name string) uint64 {
+// summaryKey returns the 64-bit hash that identifies a name in summaries.
+func summaryKey(name string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name))
 	return hash.Sum64()
 }
 
-// versionOf orders what is believed of one member: the higher version supersedes the lower one.
-func versionOf(member Member) uint64 { return member.Incarnation<<statusBits | uint64(member.Status) }
+// summaryVersion encodes incarnation and status of a member so that a higher version supersedes a lower one.
+func summaryVersion(member Member) uint64 {
+	return member.Incarnation<<statusBits | uint64(member.Status)
+}
 
-// isLiveVersion reports whether a version tells of a member that runs.
+// isLiveVersion reports whether a version has the status of a live member.
 func isLiveVersion(version uint64) bool { return Status(version & (1<<statusBits - 1)).live() }
 
-// everybody returns all members that this process knows, itself first.
-func (n *Node) everybody() []*peer {
-	all := make([]*peer, 0, len(n.table.ring)+len(n.table.graves)+1)
+// knownPeers returns all known members, including the dead and those that left. This process comes first.
+func (n *Node) knownPeers() []*peer {
+	all := make([]*peer, 0, len(n.table.ring)+len(n.table.tombstones)+1)
 	all = append(all, n.self)
 	for _, live := range n.table.ring {
 		if live != n.self {
 			all = append(all, live)
 		}
 	}
-	return append(all, n.table.graves...)
+	return append(all, n.table.tombstones...)
 }
 
-// summary names all members that are known, with their versions.
-func (n *Node) summary() *swimpb.Summary {
-	listed := n.everybody()
+// buildSummary lists the keys and versions of all known members.
+func (n *Node) buildSummary() *swimpb.Summary {
+	listed := n.knownPeers()
 	summary := &swimpb.Summary{
 		Keys:     make([]uint64, 0, len(listed)),
 		Versions: make([]uint64, 0, len(listed)),
 	}
 	for _, member := range listed {
-		summary.Keys = append(summary.Keys, keyOf(member.Name))
-		summary.Versions = append(summary.Versions, versionOf(member.Member))
+		summary.Keys = append(summary.Keys, summaryKey(member.Name))
+		summary.Versions = append(summary.Versions, summaryVersion(member.Member))
 	}
 	return summary
 }
 
-// onSummary answers with what this process knows better, and asks for what the other knows better.
+// onSummary answers a summary with the states that are newer here, and requests those that are newer at the sender.
 func (n *Node) onSummary(from string, message *swimpb.Message) {
-	told := message.GetSummary()
-	if len(told.GetKeys()) != len(told.GetVersions()) || n.self.Status == Left {
+	summary := message.GetSummary()
+	if len(summary.GetKeys()) != len(summary.GetVersions()) || n.self.Status == Left {
 		return
 	}
-	theirs := make(map[uint64]uint64, len(told.GetKeys()))
-	for index, key := range told.GetKeys() {
-		theirs[key] = told.GetVersions()[index]
+	remoteVersions := make(map[uint64]uint64, len(summary.GetKeys()))
+	for index, key := range summary.GetKeys() {
+		remoteVersions[key] = summary.GetVersions()[index]
 	}
 	answer := &swimpb.Message{Type: swimpb.Type_TYPE_STATES}
-	for _, mine := range n.everybody() {
-		key, version := keyOf(mine.Name), versionOf(mine.Member)
-		their, listed := theirs[key]
-		delete(theirs, key)
+	for _, local := range n.knownPeers() {
+		key, version := summaryKey(local.Name), summaryVersion(local.Member)
+		remoteVersion, listed := remoteVersions[key]
+		delete(remoteVersions, key)
 		switch {
-		case listed && their > version:
+		case listed && remoteVersion > version:
 			answer.Wanted = append(answer.Wanted, key)
-		case listed && their < version, !listed && mine.Status.live():
-			answer.States = append(answer.States, n.fullState(mine))
+		case listed && remoteVersion < version, !listed && local.Status.live():
+			answer.States = append(answer.States, n.fullState(local))
 		}
 	}
-	answer.Wanted = append(answer.Wanted, strangers(told, theirs)...)
+	answer.Wanted = append(answer.Wanted, unknownLiveKeys(summary, remoteVersions)...)
 	if len(answer.States) > 0 || len(answer.Wanted) > 0 {
 		n.message(from, answer)
 	}
 }
 
-// strangers lists the live members of a summary that are left once the known ones are taken out, in its order. Who is dead and
-// unknown need not be known.
-func strangers(told *swimpb.Summary, left map[uint64]uint64) []uint64 {
+// unknownLiveKeys returns, in the order of the summary, the keys in unmatched that belong to live members. Unknown
+// members that are dead or have left are not needed.
+func unknownLiveKeys(summary *swimpb.Summary, unmatched map[uint64]uint64) []uint64 {
 	var live []uint64
-	for _, key := range told.GetKeys() {
-		if version, isLeft := left[key]; isLeft && isLiveVersion(version) {
+	for _, key := range summary.GetKeys() {
+		if version, isUnmatched := unmatched[key]; isUnmatched && isLiveVersion(version) {
 			live = append(live, key)
 		}
 	}
 	return live
 }
 
-// wantedStates returns the states of the members that another process asked for.
-func (n *Node) wantedStates(wanted []uint64) []*swimpb.State {
+// statesFor returns the states of the members with the given keys.
+func (n *Node) statesFor(wanted []uint64) []*swimpb.State {
 	if len(wanted) == 0 {
 		return nil
 	}
-	asked := make(map[uint64]bool, len(wanted))
+	requested := make(map[uint64]bool, len(wanted))
 	for _, key := range wanted {
-		asked[key] = true
+		requested[key] = true
 	}
 	var states []*swimpb.State
-	for _, mine := range n.everybody() {
-		if asked[keyOf(mine.Name)] {
-			states = append(states, n.fullState(mine))
+	for _, local := range n.knownPeers() {
+		if requested[summaryKey(local.Name)] {
+			states = append(states, n.fullState(local))
 		}
 	}
 	return states
 }
 
-// fullState is what a full exchange tells of a member.
-func (n *Node) fullState(told *peer) *swimpb.State {
-	return encodeMember(told.Member, told.accuser(), told.Status.live())
+// fullState returns the state of a member as it is sent in a full exchange.
+func (n *Node) fullState(described *peer) *swimpb.State {
+	return encodeMember(described.Member, described.firstAccuser(), described.Status.live())
 }
--- a/internal/swim/summary_test.go
+++ b/internal/swim/summary_test.go
@@ -12,14 +12,14 @@
 	"wallflow/internal/swim/swimpb"
 )
 
-// nodeThatKnows returns a node that knows itself and members of the given names.
-func nodeThatKnows(name string, incarnation uint64, others ...string) *Node {
+// nodeKnowing returns a node that knows itself and members with the given names and incarnation.
+func nodeKnowing(name string, incarnation uint64, others ...string) *Node {
 	node := New(Options{
 		Self:   Member{Name: name, Address: "10.0.0.1:" + name, Meta: Meta{Region: "r", Zone: "z"}},
 		Random: rand.New(rand.NewPCG(1, 2)),
 	}, simEpoch)
 	for index, other := range others {
-		node.mergeAll(simEpoch, &swimpb.Message{States: []*swimpb.State{{
+		node.mergeStates(simEpoch, &swimpb.Message{States: []*swimpb.State{{
 			Name:        other,
 			Address:     fmt.Sprintf("10.0.1.1:%d", index+1),
 			Incarnation: incarnation,
@@ -40,8 +40,8 @@
 	for index := range 400 {
 		common = append(common, fmt.Sprintf("edge-%03d", index))
 	}
-	left := nodeThatKnows("left", 5, append(common, "only-left")...)
-	right := nodeThatKnows("right", 5, append(common, "only-right")...)
+	left := nodeKnowing("left", 5, append(common, "only-left")...)
+	right := nodeKnowing("right", 5, append(common, "only-right")...)
 	now := simEpoch.Add(time.Second)
 	summary := lastMessage(t, left.Receive(now, "right", &swimpb.Message{Type: swimpb.Type_TYPE_DIGEST, Digest: right.table.digest}))
 	assert.Equal(t, len(summary.GetStates()), 0)
@@ -56,14 +56,16 @@
 }
 
 func TestAnExchangeBringsTheNewerStateInBothDirections(t *testing.T) {
-	left := nodeThatKnows("left", 5, "a", "b")
-	right := nodeThatKnows("right", 5, "a", "b")
+	left := nodeKnowing("left", 5, "a", "b")
+	right := nodeKnowing("right", 5, "a", "b")
 	now := simEpoch.Add(time.Second)
 	newer := func(name, port string) *swimpb.Message {
-		return &swimpb.Message{States: []*swimpb.State{{Name: name, Address: "10.0.1.1:" + port, Incarnation: 9, Meta: &swimpb.Meta{Region: "r", Zone: "z"}}}}
+		return &swimpb.Message{States: []*swimpb.State{{
+			Name: name, Address: "10.0.1.1:" + port, Incarnation: 9, Meta: &swimpb.Meta{Region: "r", Zone: "z"},
+		}}}
 	}
-	left.mergeAll(now, newer("a", "1"))
-	right.mergeAll(now, newer("b", "2"))
+	left.mergeStates(now, newer("a", "1"))
+	right.mergeStates(now, newer("b", "2"))
 	summary := lastMessage(t, left.Receive(now, "right", &swimpb.Message{Type: swimpb.Type_TYPE_DIGEST, Digest: right.table.digest}))
 	answer := lastMessage(t, right.Receive(now, "left", summary))
 	right.Receive(now, "left", lastMessage(t, left.Receive(now, "right", answer)))
@@ -72,19 +74,19 @@
 	assert.Equal(t, left.table.byName["b"].Incarnation, uint64(9))
 }
 
-func TestTheUnknownDeadAreNotAskedFor(t *testing.T) {
-	node := nodeThatKnows("left", 5, "a")
+func TestStatesOfUnknownDeadMembersAreNotRequested(t *testing.T) {
+	node := nodeKnowing("left", 5, "a")
 	summary := &swimpb.Summary{
-		Keys:     []uint64{keyOf("left"), keyOf("a"), keyOf("dead"), keyOf("alive")},
-		Versions: []uint64{versionOf(node.self.Member), 5 << statusBits, 7<<statusBits | uint64(Dead), 7 << statusBits},
+		Keys:     []uint64{summaryKey("left"), summaryKey("a"), summaryKey("dead"), summaryKey("alive")},
+		Versions: []uint64{summaryVersion(node.self.Member), 5 << statusBits, 7<<statusBits | uint64(Dead), 7 << statusBits},
 	}
 	answer := lastMessage(t, node.Receive(simEpoch, "right", &swimpb.Message{Type: swimpb.Type_TYPE_SUMMARY, Summary: summary}))
-	assert.DeepEqual(t, answer.GetWanted(), []uint64{keyOf("alive")})
+	assert.DeepEqual(t, answer.GetWanted(), []uint64{summaryKey("alive")})
 	assert.Equal(t, len(answer.GetStates()), 0)
 }
 
 func TestASummaryWithListsOfUnequalLengthIsIgnored(t *testing.T) {
-	node := nodeThatKnows("left", 5, "a")
+	node := nodeKnowing("left", 5, "a")
 	broken := &swimpb.Summary{Keys: []uint64{1, 2}, Versions: []uint64{1}}
 	assert.Equal(t, len(node.Receive(simEpoch, "right", &swimpb.Message{Type: swimpb.Type_TYPE_SUMMARY, Summary: broken}).Messages), 0)
 }
--- a/internal/swim/table.go
+++ b/internal/swim/table.go
@@ -8,33 +8,34 @@
 	"time"
 )
 
-// peer is a member with what this process knows of it besides.
+// peer is a member and what this process tracks about it.
 type peer struct {
 	Member
-	nameHash   uint32
-	since      time.Time     // of the present status
-	heard      time.Time     // last direct evidence that it runs
-	roundTrip  time.Duration // smoothed, 0 until measured
-	nextProbe  time.Time
-	suspicion  *suspicion // while it is suspect
-	digestPart uint64     // its share of the digest while it is live
+	nameHash    uint32
+	statusSince time.Time     // start of the current status
+	lastContact time.Time     // last time that it answered this process or sent a message over a connection
+	roundTrip   time.Duration // smoothed; 0 until measured
+	nextProbe   time.Time
+	suspicion   *suspicion // nil unless its status is Suspect
+	digestHash  uint64     // its contribution to table.digest; 0 unless it is in the ring
 }
 
-// table holds all members that are known: the live ones in a ring, the others as graves.
+// table holds all known members: the live ones in a ring, the others as tombstones.
 type table struct {
-	byName    map[string]*peer
-	byAddress map[string]*peer
-	ring      []*peer // live members by region, zone, hash and name
-	graves    []*peer // dead and left, oldest first
-	digest    uint64  // of the live members
-	members   []Member
+	byName        map[string]*peer
+	byAddress     map[string]*peer
+	ring          []*peer  // live members, ordered by compareRing
+	tombstones    []*peer  // members that are dead or have left, oldest first
+	digest        uint64   // XOR of the digestHash of all live members
+	sortedMembers []Member // cache of liveMembers; nil after a change
 }
 
 func newTable() *table {
 	return &table{byName: map[string]*peer{}, byAddress: map[string]*peer{}}
 }
 
-// compareRing orders the ring. The hash mixes the members of a zone, so that machines started together are not neighbors.
+// compareRing orders the ring by region, zone, name hash and name. The hash shuffles the members of a zone, so that
+// machines that were started together are not neighbors in the ring.
 func compareRing(left, right *peer) int {
 	return cmp.Or(
 		strings.Compare(left.Meta.Region, right.Meta.Region),
@@ -44,36 +45,38 @@
 	)
 }
 
-// position returns where a member stands in the ring, or would stand.
-func (t *table) position(wanted *peer) (int, bool) {
-	return slices.BinarySearchFunc(t.ring, wanted, compareRing)
+// position returns the index of a member in the ring, or the index at which it would be inserted.
+func (t *table) position(member *peer) (int, bool) {
+	return slices.BinarySearchFunc(t.ring, member, compareRing)
 }
 
-// enter puts a member into the ring.
-func (t *table) enter(entered *peer) {
-	position, found := t.position(entered)
+// insert adds a member to the ring.
+func (t *table) insert(inserted *peer) {
+	position, found := t.position(inserted)
 	if found {
 		return
 	}
-	t.ring = slices.Insert(t.ring, position, entered)
-	entered.digestPart = digestOf(entered.Member)
-	t.digest ^= entered.digestPart
-	t.members = nil
+	t.ring = slices.Insert(t.ring, position, inserted)
+	inserted.digestHash = digestOf(inserted.Member)
+	t.digest ^= inserted.digestHash
+	t.sortedMembers = nil
 }
 
-// withdraw takes a member out of the ring; its key must not have changed since it entered.
-func (t *table) withdraw(withdrawn *peer) {
-	position, found := t.position(withdrawn)
+// remove deletes a member from the ring. The fields that compareRing uses must not have changed since the member was
+// inserted.
+func (t *table) remove(removed *peer) {
+	position, found := t.position(removed)
 	if !found {
 		return
 	}
 	t.ring = slices.Delete(t.ring, position, position+1)
-	t.digest ^= withdrawn.digestPart
-	withdrawn.digestPart = 0
-	t.members = nil
+	t.digest ^= removed.digestHash
+	removed.digestHash = 0
+	t.sortedMembers = nil
 }
 
-// digestOf returns a live member's share of the digest: its name and incarnation.
+// digestOf returns the hash of a live member's name and incarnation. The digest of the table is the XOR of these
+// hashes.
 func digestOf(member Member) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(member.Name))
@@ -85,60 +88,61 @@
 	return hash.Sum64()
 }
 
-// bury adds a member to the graves, and forgets the oldest beyond the bound.
-func (t *table) bury(buried *peer) {
-	t.graves = append(t.graves, buried)
-	if len(t.graves) > maxGraves {
-		t.forget(t.graves[0])
+// addTombstone adds a departed member to the tombstones. Beyond maxTombstones the oldest one is forgotten.
+func (t *table) addTombstone(departed *peer) {
+	t.tombstones = append(t.tombstones, departed)
+	if len(t.tombstones) > maxTombstones {
+		t.forget(t.tombstones[0])
 	}
 }
 
-// exhume takes a member out of the graves.
-func (t *table) exhume(exhumed *peer) {
-	position := slices.Index(t.graves, exhumed)
+// removeTombstone deletes a member from the tombstones.
+func (t *table) removeTombstone(removed *peer) {
+	position := slices.Index(t.tombstones, removed)
 	if position >= 0 {
-		t.graves = slices.Delete(t.graves, position, position+1)
+		t.tombstones = slices.Delete(t.tombstones, position, position+1)
 	}
 }
 
-// forget drops a member altogether.
+// forget deletes a departed member from the table.
 func (t *table) forget(forgotten *peer) {
-	t.exhume(forgotten)
+	t.removeTombstone(forgotten)
 	delete(t.byName, forgotten.Name)
 	if t.byAddress[forgotten.Address] == forgotten {
 		delete(t.byAddress, forgotten.Address)
 	}
 }
 
-// forgetBefore drops the graves that are older than a time.
-func (t *table) forgetBefore(limit time.Time) {
-	for len(t.graves) > 0 && t.graves[0].since.Before(limit) {
-		t.forget(t.graves[0])
+// expireTombstones forgets the members that departed before the cutoff.
+func (t *table) expireTombstones(cutoff time.Time) {
+	for len(t.tombstones) > 0 && t.tombstones[0].statusSince.Before(cutoff) {
+		t.forget(t.tombstones[0])
 	}
 }
 
-// place files a member under its address.
-func (t *table) place(placed *peer) { t.byAddress[placed.Address] = placed }
+// indexAddress records a member as the holder of its address.
+func (t *table) indexAddress(indexed *peer) { t.byAddress[indexed.Address] = indexed }
 
-// list returns the live members sorted by name. The result is shared until the next change.
-func (t *table) list() []Member {
-	if t.members != nil {
-		return t.members
+// liveMembers returns the live members sorted by name. The slice is cached until the next change, so callers must not
+// modify it.
+func (t *table) liveMembers() []Member {
+	if t.sortedMembers != nil {
+		return t.sortedMembers
 	}
-	t.members = make([]Member, 0, len(t.ring))
+	t.sortedMembers = make([]Member, 0, len(t.ring))
 	for _, live := range t.ring {
-		t.members = append(t.members, live.Member)
+		t.sortedMembers = append(t.sortedMembers, live.Member)
 	}
-	slices.SortFunc(t.members, func(left, right Member) int { return strings.Compare(left.Name, right.Name) })
-	return t.members
+	slices.SortFunc(t.sortedMembers, func(left, right Member) int { return strings.Compare(left.Name, right.Name) })
+	return t.sortedMembers
 }
 
-// span is a range of the ring.
+// span is the index range [from, to) of the ring.
 type span struct{ from, to int }
 
 func (s span) size() int { return s.to - s.from }
 
-// regionSpan returns the range of the ring that holds a region.
+// regionSpan returns the span of the members of a region.
 func (t *table) regionSpan(region string) span {
 	from, _ := slices.BinarySearchFunc(t.ring, region, func(live *peer, region string) int {
 		return strings.Compare(live.Meta.Region, region)
@@ -150,15 +154,15 @@
 	return span{from: from, to: to}
 }
 
-// zoneSpan returns the range of the ring that holds a zone.
+// zoneSpan returns the span of the members of a zone.
 func (t *table) zoneSpan(region, zone string) span {
-	whole := t.regionSpan(region)
-	from := whole.from
-	for from < whole.to && t.ring[from].Meta.Zone < zone {
+	regionRange := t.regionSpan(region)
+	from := regionRange.from
+	for from < regionRange.to && t.ring[from].Meta.Zone < zone {
 		from++
 	}
 	to := from
-	for to < whole.to && t.ring[to].Meta.Zone == zone {
+	for to < regionRange.to && t.ring[to].Meta.Zone == zone {
 		to++
 	}
 	return span{from: from, to: to}
--- a/internal/swim/table_test.go
+++ b/internal/swim/table_test.go
@@ -16,11 +16,11 @@
 	}
 }
 
-func TestSpansHoldTheirPlaces(t *testing.T) {
+func TestSpansMatchRegionsAndZones(t *testing.T) {
 	members := newTable()
 	for index := range 30 {
 		region := fmt.Sprintf("region-%d", index%3)
-		members.enter(tablePeer(fmt.Sprintf("m%d", index), fmt.Sprintf("%s-zone-%d", region, index%2), region))
+		members.insert(tablePeer(fmt.Sprintf("m%d", index), fmt.Sprintf("%s-zone-%d", region, index%2), region))
 	}
 	assert.Equal(t, members.regionSpan("region-1").size(), 10)
 	zone := members.zoneSpan("region-1", "region-1-zone-0")
@@ -37,15 +37,15 @@
 		order := rapid.Permutation(indices(count)).Draw(t, "order")
 		first, second := newTable(), newTable()
 		for index := range count {
-			first.enter(tablePeer(fmt.Sprint("m", index), "zone", "region"))
+			first.insert(tablePeer(fmt.Sprint("m", index), "zone", "region"))
 		}
 		extra := tablePeer("extra", "zone", "region")
-		second.enter(extra)
+		second.insert(extra)
 		for _, index := range order {
-			second.enter(tablePeer(fmt.Sprint("m", index), "zone", "region"))
+			second.insert(tablePeer(fmt.Sprint("m", index), "zone", "region"))
 		}
 		assert.Assert(t, first.digest != second.digest)
-		second.withdraw(extra)
+		second.remove(extra)
 		assert.Equal(t, first.digest, second.digest)
 		assert.Assert(t, slices.IsSortedFunc(second.ring, compareRing))
 	})
@@ -59,15 +59,15 @@
 	return all
 }
 
-func TestGravesAreBounded(t *testing.T) {
+func TestTombstonesAreBounded(t *testing.T) {
 	members := newTable()
-	for index := range maxGraves + 10 {
+	for index := range maxTombstones + 10 {
 		gone := tablePeer(fmt.Sprint("m", index), "zone", "region")
 		members.byName[gone.Name] = gone
-		members.bury(gone)
+		members.addTombstone(gone)
 	}
-	assert.Equal(t, len(members.graves), maxGraves)
-	assert.Equal(t, len(members.byName), maxGraves)
+	assert.Equal(t, len(members.tombstones), maxTombstones)
+	assert.Equal(t, len(members.byName), maxTombstones)
 }
 
 func TestOrderOfStates(t *testing.T) {
--- a/internal/swim/updates.go
+++ b/internal/swim/updates.go
@@ -9,159 +9,169 @@
 )
 
 const (
-	// updateBytes bounds the states in one datagram; the rest of its 1,200 bytes is for the fields of the message.
-	updateBytes = 1050
-	// stateOverhead is the tag and length of a state inside a message.
+	// maxUpdateBytes bounds the encoded states in one datagram of 1,200 bytes. The rest is for the other fields of
+	// the message.
+	maxUpdateBytes = 1050
+	// stateOverhead is the size in bytes of the tag and length of a state inside a message.
 	stateOverhead = 3
-	// exchangeUpdates is how often a member passes on what it learned from a full exchange, which others have as well.
-	exchangeUpdates = 2
+	// exchangeRetransmits is how often a member sends an update that it learned from a full exchange. It is low
+	// because other members probably have the update as well.
+	exchangeRetransmits = 2
 )
 
-// update is a state on its way through the fleet.
+// update is a state that is being disseminated.
 type update struct {
-	state    *swimpb.State
-	size     int
-	told     int // how often it was sent, or heard again from others
-	replaced bool
+	state     *swimpb.State
+	size      int
+	sendCount int // times that it was sent, or received again from others
+	replaced  bool
 }
 
-// updateQueue holds the updates that are still passed on, by how often they were told. Those told least go first.
+// updateQueue holds the updates that still have to be sent, in one list for each send count. Updates with the lowest
+// count are sent first.
 type updateQueue struct {
-	levels [][]*update
-	byName map[string]*update
+	bySendCount [][]*update
+	byName      map[string]*update
 }
 
 func newUpdateQueue() updateQueue { return updateQueue{byName: map[string]*update{}} }
 
-// add puts an update in place of an older one on the same member, as if it had been told so often before.
-func (q *updateQueue) add(state *swimpb.State, told int) {
+// add queues an update with an initial send count. It replaces an older update about the same member.
+func (q *updateQueue) add(state *swimpb.State, sendCount int) {
 	size := proto.Size(state) + stateOverhead
 	if older := q.byName[state.Name]; older != nil {
 		older.replaced = true
 	}
-	if size > updateBytes {
+	if size > maxUpdateBytes {
 		delete(q.byName, state.Name)
-		return // too large for a datagram: full exchanges carry it
+		return // too large for a datagram; full exchanges carry it
 	}
-	added := &update{state: state, size: size, told: told}
+	added := &update{state: state, size: size, sendCount: sendCount}
 	q.byName[state.Name] = added
-	q.put(added)
+	q.enqueue(added)
 }
 
-// put files an update under how often it was told.
-func (q *updateQueue) put(filed *update) {
-	for len(q.levels) <= filed.told {
-		q.levels = append(q.levels, nil)
+// enqueue appends an update to the list of its send count.
+func (q *updateQueue) enqueue(queued *update) {
+	for len(q.bySendCount) <= queued.sendCount {
+		q.bySendCount = append(q.bySendCount, nil)
 	}
-	q.levels[filed.told] = append(q.levels[filed.told], filed)
+	q.bySendCount[queued.sendCount] = append(q.bySendCount[queued.sendCount], queued)
 }
 
-// heardAgain notes that others pass the same on, so that it needs to be told less.
-func (q *updateQueue) heardAgain(told report) {
-	known := q.byName[told.Name]
-	if known == nil || known.state.Incarnation != told.Incarnation || Status(known.state.Status) != told.Status {
+// noteDuplicate counts an update received from another member as one send, because it needs fewer sends from this
+// process then.
+func (q *updateQueue) noteDuplicate(reported report) {
+	known := q.byName[reported.Name]
+	if known == nil || known.state.Incarnation != reported.Incarnation || Status(known.state.Status) != reported.Status {
 		return
 	}
-	known.told++
+	known.sendCount++
 }
 
-// empty reports whether nothing is to be passed on.
+// empty reports whether there is nothing to send.
 func (q *updateQueue) empty() bool { return len(q.byName) == 0 }
 
-// pick returns states that fit into the room, and counts them as told once more.
-func (q *updateQueue) pick(room, limit int) []*swimpb.State {
+// dequeue returns states of up to budget bytes in total and counts each as sent once more. Updates that reach
+// sendLimit are dropped.
+func (q *updateQueue) dequeue(budget, sendLimit int) []*swimpb.State {
 	var picked []*update
-	for level := 0; level < len(q.levels) && room > 0; level++ {
-		picked, room = q.pickLevel(level, room, limit, picked)
+	for level := 0; level < len(q.bySendCount) && budget > 0; level++ {
+		picked, budget = q.dequeueLevel(level, budget, sendLimit, picked)
 	}
 	var states []*swimpb.State
-	for _, told := range picked {
-		states = append(states, told.state)
-		told.told++
-		if told.told >= limit {
-			delete(q.byName, told.state.Name)
+	for _, sent := range picked {
+		states = append(states, sent.state)
+		sent.sendCount++
+		if sent.sendCount >= sendLimit {
+			delete(q.byName, sent.state.Name)
 			continue
 		}
-		q.put(told)
+		q.enqueue(sent)
 	}
 	return states
 }
 
-// pickLevel takes what fits from one level. It returns no room when something did not fit.
-func (q *updateQueue) pickLevel(level, room, limit int, picked []*update) ([]*update, int) {
-	for len(q.levels[level]) > 0 {
-		next := q.levels[level][0]
+// dequeueLevel takes updates from the list of one send count until the next one exceeds the budget. It returns the
+// remaining budget, or 0 if an update did not fit.
+func (q *updateQueue) dequeueLevel(level, budget, sendLimit int, picked []*update) ([]*update, int) {
+	for len(q.bySendCount[level]) > 0 {
+		next := q.bySendCount[level][0]
 		switch {
 		case next.replaced:
-		case next.told >= limit:
+		case next.sendCount >= sendLimit:
 			delete(q.byName, next.state.Name)
-		case next.told > level:
-			q.put(next) // it was heard again since it was filed
-		case next.size > room:
+		case next.sendCount > level:
+			q.enqueue(next) // noteDuplicate raised its count after it was queued
+		case next.size > budget:
 			return picked, 0
 		default:
 			picked = append(picked, next)
-			room -= next.size
+			budget -= next.size
 		}
-		q.levels[level][0] = nil
-		q.levels[level] = q.levels[level][1:]
+		q.bySendCount[level][0] = nil
+		q.bySendCount[level] = q.bySendCount[level][1:]
 	}
-	q.levels[level] = nil
-	return picked, room
+	q.bySendCount[level] = nil
+	return picked, budget
 }
 
-// tell starts an update with the present state of a member.
-func (n *Node) tell(about *peer, accuser string) {
-	state := encodeMember(about.Member, accuser, about.Status == Alive)
-	told := 0
-	if n.inExchange && about != n.self {
-		told = max(updateLimit(len(n.table.ring))-exchangeUpdates, 0)
+// queueUpdate queues the current state of a member for dissemination.
+func (n *Node) queueUpdate(member *peer, accuser string) {
+	state := encodeMember(member.Member, accuser, member.Status == Alive)
+	sendCount := 0
+	if n.inFullExchange && member != n.self {
+		sendCount = max(retransmitLimit(len(n.table.ring))-exchangeRetransmits, 0)
 	}
-	n.updates.add(state, told)
+	n.updates.add(state, sendCount)
 }
 
-// riding returns the states that go along with a probe or its answer: what is believed of the receiver if it is not thought alive, so
-// that it can refute, then updates.
-func (n *Node) riding(receiver *peer) []*swimpb.State { return n.ridingWithin(receiver, updateBytes) }
+// piggybackUpdates returns the states to send along with a probe or its answer. If the receiver is not believed
+// alive, the first one is that belief, so that it can refute. The rest are queued updates.
+func (n *Node) piggybackUpdates(receiver *peer) []*swimpb.State {
+	return n.piggybackUpTo(receiver, maxUpdateBytes)
+}
 
-// ridingLightly is riding for probes out of turn and for answers. To another region they carry no updates: when a region is lost or cut
-// off they are many, most come to nothing, and what crosses regions is dear.
-func (n *Node) ridingLightly(receiver *peer) []*swimpb.State {
-	if n.crosses(receiver) {
-		return n.ridingWithin(receiver, 0)
+// piggybackWithinRegion is piggybackUpdates for unscheduled probes and for answers. A receiver in another region gets
+// no queued updates: when a region is lost or partitioned there are many such messages, most of their updates are
+// redundant, and traffic between regions is expensive.
+func (n *Node) piggybackWithinRegion(receiver *peer) []*swimpb.State {
+	if n.inOtherRegion(receiver) {
+		return n.piggybackUpTo(receiver, 0)
 	}
-	return n.riding(receiver)
+	return n.piggybackUpdates(receiver)
 }
 
-// crosses reports whether a member is of another region.
-func (n *Node) crosses(receiver *peer) bool {
-	return receiver != nil && receiver.Meta.Region != n.self.Meta.Region
+// inOtherRegion reports whether a member is in another region than this process.
+func (n *Node) inOtherRegion(member *peer) bool {
+	return member != nil && member.Meta.Region != n.self.Meta.Region
 }
 
-// ridingWithin is riding with so many bytes of room.
-func (n *Node) ridingWithin(receiver *peer, room int) []*swimpb.State {
+// piggybackUpTo is piggybackUpdates with a limit on the total size of the states, in bytes.
+func (n *Node) piggybackUpTo(receiver *peer, budget int) []*swimpb.State {
 	var states []*swimpb.State
 	if receiver != nil && receiver.Status != Alive {
-		view := encodeMember(receiver.Member, "", false)
-		room -= proto.Size(view) + stateOverhead
-		states = append(states, view)
+		belief := encodeMember(receiver.Member, "", false)
+		budget -= proto.Size(belief) + stateOverhead
+		states = append(states, belief)
 	}
-	return append(states, n.updates.pick(room, updateLimit(len(n.table.ring)))...)
+	return append(states, n.updates.dequeue(budget, retransmitLimit(len(n.table.ring)))...)
 }
 
-// gossip passes updates on when it is time.
+// gossip sends queued updates if the gossip interval has passed.
 func (n *Node) gossip(now time.Time) {
 	if n.updates.empty() || now.Before(n.nextGossip) {
 		return
 	}
-	n.spread(now)
+	n.sendGossip(now)
 }
 
-// spread sends updates to a few members: some of the own zone or region, one from anywhere.
-func (n *Node) spread(now time.Time) {
+// sendGossip sends queued updates to gossipFanout members: the last one is a random member of the whole fleet, the
+// others are close to this process (see localSpan).
+func (n *Node) sendGossip(now time.Time) {
 	n.nextGossip = now.Add(gossipInterval)
 	for _, receiver := range n.gossipReceivers() {
-		states := n.riding(receiver)
+		states := n.piggybackUpdates(receiver)
 		if len(states) == 0 {
 			return
 		}
@@ -169,14 +179,15 @@
 	}
 }
 
+// gossipReceivers returns the random members that the next round of gossip goes to.
 func (n *Node) gossipReceivers() []*peer {
 	var receivers []*peer
-	for index := range fanout {
-		near := n.near()
-		if index == fanout-1 {
-			near = n.everywhere()
+	for index := range gossipFanout {
+		within := n.localSpan()
+		if index == gossipFanout-1 {
+			within = n.wholeRing()
 		}
-		if receiver := n.pick(near, receivers); receiver != nil {
+		if receiver := n.pickRandom(within, receivers); receiver != nil {
 			receivers = append(receivers, receiver)
 		}
 	}
--- a/internal/swim/updates_test.go
+++ b/internal/swim/updates_test.go
@@ -23,35 +23,35 @@
 	return strings.Join(names, " ")
 }
 
-func TestUpdatesToldLeastGoFirst(t *testing.T) {
+func TestLeastSentUpdatesGoFirst(t *testing.T) {
 	queue := newUpdateQueue()
 	queue.add(updateAbout("a", 1), 0)
-	assert.Equal(t, namesOf(queue.pick(updateBytes, 8)), "a")
+	assert.Equal(t, namesOf(queue.dequeue(maxUpdateBytes, 8)), "a")
 	queue.add(updateAbout("b", 1), 0)
-	assert.Equal(t, namesOf(queue.pick(updateBytes, 8)), "b a")
+	assert.Equal(t, namesOf(queue.dequeue(maxUpdateBytes, 8)), "b a")
 	queue.add(updateAbout("c", 1), 0)
 	one := proto.Size(updateAbout("c", 1)) + stateOverhead
-	assert.Equal(t, namesOf(queue.pick(one, 8)), "c")
+	assert.Equal(t, namesOf(queue.dequeue(one, 8)), "c")
 }
 
 func TestUpdateIsReplaced(t *testing.T) {
 	queue := newUpdateQueue()
 	queue.add(updateAbout("a", 1), 0)
 	queue.add(updateAbout("a", 2), 0)
-	picked := queue.pick(updateBytes, 8)
+	picked := queue.dequeue(maxUpdateBytes, 8)
 	assert.Equal(t, len(picked), 1)
 	assert.Equal(t, picked[0].Incarnation, uint64(2))
 }
 
-func TestUpdateHeardAgainIsToldLess(t *testing.T) {
+func TestDuplicateUpdateIsSentLess(t *testing.T) {
 	queue := newUpdateQueue()
 	queue.add(updateAbout("a", 1), 0)
 	same := report{Member: Member{Name: "a", Incarnation: 1}}
 	older := report{Member: Member{Name: "a"}}
-	queue.heardAgain(older)
-	queue.heardAgain(same)
-	assert.Equal(t, len(queue.pick(updateBytes, 2)), 1)
-	assert.Equal(t, len(queue.pick(updateBytes, 2)), 0)
+	queue.noteDuplicate(older)
+	queue.noteDuplicate(same)
+	assert.Equal(t, len(queue.dequeue(maxUpdateBytes, 2)), 1)
+	assert.Equal(t, len(queue.dequeue(maxUpdateBytes, 2)), 0)
 	assert.Assert(t, queue.empty())
 }
 
@@ -59,31 +59,31 @@
 	rapid.Check(t, func(t *rapid.T) {
 		queue := newUpdateQueue()
 		limit := rapid.IntRange(1, 6).Draw(t, "limit")
-		told := map[string]int{}
+		sendCounts := map[string]int{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "add") {
 				name := rapid.StringMatching(`[a-f]{1,300}`).Draw(t, "name")
 				queue.add(updateAbout(name, 1), 0)
-				told[name] = 0
+				sendCounts[name] = 0
 				continue
 			}
-			room := rapid.IntRange(0, updateBytes).Draw(t, "room")
+			budget := rapid.IntRange(0, maxUpdateBytes).Draw(t, "room")
 			size := 0
-			for _, state := range queue.pick(room, limit) {
+			for _, state := range queue.dequeue(budget, limit) {
 				size += proto.Size(state) + stateOverhead
-				told[state.Name]++
-				assert.Assert(t, told[state.Name] <= limit)
+				sendCounts[state.Name]++
+				assert.Assert(t, sendCounts[state.Name] <= limit)
 			}
-			assert.Assert(t, size <= room)
+			assert.Assert(t, size <= budget)
 		}
 	})
 }
 
-// What is cut to fit a datagram keeps its first state whatever its size: an answer without it would say nothing.
+// trimToDatagram keeps the first state whatever its size, because a message without it would carry no information.
 func TestTrimKeepsTheFirstState(t *testing.T) {
-	large := updateAbout(strings.Repeat("n", updateBytes), 1)
-	assert.Equal(t, len(trim([]*swimpb.State{large, updateAbout("a", 1)})), 1)
+	large := updateAbout(strings.Repeat("n", maxUpdateBytes), 1)
+	assert.Equal(t, len(trimToDatagram([]*swimpb.State{large, updateAbout("a", 1)})), 1)
 	small := []*swimpb.State{updateAbout("a", 1), updateAbout("b", 1)}
-	assert.Equal(t, len(trim(small)), 2)
-	assert.Equal(t, len(trim(append(small, large))), 2)
+	assert.Equal(t, len(trimToDatagram(small)), 2)
+	assert.Equal(t, len(trimToDatagram(append(small, large))), 2)
 }
