--- a/cmd/cherrytrestle/main.go
+++ b/cmd/cherrytrestle/main.go
@@ -119,7 +119,7 @@
 		}()
 		err = r.Run(ctx)
 		close(ended)
-		if !errors.Is(err, relay.ErrBack) || ctx.Err() != nil {
+		if !errors.Is(err, relay.ErrSuccessorGone) || ctx.Err() != nil {
 			return err
 		}
 		slog.Warn("starting over", "err", err)
--- a/internal/control/build.go
+++ b/internal/control/build.go
@@ -71,9 +71,9 @@
 		HeartbeatInterval: cfg.Heartbeat(),
 		Self:              cfg.InternalAddress(),
 		Zone:              cfg.Zone,
-		Life:              random.Uint64(),
+		RunID:             random.Uint64(),
 	}, now)
-	p.instances.SetInTouch(now, false) // until a majority has confirmed the epoch
+	p.instances.SetMajorityReachable(now, false) // until a majority has confirmed the epoch
 	return initial, nil
 }
 
--- a/internal/control/instances.go
+++ b/internal/control/instances.go
@@ -99,15 +99,15 @@
 	if change.Changed {
 		p.sendFeed(p.feed.SetInstances(now, []registry.Instance{change.Instance}))
 	}
-	if !change.Changed && !change.NeedsReplica {
+	if !change.Changed && !change.NeedsReplication {
 		return nil, 0
 	}
-	if !change.NeedsReplica {
+	if !change.NeedsReplication {
 		p.pendingChanges.add(change)
 		return nil, 0
 	}
 	replica := p.instances.Replicate(now, change)
-	if !replica.Safe {
+	if !replica.Committed {
 		replicated = p.replicationWaits.add(replica.ID)
 	}
 	p.broadcast(replica.Message)
@@ -171,7 +171,7 @@
 		p.sendFeed(p.feed.SetInstances(now, output.Changed))
 	}
 	p.feed.SetComplete(p.instances.Complete(now))
-	p.replicationWaits.complete(p.instances.TakeSafe())
+	p.replicationWaits.complete(p.instances.TakeCommitted())
 }
 
 // receiveRegistry merges the instance states that another control process reports.
@@ -183,5 +183,5 @@
 	if len(changed) > 0 {
 		p.sendFeed(p.feed.SetInstances(now, changed))
 	}
-	p.replicationWaits.complete(p.instances.TakeSafe())
+	p.replicationWaits.complete(p.instances.TakeCommitted())
 }
--- a/internal/control/process.go
+++ b/internal/control/process.go
@@ -166,7 +166,7 @@
 	p.applyChainOutput(p.chain.Liveness(now, p.aliveControl()))
 	p.applyChainOutput(p.chain.Tick(now))
 	fresh := p.chain.Fresh(now)
-	p.instances.SetInTouch(now, fresh)
+	p.instances.SetMajorityReachable(now, fresh)
 	p.heartbeatGate.setQuorum(now, fresh)
 	p.tickInstances(now)
 	p.feed.SetFresh(fresh)
--- a/internal/distribution/apply.go
+++ b/internal/distribution/apply.go
@@ -175,7 +175,7 @@
 		h.Instance = received
 	}
 	h.State = state
-	h.Reported = registry.Furthest(reported, received.Reported)
+	h.Reported = registry.FurthestState(reported, received.Reported)
 	h.Seq = max(seq, received.Seq)
 }
 
--- a/internal/distribution/hints.go
+++ b/internal/distribution/hints.go
@@ -93,7 +93,7 @@
 		h.overflowed = true
 		return
 	}
-	if known && registry.Furthest(existing.Reported, instance.Reported) != instance.Reported {
+	if known && registry.FurthestState(existing.Reported, instance.Reported) != instance.Reported {
 		return
 	}
 	h.instances[instance.ID] = instance
--- a/internal/distribution/walk_test.go
+++ b/internal/distribution/walk_test.go
@@ -114,7 +114,7 @@
 	}
 	known.ChangedSeq++
 	known.Seq = known.ChangedSeq
-	known.Reported = registry.Furthest(known.Reported,
+	known.Reported = registry.FurthestState(known.Reported,
 		rapid.SampledFrom([]registry.State{ready, ready, draining, gone}).Draw(walk.t, "state"))
 	known.State = known.Reported
 	walk.instances[id] = known
@@ -148,7 +148,7 @@
 		walk.revisions[name] = revision
 		for id, known := range subscriber.instances {
 			previous := walk.reported[name][id]
-			furthest := registry.Furthest(known.Reported, previous)
+			furthest := registry.FurthestState(known.Reported, previous)
 			assert.Equal(walk.t, furthest, known.Reported, "instance %s at %s", id, name)
 			walk.reported[name][id] = known.Reported
 		}
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// Furthest returns the more advanced of two reported states, the one from which an instance cannot go back to the
+// FurthestState returns the more advanced of two reported states, the one from which an instance cannot go back to the
 // other.
-func Furthest(a, b State) State {
+func FurthestState(a, b State) State {
 	if stateRank(b) > stateRank(a) {
 		return b
 	}
--- a/internal/registry/merge.go
+++ b/internal/registry/merge.go
@@ -49,7 +49,7 @@
 
 // newMessage returns a message without content from this process.
 func (t *Table) newMessage() *feedpb.RegistryMessage {
-	return &feedpb.RegistryMessage{Source: t.options.Self, Life: t.options.Life}
+	return &feedpb.RegistryMessage{Source: t.options.Self, Life: t.options.RunID}
 }
 
 func isEmpty(message *feedpb.RegistryMessage) bool {
@@ -88,7 +88,7 @@
 	if !exists || incoming.ChangedSeq > known.ChangedSeq {
 		t.applyDescription(now, known, incoming)
 	}
-	known.Reported = Furthest(known.Reported, incoming.Reported)
+	known.Reported = FurthestState(known.Reported, incoming.Reported)
 	t.refreshState(now, known)
 	t.rehash(known)
 	if exists && known.SameAs(before) {
--- a/internal/registry/merge_test.go
+++ b/internal/registry/merge_test.go
@@ -44,17 +44,17 @@
 	one.SetPeers([]Peer{{Name: "c2", Zone: "hall-a"}, {Name: "c3", Zone: "hall-b"}}, []string{"c1", "c2", "c3"})
 	sameZonePeer, otherZonePeer := newTestTable("c2", "hall-a", at(0)), newTestTable("c3", "hall-b", at(0))
 	change := one.Heartbeat(at(0), heartbeatOf("i", 1).draining())
-	assert.Assert(t, change.NeedsReplica)
+	assert.Assert(t, change.NeedsReplication)
 	replica := one.Replicate(at(0), change)
-	assert.Assert(t, !replica.Safe)
+	assert.Assert(t, !replica.Committed)
 	exchange(at(10), one, sameZonePeer, replica.Message)
 	assert.Assert(t, !one.IsCommitted(replica.ID))
 	exchange(at(20), one, otherZonePeer, replica.Message)
 	assert.Assert(t, one.IsCommitted(replica.ID))
-	assert.DeepEqual(t, one.TakeSafe(), []uint64{replica.ID})
-	assert.Equal(t, len(one.TakeSafe()), 0)
+	assert.DeepEqual(t, one.TakeCommitted(), []uint64{replica.ID})
+	assert.Equal(t, len(one.TakeCommitted()), 0)
 	again := one.Heartbeat(at(1200), heartbeatOf("i", 2).draining())
-	assert.Assert(t, !again.NeedsReplica)
+	assert.Assert(t, !again.NeedsReplication)
 	assert.Equal(t, stateOf(t, otherZonePeer, "i"), StateDraining)
 }
 
@@ -62,9 +62,9 @@
 	one, two := connectedPair(at(0))
 	exchange(at(0), one, two, one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1).draining())).Message)
 	change := one.Leave(at(100), "i")
-	assert.Assert(t, change.NeedsReplica)
+	assert.Assert(t, change.NeedsReplication)
 	exchange(at(100), one, two, one.Replicate(at(100), change).Message)
-	assert.Assert(t, !one.Leave(at(200), "i").NeedsReplica)
+	assert.Assert(t, !one.Leave(at(200), "i").NeedsReplication)
 	assert.Equal(t, stateOf(t, two, "i"), StateGone)
 }
 
@@ -83,19 +83,19 @@
 	one, two := connectedPair(at(0))
 	exchange(at(0), one, two, one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1).draining())).Message)
 	one.SetPeers([]Peer{{Name: "c3", Zone: "hall-c"}}, []string{"c1", "c2", "c3"})
-	assert.Assert(t, one.Heartbeat(at(100), heartbeatOf("i", 2).draining()).NeedsReplica)
+	assert.Assert(t, one.Heartbeat(at(100), heartbeatOf("i", 2).draining()).NeedsReplication)
 }
 
 func TestSingleProcessCommitsOnlyWithMajority(t *testing.T) {
 	one := newTestTable("c1", "hall-a", at(0))
 	one.SetPeers(nil, []string{"c1"})
 	change := one.Heartbeat(at(0), heartbeatOf("i", 1).draining())
-	assert.Assert(t, one.Replicate(at(0), change).Safe)
-	one.SetInTouch(at(100), false)
+	assert.Assert(t, one.Replicate(at(0), change).Committed)
+	one.SetMajorityReachable(at(100), false)
 	replica := one.Replicate(at(100), change)
-	assert.Assert(t, !replica.Safe)
-	one.SetInTouch(at(200), true)
-	assert.DeepEqual(t, one.TakeSafe(), []uint64{replica.ID})
+	assert.Assert(t, !replica.Committed)
+	one.SetMajorityReachable(at(200), true)
+	assert.DeepEqual(t, one.TakeCommitted(), []uint64{replica.ID})
 }
 
 func TestChangeIsSentAgainUntilAcknowledged(t *testing.T) {
@@ -116,7 +116,7 @@
 	one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1).draining()))
 	tickUntil(one, 0, 3000)
 	assert.Equal(t, len(one.replicas), 0)
-	assert.Equal(t, len(one.TakeSafe()), 0)
+	assert.Equal(t, len(one.TakeCommitted()), 0)
 }
 
 func TestAcknowledgementToAnEarlierRunDoesNotCount(t *testing.T) {
@@ -226,7 +226,7 @@
 func TestForgottenInstanceIsNotBroughtBack(t *testing.T) {
 	one, two := connectedPair(at(0))
 	one.Heartbeat(at(0), heartbeatOf("i", 1))
-	one.SetInTouch(at(0), false) // without majority contact the instance does not expire
+	one.SetMajorityReachable(at(0), false) // without majority contact the instance does not expire
 	tickUntil(one, 0, 15_000)
 	tickUntil(two, 0, 15_000)
 	message := one.newMessage()
@@ -306,15 +306,15 @@
 	drain := one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1).draining()))
 	exchange(at(10), one, tables["c2"], drain.Message)
 	assert.Assert(t, !one.IsCommitted(drain.ID))
-	assert.Assert(t, one.Heartbeat(at(100), heartbeatOf("i", 2).draining()).NeedsReplica)
-	assert.Assert(t, tables["c2"].Heartbeat(at(100), heartbeatOf("i", 3).draining()).NeedsReplica)
+	assert.Assert(t, one.Heartbeat(at(100), heartbeatOf("i", 2).draining()).NeedsReplication)
+	assert.Assert(t, tables["c2"].Heartbeat(at(100), heartbeatOf("i", 3).draining()).NeedsReplication)
 	leave := one.Replicate(at(200), one.Leave(at(200), "i"))
 	exchange(at(210), one, tables["c2"], leave.Message)
 	assert.Assert(t, !one.IsCommitted(leave.ID))
 
 	exchange(at(5000), one, tables["c5"], leave.Message) // the partition has ended
 	assert.Assert(t, one.IsCommitted(leave.ID))
-	assert.Assert(t, !one.Leave(at(5100), "i").NeedsReplica)
+	assert.Assert(t, !one.Leave(at(5100), "i").NeedsReplication)
 }
 
 // A process loses its table when it restarts. It counts as holding a departure again only after it has received it anew.
@@ -322,11 +322,11 @@
 	one, two := connectedPair(at(0))
 	drain := one.Replicate(at(0), one.Heartbeat(at(0), heartbeatOf("i", 1).draining()))
 	exchange(at(10), one, two, drain.Message)
-	assert.Assert(t, !one.Heartbeat(at(100), heartbeatOf("i", 2).draining()).NeedsReplica)
+	assert.Assert(t, !one.Heartbeat(at(100), heartbeatOf("i", 2).draining()).NeedsReplication)
 	restarted := newTestTable("c2", "hall-b", at(200))
 	restarted.SetPeers([]Peer{{Name: "c1", Zone: "hall-a"}}, []string{"c1", "c2"})
 	exchange(at(700), restarted, one, restarted.Tick(at(700)).Broadcast)
-	assert.Assert(t, one.Heartbeat(at(800), heartbeatOf("i", 3).draining()).NeedsReplica)
+	assert.Assert(t, one.Heartbeat(at(800), heartbeatOf("i", 3).draining()).NeedsReplication)
 }
 
 // An instance that is first reported when its last heartbeat is older than SilentAfter is silent, not ready and not gone.
@@ -334,7 +334,7 @@
 	one, two := connectedPair(at(0))
 	change := one.Heartbeat(at(0), heartbeatOf("i", 1))
 	later := at(0).Add(2*one.options.SilentAfter - time.Millisecond)
-	one.SetInTouch(later, true)
+	one.SetMajorityReachable(later, true)
 	exchange(later, one, two, one.Replicate(later, change).Message)
 	assert.Equal(t, stateOf(t, two, "i"), StateSilent)
 }
@@ -404,7 +404,7 @@
 		return len(answer.Buckets) > 0
 	}
 	filling, _ := connectedPair(at(0))
-	filling.SetInTouch(at(0), true)
+	filling.SetMajorityReachable(at(0), true)
 	const settled = 60_000
 	assert.Assert(t, !filling.Complete(at(1000)) && filling.Complete(at(settled)))
 	assert.Assert(t, asked(filling, 1000), "the first mismatch must trigger a comparison")
--- a/internal/registry/receive.go
+++ b/internal/registry/receive.go
@@ -47,7 +47,7 @@
 	instance.Slots = heartbeat.Slots
 	instance.Phase = heartbeat.Phase
 	instance.Models = heartbeat.Models
-	instance.Reported = Furthest(instance.Reported, heartbeat.State)
+	instance.Reported = FurthestState(instance.Reported, heartbeat.State)
 	instance.State = instance.Reported
 	instance.ColdUntil = mergeColdUntil(now, instance.ColdUntil, heartbeat.Warmup)
 	if heartbeat.Notice {
@@ -149,9 +149,9 @@
 // change returns the Change that describes the effect of an input on a record.
 func (t *Table) change(known *record, changed bool) Change {
 	return Change{
-		Instance:     known.Instance,
-		Changed:      changed,
-		NeedsReplica: t.needsReplica(known),
+		Instance:         known.Instance,
+		Changed:          changed,
+		NeedsReplication: t.needsReplica(known),
 	}
 }
 
--- a/internal/registry/replicate.go
+++ b/internal/registry/replicate.go
@@ -70,9 +70,9 @@
 
 // Replica is a change that is being replicated to the other control processes.
 type Replica struct {
-	ID      uint64
-	Message *feedpb.RegistryMessage // to be sent to each of these processes
-	Safe    bool                    // the change is committed already and may be acknowledged to the endpoint at once
+	ID        uint64
+	Message   *feedpb.RegistryMessage // to be sent to each of these processes
+	Committed bool                    // the change is committed already and may be acknowledged to the endpoint at once
 }
 
 // replica is the state kept about a change that is being replicated.
@@ -87,7 +87,7 @@
 
 // Replicate returns the message that replicates changes to the other control processes. A change is committed once a
 // majority of the electorate holds it, including this process and, if a control process of another zone is reachable,
-// one in another zone; see TakeSafe. Whichever side of a network partition has a majority, one of its processes then
+// one in another zone; see TakeCommitted. Whichever side of a network partition has a majority, one of its processes then
 // holds the change and replicates it to the others. Tick resends it to the processes that did not acknowledge it.
 func (t *Table) Replicate(now time.Time, changes ...Change) Replica {
 	t.nextReplica++
@@ -99,7 +99,7 @@
 	id := t.nextReplica
 	t.replicas[id] = added
 	added.committed = t.isQuorum(added.isAcknowledgedBy)
-	return Replica{ID: id, Message: t.replicaMessage(now, id, added), Safe: added.committed}
+	return Replica{ID: id, Message: t.replicaMessage(now, id, added), Committed: added.committed}
 }
 
 // IsCommitted reports whether a change is committed. It returns false for changes that are forgotten: those that all
@@ -109,8 +109,8 @@
 	return exists && known.committed
 }
 
-// TakeSafe returns the IDs of the changes that were committed since the last call.
-func (t *Table) TakeSafe() []uint64 {
+// TakeCommitted returns the IDs of the changes that were committed since the last call.
+func (t *Table) TakeCommitted() []uint64 {
 	taken := t.newlyCommitted
 	t.newlyCommitted = nil
 	return taken
@@ -130,7 +130,7 @@
 
 // applyAcknowledgement records that a peer holds a change.
 func (t *Table) applyAcknowledgement(sender *peer, acknowledgement *feedpb.Acknowledgement) {
-	if acknowledgement == nil || acknowledgement.GetLife() != t.options.Life {
+	if acknowledgement == nil || acknowledgement.GetLife() != t.options.RunID {
 		return
 	}
 	id := acknowledgement.GetDelta()
@@ -205,7 +205,7 @@
 	}
 	before := known.replicatedTo[holder.name]
 	if before.runID == holder.runID {
-		reported = Furthest(before.reported, reported)
+		reported = FurthestState(before.reported, reported)
 	}
 	known.replicatedTo[holder.name] = replicaState{runID: holder.runID, reported: reported}
 }
--- a/internal/registry/simulation_test.go
+++ b/internal/registry/simulation_test.go
@@ -119,10 +119,10 @@
 	for _, send := range output.Sends {
 		s.send(name, send.To, send.Message)
 	}
-	for _, committed := range table.TakeSafe() {
+	for _, committed := range table.TakeCommitted() {
 		for _, known := range s.endpoints {
 			if departure := known.pendingDepartures[name]; departure.replica == committed {
-				known.acknowledged = Furthest(known.acknowledged, departure.reported)
+				known.acknowledged = FurthestState(known.acknowledged, departure.reported)
 			}
 		}
 	}
@@ -146,7 +146,7 @@
 		known.heartbeat.Seq++
 		change = table.Heartbeat(s.now, known.heartbeat)
 	}
-	if !change.Changed && !change.NeedsReplica {
+	if !change.Changed && !change.NeedsReplication {
 		if known.reported() != StateReady {
 			known.acknowledged = known.reported()
 		}
@@ -156,7 +156,7 @@
 	for _, other := range s.names() {
 		s.send(name, other, replica.Message)
 	}
-	if change.NeedsReplica {
+	if change.NeedsReplication {
 		known.pendingDepartures[name] = pendingDeparture{replica: replica.ID, reported: known.reported()}
 	}
 }
--- a/internal/registry/table.go
+++ b/internal/registry/table.go
@@ -22,7 +22,7 @@
 	HeartbeatInterval time.Duration // time between two heartbeats of an endpoint
 	Self              string        // internal address of this process
 	Zone              string        // zone of this process
-	Life              uint64        // random ID of this run of the process; each start has another one
+	RunID             uint64        // random ID of this run of the process; each start has another one
 	SilentAfter       time.Duration // time without a heartbeat after which an instance is silent
 	GoneAfter         time.Duration // time without a heartbeat after which an instance is gone
 	CompleteAfter     time.Duration // time after the start, or after a loss of contact, until the table counts as complete
@@ -48,9 +48,9 @@
 type Change struct {
 	Instance Instance
 	Changed  bool // the known state or description of the instance changed
-	// NeedsReplica reports that the instance announced its departure and that too few control processes are known to
+	// NeedsReplication reports that the instance announced its departure and that too few control processes are known to
 	// hold this. It must not be acknowledged to the instance before the change that Replicate returns is committed.
-	NeedsReplica bool
+	NeedsReplication bool
 }
 
 // Table is the table of instances at one control process. It isn't safe for concurrent use.
@@ -64,7 +64,7 @@
 	electorate           []string // names of the voting control processes
 	replicas             map[uint64]*replica
 	nextReplica          uint64
-	newlyCommitted       []uint64  // IDs of the replicas committed since the last TakeSafe
+	newlyCommitted       []uint64  // IDs of the replicas committed since the last TakeCommitted
 	unreportedHeartbeats []*record // received a heartbeat here since the last digest
 	superseded           []*record // lost their address; returned by the next Tick or Merge
 
@@ -130,9 +130,9 @@
 	return t.majorityReachable && now.Sub(t.silenceCountedFrom) >= t.options.CompleteAfter
 }
 
-// SetInTouch sets whether this process is in contact with a majority of the control processes. Without that contact
+// SetMajorityReachable sets whether this process is in contact with a majority of the control processes. Without that contact
 // no instance expires, and when it returns, silence is counted from then on.
-func (t *Table) SetInTouch(now time.Time, reachable bool) {
+func (t *Table) SetMajorityReachable(now time.Time, reachable bool) {
 	if reachable && !t.majorityReachable {
 		t.silenceCountedFrom = now
 	}
--- a/internal/registry/table_test.go
+++ b/internal/registry/table_test.go
@@ -17,7 +17,7 @@
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func newTestTable(name, zone string, now time.Time) *Table {
-	return NewTable(Options{HeartbeatInterval: testInterval, Self: name, Zone: zone, Life: IDHash(name + now.String())}, now)
+	return NewTable(Options{HeartbeatInterval: testInterval, Self: name, Zone: zone, RunID: IDHash(name + now.String())}, now)
 }
 
 func heartbeatOf(id string, seq uint64) Heartbeat {
@@ -143,9 +143,9 @@
 func TestNothingExpiresWithoutMajority(t *testing.T) {
 	table := newTestTable("c1", "hall-a", at(0))
 	table.Heartbeat(at(0), heartbeatOf("i", 1))
-	table.SetInTouch(at(500), false)
+	table.SetMajorityReachable(at(500), false)
 	assert.Equal(t, len(tickUntil(table, 500, 20_000)), 0)
-	table.SetInTouch(at(20_000), true)
+	table.SetMajorityReachable(at(20_000), true)
 	assert.Assert(t, !table.Complete(at(20_100)))
 	assert.Equal(t, len(tickUntil(table, 20_100, 22_900)), 0)
 	assert.Assert(t, table.Complete(at(22_900)))
@@ -287,7 +287,7 @@
 	fmt.Println(table.Heartbeat(now, heartbeat).Changed)
 	heartbeat.Seq, heartbeat.State = 2, StateDraining
 	change := table.Heartbeat(now.Add(time.Second), heartbeat)
-	fmt.Println(change.Instance.State, change.NeedsReplica)
+	fmt.Println(change.Instance.State, change.NeedsReplication)
 	// Output:
 	// true
 	// draining true
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -105,7 +105,7 @@
 	serving        atomic.Bool           // client connections are accepted
 	handedOver     atomic.Bool           // a successor process took over the relay
 	successorLost  atomic.Bool           // that successor process is gone
-	restart        atomic.Bool           // Run returns ErrBack
+	restart        atomic.Bool           // Run returns ErrSuccessorGone
 	ending         atomic.Bool           // SIGTERM was received, or Run is returning
 	listenerState  atomic.Pointer[policy.ListenerState]
 	runningCalls   sync.WaitGroup
@@ -207,7 +207,7 @@
 	return r, nil
 }
 
-// Run serves until ctx ends, and then shuts down in the stages that the decision module sets. It returns ErrBack if the
+// Run serves until ctx ends, and then shuts down in the stages that the decision module sets. It returns ErrSuccessorGone if the
 // process has to start the relay again from the log.
 func (r *Relay) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.Join(err, r.closeLog()) }()
@@ -274,7 +274,7 @@
 	tasks.Wait()
 	r.hosts.close()
 	if r.restart.Load() {
-		err = errors.Join(err, ErrBack)
+		err = errors.Join(err, ErrSuccessorGone)
 	}
 	return err
 }
--- a/internal/relay/takeover.go
+++ b/internal/relay/takeover.go
@@ -20,9 +20,9 @@
 // the successor afterwards. The predecessor then becomes a forwarder: it finishes its calls in flight and reports their
 // results, and passes on what its open client connections submit, until all of them have ended.
 
-// ErrBack says that the successor process that took over the relay is gone. This process has to start the relay again from
+// ErrSuccessorGone says that the successor process that took over the relay is gone. This process has to start the relay again from
 // the write-ahead log.
-var ErrBack = errors.New("relay: the successor is gone")
+var ErrSuccessorGone = errors.New("relay: the successor is gone")
 
 const (
 	handoverTimeout       = 2 * time.Second // for the successor to take over
@@ -551,7 +551,7 @@
 	}
 }
 
-// exitForRestart makes Run return ErrBack, so that the process starts the relay again.
+// exitForRestart makes Run return ErrSuccessorGone, so that the process starts the relay again.
 func (r *Relay) exitForRestart() {
 	r.sendsStopped = true
 	if !r.exiting {
--- a/internal/swim/node.go
+++ b/internal/swim/node.go
@@ -172,9 +172,9 @@
 	}
 }
 
-// Heard records that a message came from a process over a connection. It counts as an acknowledgement, because a
+// RecordContact records that a message came from a process over a connection. It counts as an acknowledgement, because a
 // connection works only if messages pass in both directions.
-func (n *Node) Heard(now time.Time, address string) {
+func (n *Node) RecordContact(now time.Time, address string) {
 	if known := n.table.byAddress[address]; known != nil && known != n.self {
 		known.lastContact = now
 	}
--- a/internal/swim/node_test.go
+++ b/internal/swim/node_test.go
@@ -334,7 +334,7 @@
 	n.blocked = func(from, _ *machine) bool { return from == silenced }
 	for range 100 {
 		for _, each := range excluding(n.all, silenced) {
-			each.node.Heard(n.now, silenced.self.Address)
+			each.node.RecordContact(n.now, silenced.self.Address)
 		}
 		n.run(100 * time.Millisecond)
 	}
--- a/internal/swim/spread_test.go
+++ b/internal/swim/spread_test.go
@@ -77,8 +77,8 @@
 	n := convergedFleet(t, 3, 3)
 	node := n.all[0].node
 	before := node.self.lastContact
-	node.Heard(n.now, "10.9.9.9:7000")
-	node.Heard(n.now, node.self.Address)
+	node.RecordContact(n.now, "10.9.9.9:7000")
+	node.RecordContact(n.now, node.self.Address)
 	assert.Equal(t, node.self.lastContact, before)
 }
 
