--- a/internal/transport/mesh_test.go
+++ b/internal/transport/mesh_test.go
@@ -19,52 +19,54 @@
 	"gotest.tools/v3/assert"
 )
 
-// patience bounds every wait on a loopback socket.
-const patience = 10 * time.Second
+// waitTimeout bounds every wait for a loopback socket.
+const waitTimeout = 10 * time.Second
 
-// letter is what a handler got.
-type letter struct {
+// delivery is a call of a handler.
+type delivery struct {
 	from    string
 	kind    Kind
 	payload []byte
 }
 
-// mailbox gathers what a handler gets.
-type mailbox struct{ letters chan letter }
+// recorder is a handler that records its calls.
+type recorder struct{ deliveries chan delivery }
 
-func newMailbox() mailbox { return mailbox{letters: make(chan letter, 1<<14)} }
+func newRecorder() recorder { return recorder{deliveries: make(chan delivery, 1<<14)} }
 
-func (b mailbox) handle(from string, kind Kind, payload []byte) {
-	b.letters <- letter{from: from, kind: kind, payload: payload}
+func (r recorder) handle(from string, kind Kind, payload []byte) {
+	r.deliveries <- delivery{from: from, kind: kind, payload: payload}
 }
 
-func (b mailbox) next(t *testing.T) letter {
+// next returns the next received message.
+func (r recorder) next(t *testing.T) delivery {
 	t.Helper()
 	select {
-	case got := <-b.letters:
+	case got := <-r.deliveries:
 		return got
-	case <-time.After(patience):
-		t.Fatal("nothing came")
-		return letter{}
+	case <-time.After(waitTimeout):
+		t.Fatal("no message arrived in time")
+		return delivery{}
 	}
 }
 
-func listen(t *testing.T, options Options) (*Mesh, mailbox) {
+// listen starts a mesh on loopback and returns it with the recorder of its messages.
+func listen(t *testing.T, options Options) (*Mesh, recorder) {
 	t.Helper()
-	box := newMailbox()
-	options.Handler = box.handle
+	received := newRecorder()
+	options.Handler = received.handle
 	if options.Address == "" {
 		options.Address = "127.0.0.1:0"
 	}
 	mesh, err := Listen(options)
 	assert.NilError(t, err)
 	t.Cleanup(mesh.Close)
-	return mesh, box
+	return mesh, received
 }
 
 func text(value string) *wrapperspb.StringValue { return wrapperspb.String(value) }
 
-// incompressible is a message that takes as many bytes on the wire as it has.
+// incompressible returns a message of random bytes.
 func incompressible(size int) *wrapperspb.BytesValue {
 	random := make([]byte, size)
 	for index := range random {
@@ -73,6 +75,7 @@
 	return wrapperspb.Bytes(random)
 }
 
+// textOf decodes the payload of a StringValue.
 func textOf(t *testing.T, payload []byte) string {
 	t.Helper()
 	assert.Assert(t, len(payload) == 0 || payload[0] == 0x0a)
@@ -87,30 +90,30 @@
 	return string(rest)
 }
 
-// eventually polls a condition on counters that other goroutines raise.
-func eventually(t *testing.T, condition func() bool) {
+// waitUntil polls until a condition is true.
+func waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
 	ticker := time.NewTicker(2 * time.Millisecond)
 	defer ticker.Stop()
-	limit := time.After(patience)
+	limit := time.After(waitTimeout)
 	for !condition() {
 		select {
 		case <-ticker.C:
 		case <-limit:
-			t.Fatal("the condition did not come true")
+			t.Fatal("the condition did not become true in time")
 		}
 	}
 }
 
 func TestSendInOrderOverOneConnection(t *testing.T) {
 	sender, _ := listen(t, Options{})
-	receiver, box := listen(t, Options{})
+	receiver, received := listen(t, Options{})
 	const count = 2000
 	for index := range count {
 		sender.Send(receiver.Address(), KindChain, text(fmt.Sprint(index)))
 	}
 	for index := range count {
-		got := box.next(t)
+		got := received.next(t)
 		assert.Equal(t, got.from, sender.Address())
 		assert.Equal(t, got.kind, KindChain)
 		assert.Equal(t, textOf(t, got.payload), fmt.Sprint(index))
@@ -121,21 +124,21 @@
 
 func TestLargeAndEmptyFrames(t *testing.T) {
 	sender, _ := listen(t, Options{})
-	receiver, box := listen(t, Options{})
+	receiver, received := listen(t, Options{})
 	large := strings.Repeat("x", MaxFrame-64)
 	sender.Send(receiver.Address(), KindFeed, text(large))
-	assert.Equal(t, len(textOf(t, box.next(t).payload)), len(large))
+	assert.Equal(t, len(textOf(t, received.next(t).payload)), len(large))
 	sender.Send(receiver.Address(), KindFeed, text(""))
-	assert.Equal(t, len(box.next(t).payload), 0)
+	assert.Equal(t, len(received.next(t).payload), 0)
 	sender.Send(receiver.Address(), KindFeed, text(strings.Repeat("x", MaxFrame)))
 	assert.Equal(t, sender.Counters().DroppedLarge, uint64(1))
 }
 
 func TestDatagrams(t *testing.T) {
 	sender, _ := listen(t, Options{})
-	receiver, box := listen(t, Options{})
+	receiver, received := listen(t, Options{})
 	sender.SendDatagram(receiver.Address(), KindSwim, text("ping"))
-	got := box.next(t)
+	got := received.next(t)
 	assert.Equal(t, got.from, sender.Address())
 	assert.Equal(t, got.kind, KindSwim)
 	assert.Equal(t, textOf(t, got.payload), "ping")
@@ -146,44 +149,44 @@
 }
 
 func TestOwnAddressIsDeliveredLocally(t *testing.T) {
-	mesh, box := listen(t, Options{})
+	mesh, received := listen(t, Options{})
 	mesh.Send(mesh.Address(), KindLease, text("frame"))
 	mesh.SendDatagram(mesh.Address(), KindSwim, text("datagram"))
-	assert.Equal(t, textOf(t, box.next(t).payload), "frame")
-	got := box.next(t)
+	assert.Equal(t, textOf(t, received.next(t).payload), "frame")
+	got := received.next(t)
 	assert.Equal(t, textOf(t, got.payload), "datagram")
 	assert.Equal(t, got.from, mesh.Address())
 	assert.Equal(t, mesh.Counters().Dials, uint64(0))
 }
 
-func TestPeerThatRestartsIsReachedAgain(t *testing.T) {
+func TestReconnectsToRestartedPeer(t *testing.T) {
 	sender, _ := listen(t, Options{})
-	receiver, box := listen(t, Options{})
+	receiver, received := listen(t, Options{})
 	address := receiver.Address()
-	sender.Send(address, KindChain, text("first life"))
-	assert.Equal(t, textOf(t, box.next(t).payload), "first life")
+	sender.Send(address, KindChain, text("before the restart"))
+	assert.Equal(t, textOf(t, received.next(t).payload), "before the restart")
 	receiver.Close()
-	eventually(t, func() bool { return sender.Counters().PeerClosed == 1 })
-	second, secondBox := listen(t, Options{Address: address})
-	sender.Send(address, KindChain, text("second life"))
-	assert.Equal(t, textOf(t, secondBox.next(t).payload), "second life")
+	waitUntil(t, func() bool { return sender.Counters().PeerClosed == 1 })
+	second, secondReceived := listen(t, Options{Address: address})
+	sender.Send(address, KindChain, text("after the restart"))
+	assert.Equal(t, textOf(t, secondReceived.next(t).payload), "after the restart")
 	assert.Equal(t, second.Counters().Malformed, uint64(0))
 }
 
-func TestDestinationThatComesBackIsReachedWithinASecond(t *testing.T) {
+func TestReconnectsWithinASecond(t *testing.T) {
 	sender, _ := listen(t, Options{})
 	address := freeAddress(t)
 	sender.Send(address, KindChain, text("lost"))
-	eventually(t, func() bool { return sender.Counters().DialFailures >= 4 })
-	eventually(t, func() bool { return sender.Counters().DroppedStale == 1 })
-	_, box := listen(t, Options{Address: address})
-	begin := time.Now()
-	sender.Send(address, KindChain, text("taken"))
-	assert.Equal(t, textOf(t, box.next(t).payload), "taken")
-	assert.Assert(t, time.Since(begin) < time.Second)
+	waitUntil(t, func() bool { return sender.Counters().DialFailures >= 4 })
+	waitUntil(t, func() bool { return sender.Counters().DroppedStale == 1 })
+	_, received := listen(t, Options{Address: address})
+	start := time.Now()
+	sender.Send(address, KindChain, text("delivered"))
+	assert.Equal(t, textOf(t, received.next(t).payload), "delivered")
+	assert.Assert(t, time.Since(start) < time.Second)
 }
 
-// freeAddress returns an address that nobody listens on.
+// freeAddress returns a loopback address that nothing listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -207,7 +210,7 @@
 	assert.Equal(t, bounded.Counters().DroppedFull, uint64(9))
 }
 
-func TestPeerThatDoesNotReadIsGivenUp(t *testing.T) {
+func TestConnectionToPeerThatDoesNotReadIsDropped(t *testing.T) {
 	silent, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = silent.Close() }()
@@ -215,17 +218,17 @@
 	for range 4 {
 		sender.Send(silent.Addr().String(), KindFeed, incompressible(MaxFrame-64))
 	}
-	eventually(t, func() bool { return sender.Counters().DroppedBroken > 0 })
+	waitUntil(t, func() bool { return sender.Counters().DroppedBroken > 0 })
 }
 
 func TestIdleConnectionIsClosed(t *testing.T) {
 	sender, _ := listen(t, Options{IdleTimeout: 50 * time.Millisecond})
-	receiver, box := listen(t, Options{})
+	receiver, received := listen(t, Options{})
 	sender.Send(receiver.Address(), KindChain, text("one"))
-	box.next(t)
-	eventually(t, func() bool { return sender.destinationCount() == 0 && receiver.acceptedCount() == 0 })
+	received.next(t)
+	waitUntil(t, func() bool { return sender.destinationCount() == 0 && receiver.acceptedCount() == 0 })
 	sender.Send(receiver.Address(), KindChain, text("two"))
-	assert.Equal(t, textOf(t, box.next(t).payload), "two")
+	assert.Equal(t, textOf(t, received.next(t).payload), "two")
 	assert.Equal(t, sender.Counters().Dials, uint64(2))
 }
 
@@ -244,16 +247,16 @@
 func TestMalformedBytesEndTheConnection(t *testing.T) {
 	var lines atomic.Int64
 	logger := slog.New(slog.NewTextHandler(countingWriter{lines: &lines}, nil))
-	receiver, box := listen(t, Options{Logger: logger})
-	good := encodeHello("10.0.0.1:7000")
+	receiver, received := listen(t, Options{Logger: logger})
+	hello := encodeHello("10.0.0.1:7000")
 	cases := map[string][]byte{
 		"no frame":          []byte("GET / HTTP/1.1\r\n\r\n"),
 		"no hello":          {0, 0, 0, 1, 1, 'x'},
 		"empty hello":       {0, 0, 0, 0, 0},
 		"other version":     {0, 0, 0, 2, 0, 9, 'x'},
 		"no address":        {0, 0, 0, 4, 0, protocolVersion, 'a', 'b', 'c'},
-		"second hello":      append(bytes.Clone(good), good...),
-		"a frame too large": append(bytes.Clone(good), 0xff, 0, 0, 0, 1),
+		"second hello":      append(bytes.Clone(hello), hello...),
+		"a frame too large": append(bytes.Clone(hello), 0xff, 0, 0, 0, 1),
 	}
 	expected := uint64(0)
 	for name, sent := range cases {
@@ -261,23 +264,23 @@
 		assert.NilError(t, err)
 		_, err = connection.Write(sent)
 		assert.NilError(t, err)
-		assert.NilError(t, connection.SetReadDeadline(time.Now().Add(patience)))
+		assert.NilError(t, connection.SetReadDeadline(time.Now().Add(waitTimeout)))
 		_, err = connection.Read(make([]byte, 1))
-		assert.Assert(t, err != nil && !isTimeout(err), "%s: not closed: %v", name, err)
+		assert.Assert(t, err != nil && !isTimeout(err), "%s: the connection was not closed: %v", name, err)
 		_ = connection.Close()
 		expected++
-		eventually(t, func() bool { return receiver.Counters().Malformed == expected })
+		waitUntil(t, func() bool { return receiver.Counters().Malformed == expected })
 	}
-	assert.Equal(t, len(box.letters), 0)
+	assert.Equal(t, len(received.deliveries), 0)
 	assert.Equal(t, lines.Load(), int64(1))
 }
 
 func isTimeout(err error) bool {
-	var failed net.Error
-	return errors.As(err, &failed) && failed.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// countingWriter counts log lines.
+// countingWriter counts the log lines written to it.
 type countingWriter struct{ lines *atomic.Int64 }
 
 func (w countingWriter) Write(line []byte) (int, error) {
@@ -286,42 +289,42 @@
 }
 
 func TestNewConnectionOfASenderReplacesTheOld(t *testing.T) {
-	receiver, box := listen(t, Options{})
+	receiver, received := listen(t, Options{})
 	older, err := net.Dial("tcp4", receiver.Address())
 	assert.NilError(t, err)
 	defer func() { _ = older.Close() }()
 	_, err = older.Write(append(encodeHello("10.0.0.1:7000"), 0, 0, 0, 0, byte(KindChain)))
 	assert.NilError(t, err)
-	assert.Equal(t, box.next(t).from, "10.0.0.1:7000")
+	assert.Equal(t, received.next(t).from, "10.0.0.1:7000")
 	newer, err := net.Dial("tcp4", receiver.Address())
 	assert.NilError(t, err)
 	defer func() { _ = newer.Close() }()
 	_, err = newer.Write(encodeHello("10.0.0.1:7000"))
 	assert.NilError(t, err)
-	assert.NilError(t, older.SetReadDeadline(time.Now().Add(patience)))
+	assert.NilError(t, older.SetReadDeadline(time.Now().Add(waitTimeout)))
 	_, err = older.Read(make([]byte, 1))
 	assert.Assert(t, err != nil && !isTimeout(err))
 }
 
-func TestConnectionsBeyondTheBoundAreRefused(t *testing.T) {
-	receiver, box := listen(t, Options{MaxAccepted: 1})
+func TestConnectionsAboveTheLimitAreRefused(t *testing.T) {
+	receiver, received := listen(t, Options{MaxAccepted: 1})
 	first, _ := listen(t, Options{})
 	first.Send(receiver.Address(), KindChain, text("first"))
-	box.next(t)
+	received.next(t)
 	second, _ := listen(t, Options{})
 	second.Send(receiver.Address(), KindChain, text("second"))
-	eventually(t, func() bool { return receiver.Counters().Refused > 0 })
+	waitUntil(t, func() bool { return receiver.Counters().Refused > 0 })
 }
 
 func TestListenTwiceFails(t *testing.T) {
 	first, _ := listen(t, Options{})
-	_, err := Listen(Options{Address: first.Address(), Handler: newMailbox().handle})
-	var failed *ListenError
-	assert.Assert(t, errors.As(err, &failed))
-	assert.Equal(t, failed.Address, first.Address())
+	_, err := Listen(Options{Address: first.Address(), Handler: newRecorder().handle})
+	var listenErr *ListenError
+	assert.Assert(t, errors.As(err, &listenErr))
+	assert.Equal(t, listenErr.Address, first.Address())
 }
 
-func TestCloseEndsEverything(t *testing.T) {
+func TestCloseStopsAndIsIdempotent(t *testing.T) {
 	mesh, _ := listen(t, Options{})
 	mesh.Send(freeAddress(t), KindChain, text("x"))
 	mesh.Close()
--- a/internal/transport/message.go
+++ b/internal/transport/message.go
@@ -1,27 +1,28 @@
-// Package transport carries messages between the processes of the system: protobuf payloads in frames over TCP, and single
-// datagrams over UDP for probes. Messages are one-way and may be lost when a connection breaks; answers are messages of their own.
+// Package transport carries messages between the processes of the system: protobuf payloads in frames over TCP, and datagrams
+// over UDP for probes. Messages are one-way and may be lost when a connection breaks. A reply is a message in the other
+// direction.
 package transport
 
 import "google.golang.org/protobuf/proto"
 
-// Kind says which part of a process a message belongs to.
+// Kind identifies the component that a message is for.
 type Kind uint8
 
-// The kinds of message.
+// The message kinds.
 const (
-	KindChain    Kind = 1 // configuration state between control processes
-	KindSwim     Kind = 2 // membership
+	KindChain    Kind = 1 // replication of the configuration between control processes
+	KindSwim     Kind = 2 // SWIM membership protocol
 	KindRegistry Kind = 3 // endpoint instances between control processes
 	KindFeed     Kind = 4 // distribution from control processes and home relays to subscribers
-	KindLease    Kind = 5 // grants of shared budgets
-	KindCall     Kind = 6 // calls that a control process passes on to another
-	_                     // was used by an earlier program
-	KindWorkload Kind = 8 // what relays have at endpoints, between relays
+	KindLease    Kind = 5 // leases on shared budgets
+	KindCall     Kind = 6 // API calls that one control process forwards to another
+	_                     // 7 was used by an earlier version
+	KindWorkload Kind = 8 // load of relays at endpoints, between relays
 
-	kinds = 9 // the kinds, with the unused 0
+	kindCount = 9 // size of an array indexed by Kind
 )
 
-// String names the kind.
+// String returns the name of the kind, as used in metrics and logs.
 func (k Kind) String() string {
 	switch k {
 	case KindChain:
@@ -42,13 +43,13 @@
 	return "unknown"
 }
 
-// Handler takes a message that came from the process whose internal address is from. It is called from several goroutines.
+// Handler handles a message from the process with the internal address from. It is called concurrently.
 type Handler func(from string, kind Kind, payload []byte)
 
-// Sender sends messages. It never blocks: what finds its queue full is dropped and counted.
+// Sender sends messages. It never blocks: a message whose queue is full is dropped and counted.
 type Sender interface {
-	// Send sends over the framed TCP connection to the process at the internal address to.
+	// Send sends a message over TCP to the process at the internal address to.
 	Send(to string, kind Kind, message proto.Message)
-	// SendDatagram sends over UDP; for small messages that may be lost.
+	// SendDatagram sends a message over UDP. It is for small messages that may be lost.
 	SendDatagram(to string, kind Kind, message proto.Message)
 }
--- a/internal/transport/figures.go
+++ b/internal/transport/metrics.go
@@ -6,8 +6,8 @@
 	"wallflow/internal/metrics"
 )
 
-// Families are the counts as figures for scrapers: messages and bytes sent by kind, and messages that were dropped by cause. The names
-// begin with the prefix, which says what process it is.
+// Families returns the counters as Prometheus metrics: messages and bytes sent by kind, and dropped messages by cause. The
+// metric names begin with the prefix, which identifies the program.
 func (c *Counters) Families(prefix string) []*dto.MetricFamily {
 	var messages, bytes []*dto.Metric
 	for kind, sent := range c.Sent {
@@ -19,17 +19,20 @@
 		bytes = append(bytes, metrics.CounterMetric(sent.Bytes, label))
 	}
 	families := []*dto.MetricFamily{
-		metrics.Family(prefix+"_dropped_messages_total", "messages to other processes that were dropped", dto.MetricType_COUNTER, c.dropped()...),
+		metrics.Family(prefix+"_dropped_messages_total", "messages to other processes that were dropped",
+			dto.MetricType_COUNTER, c.droppedMetrics()...),
 	}
 	if len(messages) == 0 {
 		return families
 	}
 	return append(families,
 		metrics.Family(prefix+"_sent_messages_total", "messages sent to other processes", dto.MetricType_COUNTER, messages...),
-		metrics.Family(prefix+"_sent_bytes_total", "bytes of messages sent to other processes, with their own headers", dto.MetricType_COUNTER, bytes...))
+		metrics.Family(prefix+"_sent_bytes_total", "bytes of messages sent to other processes, with their own headers",
+			dto.MetricType_COUNTER, bytes...))
 }
 
-func (c *Counters) dropped() []*dto.Metric {
+// droppedMetrics returns one metric for each cause of dropped messages, also for those that have not occurred.
+func (c *Counters) droppedMetrics() []*dto.Metric {
 	causes := []struct {
 		name  string
 		count uint64
@@ -37,9 +40,9 @@
 		{"queue full", c.DroppedFull}, {"waited too long", c.DroppedStale}, {"connection broke", c.DroppedBroken},
 		{"too large", c.DroppedLarge}, {"datagram not taken", c.DroppedDatagrams},
 	}
-	var metered []*dto.Metric
+	var result []*dto.Metric
 	for _, cause := range causes {
-		metered = append(metered, metrics.CounterMetric(cause.count, metrics.Label("cause", cause.name)))
+		result = append(result, metrics.CounterMetric(cause.count, metrics.Label("cause", cause.name)))
 	}
-	return metered
+	return result
 }
--- a/internal/transport/options.go
+++ b/internal/transport/options.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Bounds of the protocol, the same for every process.
+// Limits of the protocol, the same for every process.
 const (
 	// MaxFrame is the largest payload of a frame, in bytes.
 	MaxFrame = 16 << 20
@@ -28,34 +28,34 @@
 	defaultIdleTimeout    = time.Minute
 )
 
-// Options are the settings of a Mesh. Address and Handler are required; a zero value elsewhere means the default.
+// Options configure a Mesh. Address and Handler are required. A zero value in another field selects the default.
 type Options struct {
-	// Address is the internal "ip:port" of this process, for TCP and UDP. With port 0 a free port is taken.
+	// Address is the internal "ip:port" of this process, for TCP and UDP. With port 0 a free port is chosen.
 	Address string
-	// Handler takes what arrives. It owns the payload that it is given.
+	// Handler handles received messages. It owns the payload that it is given.
 	Handler Handler
-	// Logger takes the few log lines of the package.
+	// Logger receives the log lines of the package. By default they are discarded.
 	Logger *slog.Logger
 
-	// QueueMessages and QueueBytes bound what waits for one destination. A single frame larger than QueueBytes is taken
-	// when nothing else waits.
+	// QueueMessages and QueueBytes bound the queue of one destination. An empty queue accepts a frame larger than
+	// QueueBytes.
 	QueueMessages int
 	QueueBytes    int
-	// QueueAge is how long a message waits for a destination that cannot be reached.
+	// QueueAge is how long a message is kept for an unreachable destination.
 	QueueAge time.Duration
-	// MaxAccepted bounds the incoming connections.
+	// MaxAccepted bounds the number of incoming connections.
 	MaxAccepted int
 	// DialTimeout bounds one attempt to connect.
 	DialTimeout time.Duration
-	// BackoffFloor and BackoffCeiling bound the pause after a failed attempt. The ceiling is below a second so that a
-	// destination that comes back is reached within a second.
+	// BackoffFloor and BackoffCeiling bound the delay after a failed attempt to connect. The default ceiling is below one
+	// second, so that a destination that becomes reachable again is reached within a second.
 	BackoffFloor   time.Duration
 	BackoffCeiling time.Duration
 	// UserTimeout is the TCP_USER_TIMEOUT of outgoing connections: how long sent bytes may stay unacknowledged.
 	UserTimeout time.Duration
-	// WriteTimeout bounds the write of one chunk of bytes to a peer that does not read.
+	// WriteTimeout bounds the write of one chunk of data.
 	WriteTimeout time.Duration
-	// IdleTimeout is how long an outgoing connection may rest before it is closed.
+	// IdleTimeout is how long an outgoing connection may be idle before it is closed.
 	IdleTimeout time.Duration
 }
 
--- a/internal/transport/queue.go
+++ b/internal/transport/queue.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// queued is an encoded message that waits for its destination.
+// queued is an encoded message in a queue.
 type queued struct {
-	bytes []byte
-	since time.Time
+	bytes    []byte // the encoded frame
+	queuedAt time.Time
 }
 
-// queue holds what waits for one destination, bounded in messages and bytes. One writer empties it.
+// queue holds the messages for one destination, bounded in number and bytes. A single writer goroutine empties it.
 type queue struct {
 	maxMessages int
 	maxBytes    int
-	wake        chan struct{}
+	wake        chan struct{} // signals the writer that messages were added
 
-	mutex   sync.Mutex
-	waiting []queued
-	bytes   int
-	retired bool
+	mutex    sync.Mutex
+	messages []queued
+	bytes    int  // total size of messages
+	retired  bool // the writer has ended
 }
 
-// pushResult is what became of a message.
+// pushResult is the result of queue.push.
 type pushResult int
 
 const (
-	pushTaken pushResult = iota
+	pushAccepted pushResult = iota
 	pushFull
-	pushRetired // the writer has ended: a new queue is needed
+	pushRetired // the writer has ended: a new destination is needed
 )
 
 func newQueue(maxMessages, maxBytes int) *queue {
@@ -46,60 +46,61 @@
 	if !q.fits(len(message.bytes)) {
 		return pushFull
 	}
-	q.waiting = append(q.waiting, message)
+	q.messages = append(q.messages, message)
 	q.bytes += len(message.bytes)
 	select {
 	case q.wake <- struct{}{}:
 	default:
 	}
-	return pushTaken
+	return pushAccepted
 }
 
+// fits reports whether a message of this size, in bytes, can be added. An empty queue accepts any message.
 func (q *queue) fits(size int) bool {
-	if len(q.waiting) == 0 {
+	if len(q.messages) == 0 {
 		return true
 	}
-	return len(q.waiting) < q.maxMessages && q.bytes+size <= q.maxBytes
+	return len(q.messages) < q.maxMessages && q.bytes+size <= q.maxBytes
 }
 
-// takeAll empties the queue; spare is a used slice whose memory is kept for the next messages.
-func (q *queue) takeAll(spare []queued) []queued {
+// takeAll empties the queue and returns its messages. The memory of reuse, a slice returned earlier, holds the next messages.
+func (q *queue) takeAll(reuse []queued) []queued {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	taken := q.waiting
-	clear(spare)
-	q.waiting = spare[:0]
+	taken := q.messages
+	clear(reuse)
+	q.messages = reuse[:0]
 	q.bytes = 0
 	return taken
 }
 
-// empty reports whether nothing waits.
+// empty reports whether there are no messages.
 func (q *queue) empty() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return len(q.waiting) == 0
+	return len(q.messages) == 0
 }
 
-// expire drops what has waited since before the limit and returns how many messages that were.
-func (q *queue) expire(limit time.Time) int {
+// expire drops the messages queued before the cutoff and returns their number.
+func (q *queue) expire(cutoff time.Time) int {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	count := 0
-	for count < len(q.waiting) && q.waiting[count].since.Before(limit) {
-		q.bytes -= len(q.waiting[count].bytes)
+	for count < len(q.messages) && q.messages[count].queuedAt.Before(cutoff) {
+		q.bytes -= len(q.messages[count].bytes)
 		count++
 	}
-	remaining := copy(q.waiting, q.waiting[count:])
-	clear(q.waiting[remaining:])
-	q.waiting = q.waiting[:remaining]
+	remaining := copy(q.messages, q.messages[count:])
+	clear(q.messages[remaining:])
+	q.messages = q.messages[:remaining]
 	return count
 }
 
-// retire ends the queue if nothing waits; later pushes are told so.
+// retire closes the queue if it is empty. Later pushes return pushRetired.
 func (q *queue) retire() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if len(q.waiting) > 0 {
+	if len(q.messages) > 0 {
 		return false
 	}
 	q.retired = true
--- a/internal/transport/report.go
+++ b/internal/transport/report.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// reportEvery is between two log lines that tell what was sent.
-const reportEvery = 10 * time.Second
+// reportInterval is the time between two log lines about the sent messages.
+const reportInterval = 10 * time.Second
 
-// Reporter writes what a mesh has sent to a log at debug level, now and then.
+// Reporter periodically logs, at debug level, what a mesh has sent.
 type Reporter struct {
-	Mesh *Mesh
-	Log  *slog.Logger
-	next time.Time
+	Mesh       *Mesh
+	Log        *slog.Logger
+	nextReport time.Time
 }
 
-// Tick writes the line when it is due.
+// Tick writes the log line if it is due. It is called regularly.
 func (r *Reporter) Tick(now time.Time) {
-	if now.Before(r.next) || !r.Log.Enabled(context.Background(), slog.LevelDebug) {
+	if now.Before(r.nextReport) || !r.Log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
-	r.next = now.Add(reportEvery)
-	attributes := make([]slog.Attr, 0, kinds)
+	r.nextReport = now.Add(reportInterval)
+	attributes := make([]slog.Attr, 0, kindCount)
 	for kind, counter := range r.Mesh.Counters().Sent {
 		if counter.Messages > 0 {
 			attributes = append(attributes, slog.Group(Kind(kind).String(),
--- a/internal/wal/lock.go
+++ b/internal/wal/lock.go
@@ -8,18 +8,19 @@
 	"syscall"
 )
 
-// ErrLocked tells that another process writes the log.
+// ErrLocked is returned while another process holds the lock of the log.
 var ErrLocked = errors.New("wal: another process holds the log")
 
-const lockName = "wal.lock"
+const lockFileName = "wal.lock"
 
-// Lock is the right to write the log in a folder. It ends with the process that holds it, however that ends.
+// Lock is the exclusive right to write the log in a folder. The operating system releases it when the process that holds it
+// exits, even after a crash.
 type Lock struct{ file *os.File }
 
-// Acquire takes the folder's lock, or returns ErrLocked. The log's own file is no place for it: each compaction
-// puts another in its place.
+// Acquire locks the log in the folder, or returns ErrLocked. It locks a separate file, because each compaction replaces the
+// log file.
 func Acquire(dir string) (*Lock, error) {
-	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
+	f, err := os.OpenFile(filepath.Join(dir, lockFileName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("wal: lock: %w", err)
 	}
@@ -33,24 +34,24 @@
 	return &Lock{f}, nil
 }
 
-// Release lets another process have the log. Nothing may be written after it.
-func (k *Lock) Release() error { return k.file.Close() }
+// Release gives up the lock, so that another process can acquire it. The log must not be written afterwards.
+func (l *Lock) Release() error { return l.file.Close() }
 
-// Untouched tells whether the log on disk is as this one left it.
+// Untouched returns an error if the log file has been replaced or changed in size since this Log last wrote it.
 func (l *Log) Untouched() error {
-	ours, err := l.file.Stat()
+	opened, err := l.file.Stat()
 	if err != nil {
 		return fmt.Errorf("wal: %w", err)
 	}
-	theirs, err := os.Stat(filepath.Join(l.dir, name))
+	current, err := os.Stat(filepath.Join(l.dir, logFileName))
 	if err != nil {
 		return fmt.Errorf("wal: %w", err)
 	}
-	if !os.SameFile(ours, theirs) || theirs.Size() != l.size {
-		return errors.New("wal: written by another process")
+	if !os.SameFile(opened, current) || current.Size() != l.size {
+		return errors.New("wal: the log was written by another process")
 	}
 	return nil
 }
 
-// Leave closes the file without a further write: another process has the log.
+// Leave closes the file without writing anything more. It is called once another process owns the log.
 func (l *Log) Leave() error { return l.file.Close() }
--- a/internal/wal/lock_test.go
+++ b/internal/wal/lock_test.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// One holds the log at a time, and whoever let it go sees whether another has written to it.
+// Only one process can hold the lock, and a previous holder detects whether the log has been written since.
 func TestOneWriterAtATime(t *testing.T) {
 	dir := t.TempDir()
-	held, err := Acquire(dir)
+	lock, err := Acquire(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ours, _, err := Open(dir, 1<<20)
+	log, _, err := Open(dir, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ours.Leave()
+	defer log.Leave()
 	if _, err := Acquire(dir); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second holder: %v", err)
+		t.Errorf("second Acquire: %v, want ErrLocked", err)
 	}
-	if err := ours.Accept(&Message{ID: 1, Deadline: time.Now()}); err != nil {
+	if err := log.Accept(&Message{ID: 1, Deadline: time.Now()}); err != nil {
 		t.Fatal(err)
 	}
-	if err := held.Release(); err != nil {
+	if err := lock.Release(); err != nil {
 		t.Fatal(err)
 	}
-	next, err := Acquire(dir)
+	nextLock, err := Acquire(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer next.Release()
-	theirs, _, err := Open(dir, 1<<20)
+	defer nextLock.Release()
+	nextLog, _, err := Open(dir, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer theirs.Close()
-	if err := ours.Untouched(); err != nil {
-		t.Errorf("only read by another: %v", err)
+	defer nextLog.Close()
+	if err := log.Untouched(); err != nil {
+		t.Errorf("Untouched after another process only read the log: %v", err)
 	}
-	if err := theirs.Accept(&Message{ID: 2, Deadline: time.Now()}); err != nil {
+	if err := nextLog.Accept(&Message{ID: 2, Deadline: time.Now()}); err != nil {
 		t.Fatal(err)
 	}
-	if ours.Untouched() == nil {
-		t.Error("another wrote, and nothing tells")
+	if log.Untouched() == nil {
+		t.Error("Untouched does not detect the write of another process")
 	}
 }
--- a/internal/wal/terms_test.go
+++ b/internal/wal/terms_test.go
@@ -22,8 +22,8 @@
 	return l, found
 }
 
-// Terms that an open message has outlast the process and any compaction; those that nobody has any more do not.
-func TestTermsOutlastProcessAndCompaction(t *testing.T) {
+// Terms of unfinished messages survive a restart and a compaction. Terms that nothing refers to any more are dropped.
+func TestTermsSurviveRestartAndCompaction(t *testing.T) {
 	dir := t.TempDir()
 	l, _, err := Open(dir, 1<<20)
 	if err != nil {
@@ -36,14 +36,14 @@
 	}
 	second := l.Use([]Terms{term("c"), term("b")})
 	if second[1] != first[1] || second[0] == first[0] {
-		t.Errorf("numbers %v after %v", second, first)
+		t.Errorf("numbers %v after %v: known terms must keep theirs, new ones get another", second, first)
 	}
 	if err := l.compact(); err != nil {
 		t.Fatal(err)
 	}
 	l, found := reopen(t, l, dir)
 	if len(found.Messages) != 1 {
-		t.Fatalf("found %+v", found)
+		t.Fatalf("recovered %+v, want one message", found)
 	}
 	if got, ok := l.Terms(found.Messages[0]); !ok || !got.equal(term("a")) {
 		t.Errorf("terms %+v, %v", got, ok)
@@ -55,11 +55,11 @@
 	}
 	l, _ = reopen(t, l, dir)
 	if len(l.terms) != 1 || l.Use([]Terms{term("d")})[0] <= second[0] {
-		t.Errorf("terms left: %v", l.terms)
+		t.Errorf("terms after compaction and reopening: %v", l.terms)
 	}
 }
 
-// However often the settings change, the log stays within its limit.
+// The log stays within its disk limit however often the terms change.
 func TestTermsDoNotFillTheLog(t *testing.T) {
 	dir := t.TempDir()
 	l, _, err := Open(dir, 64<<10)
@@ -71,25 +71,25 @@
 		n := l.Use([]Terms{{Name: fmt.Sprint(i), Rules: json.RawMessage(`{}`)}})
 		m := &Message{ID: uint32(i + 1), Terms: n[0], Deadline: time.Now()}
 		if err := l.Accept(m); err != nil {
-			t.Fatalf("after %d: %v", i, err)
+			t.Fatalf("Accept after %d changes: %v", i, err)
 		}
 		l.End(m)
 	}
-	info, err := os.Stat(filepath.Join(dir, name))
+	info, err := os.Stat(filepath.Join(dir, logFileName))
 	if err != nil || info.Size() > 64<<10 {
-		t.Errorf("%v, %v", info, err)
+		t.Errorf("size of the log file: %v, %v", info, err)
 	}
 }
 
-// A log from before it held terms tells the place of a message's class.
-func TestALogWithoutTerms(t *testing.T) {
+// A log written before terms existed holds the index of a message's class instead.
+func TestLogWithoutTerms(t *testing.T) {
 	dir := t.TempDir()
 	text := []byte(`{"Kind":1,"ID":9,"Message":{"ID":9,"Trace":"t","Class":1,"Customer":0,"Dest":7}}`)
 	var rec record
 	if err := json.Unmarshal(text, &rec); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, name), appendRecord(nil, rec, []byte("x")), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, logFileName), appendRecord(nil, rec, []byte("x")), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	l, found, err := Open(dir, 1<<20)
@@ -98,9 +98,9 @@
 	}
 	defer l.Close()
 	if len(found.Messages) != 1 || found.Messages[0].Class != 1 {
-		t.Fatalf("found %+v", found.Messages)
+		t.Fatalf("recovered %+v, want one message of class 1", found.Messages)
 	}
 	if _, ok := l.Terms(found.Messages[0]); ok {
-		t.Error("terms from nowhere")
+		t.Error("Terms returned terms that the log does not hold")
 	}
 }
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,7 +1,7 @@
-// Package wal is the relay's write-ahead log: what it has taken on, what it has sent, and what has ended, in
-// one file of the folder that outlasts the process. What was written survives SIGKILL without a sync; only
-// the machine's loss loses it, and then others take the work over. Times in it are wall time, since no
-// process's own clock means anything to the next.
+// Package wal is the relay's write-ahead log. It records which messages were accepted, which attempts were sent and which
+// messages have ended, in one file of the state folder, for the next process. The file is not synced: what was written
+// survives SIGKILL, and is lost only with the machine, in which case other relays take the work over. Times are wall-clock
+// times, because a monotonic clock means nothing to another process.
 package wal
 
 import (
@@ -18,83 +18,86 @@
 	"time"
 )
 
-// ErrFull tells that the log has no room for new work. Ends and outcomes still find room.
-var ErrFull = errors.New("wal: no room for new work")
+// ErrFull is returned when the log has no room for new messages. Outcomes and ends of accepted messages still fit.
+var ErrFull = errors.New("wal: no room for new messages")
 
-// Message is a message that was taken on, with what the log knows of its fate.
+// Message is an accepted message and the progress of its delivery as recorded in the log.
 type Message struct {
-	ID       uint32 // the log's own number for it
-	Trace    string // the client's
+	ID       uint32 // the number of the message in the log
+	Trace    string // the trace ID that the client gave
 	Key      string // idempotency key; "" if none
-	Order    string // what it is about, in a class that keeps order; "" if none
-	Terms    uint32 // the number of the terms that it was taken on under; 0 in logs from before there were any
-	Class    int    `json:",omitempty"` // in those: the place of its class in the configuration
-	Policy   int64  `json:",omitempty"` // the fleet's policy that it was taken on under; 0: none
+	Order    string // ordering key: messages with the same key are delivered in order; "" if none
+	Terms    uint32 // number of the terms that apply to the message; 0 in logs of versions without terms
+	Class    int    `json:",omitempty"` // in logs without terms: index of the class in the configuration
+	Policy   int64  `json:",omitempty"` // number of the fleet policy under which the message was accepted; 0: none
 	Customer int
 	Dest     int
 	Deadline time.Time
 	Body     []byte `json:"-"`
 
-	Attempts int       // sends so far
-	MayRun   []Attempt // those of them that have no outcome or one that does not prove that they never ran
-	Final    *Final    // the notice that ends it, once decided
+	Attempts int       // number of attempts so far
+	MayRun   []Attempt // attempts that may have taken effect: no outcome yet, or one that does not rule it out
+	Final    *Final    // the notice that ends the message, once decided
 }
 
-// Terms are what a class says of its messages. The log keeps them, and does not read Rules.
+// Terms are the delivery rules of a message class. The log stores Rules without interpreting them.
 type Terms struct {
-	Name  string
+	Name  string // name of the class
 	Rules json.RawMessage
 }
 
 func (t Terms) equal(o Terms) bool { return t.Name == o.Name && string(t.Rules) == string(o.Rules) }
 
-// Attempt is one send.
+// Attempt is one attempt to deliver a message to a host.
 type Attempt struct {
-	N    int
+	N    int // number of the attempt among those of its message, from 0
 	Host string
 	Zone int
-	At   time.Time
+	At   time.Time // when it was sent
 }
 
-// Final is the notice that ends a message which was not delivered.
+// Final is the notice to the client that ends an undelivered message.
 type Final struct {
-	Deferred bool // the client may safely come again
-	Again    time.Duration
+	Deferred bool          // the client can safely submit the message again
+	Again    time.Duration // advised delay before that
 }
 
-// Send is an attempt about to be made, and whose.
+// Send is an attempt that is about to be made for a message.
 type Send struct {
 	Message *Message
 	Attempt Attempt
 }
 
-// Doubt is that a host may be in an outage or coming back from one: what is sent there is held back, over restarts too.
+// Doubt records that a host is suspected of an outage, or is recovering from one. Traffic to such a host is limited, also
+// after a restart of the relay.
 type Doubt struct {
 	Host   string
-	Slight bool      `json:",omitempty"`
-	Back   time.Time // its first delivery after the outage; zero: none yet
-	Over   bool      `json:",omitempty"`
+	Slight bool      `json:",omitempty"` // the suspicion rests on a single failure
+	Back   time.Time // first delivery after the outage; zero: none yet
+	Over   bool      `json:",omitempty"` // the suspicion has ended
 }
 
-// sameBack is how far apart two readings of one moment may be, since each is told as so long ago.
-const sameBack = time.Second / 2
+// recoveryTimeTolerance is the largest difference at which two values of Back count as equal. They differ slightly because
+// each is computed from the time elapsed since.
+const recoveryTimeTolerance = time.Second / 2
 
+// equal reports whether both describe the same state of a host.
 func (d Doubt) equal(o Doubt) bool {
-	back := d.Back.IsZero() == o.Back.IsZero() && d.Back.Sub(o.Back).Abs() < sameBack
-	return d.Host == o.Host && d.Slight == o.Slight && back
+	sameRecovery := d.Back.IsZero() == o.Back.IsZero() && d.Back.Sub(o.Back).Abs() < recoveryTimeTolerance
+	return d.Host == o.Host && d.Slight == o.Slight && sameRecovery
 }
 
-// Recovery is what Open found.
+// Recovery is the state that Open read from the log.
 type Recovery struct {
-	Messages []*Message // unfinished, in the order in which they were taken on
-	Doubts   []Doubt    // by host
-	// Damaged tells that records before the last were unreadable: a message's sends may be missing from it.
+	Messages []*Message // unfinished messages in the order in which they were accepted
+	Doubts   []Doubt    // sorted by host
+	// Damaged reports that records before the last one were unreadable: attempts may be missing from the messages.
 	Damaged bool
-	// Unreadable is how many bytes no record could be read from: damage, a torn tail, or a file that is not the log's.
+	// Unreadable is the number of bytes skipped: damaged records, a torn tail, or the content of a foreign file.
 	Unreadable int64
 }
 
-// The kinds of record.
+// The values of record.Kind.
 const (
 	recAccept byte = iota + 1
 	recSend
@@ -102,119 +105,120 @@
 	recFinal
 	recEnd
 	recTerms
-	recDoubt
+	recSuspicion
 )
 
 const (
-	name     = "wal.log"
-	tempName = "wal.tmp"
-
-	magic     = 0xC7A1
-	headBytes = 10 // magic, length, checksum
-	block     = 512
-	mostBytes = 1 << 20 // of a record: a message's is far smaller
-
-	// Shares of the disk limit. While the log is compacted the old and the new file stand side by side, and
-	// both must fit: liveShare + compactShare stays clear of 1 by more than a batch.
-	liveShare    = 0.36
-	compactShare = 0.5
+	logFileName  = "wal.log"
+	tempFileName = "wal.tmp"
+
+	magic         = 0xC7A1
+	headerSize    = 10      // bytes: magic, length, checksum
+	blockSize     = 512     // bytes: allocation unit of the disk
+	maxRecordSize = 1 << 20 // bytes; the record of a message is far smaller
+
+	// Fractions of the disk limit: how much the unfinished messages may take, and the file size above which the log is
+	// compacted. During compaction the old and the new file exist side by side and both must fit, so the sum stays below 1
+	// by more than the size of a batch.
+	maxLiveFraction    = 0.36
+	compactionFraction = 0.5
 )
 
-// record is the readable part of every record; a body follows it raw.
+// record is the JSON part of a log record. The message body follows it as raw bytes.
 type record struct {
-	Kind    byte
-	ID      uint32
-	Message *Message `json:",omitempty"`
-	Attempt *Attempt `json:",omitempty"`
-	N       int      `json:",omitempty"`
-	Final   *Final   `json:",omitempty"`
-	Terms   *Terms   `json:",omitempty"`
-	Doubt   *Doubt   `json:",omitempty"`
+	Kind    byte     // one of the rec constants
+	ID      uint32   // of the message; the number of the terms in a recTerms record
+	Message *Message `json:",omitempty"` // of recAccept
+	Attempt *Attempt `json:",omitempty"` // of recSend
+	N       int      `json:",omitempty"` // of recOutcome: the attempt that had no effect
+	Final   *Final   `json:",omitempty"` // of recFinal
+	Terms   *Terms   `json:",omitempty"` // of recTerms
+	Doubt   *Doubt   `json:",omitempty"` // of recSuspicion
 }
 
 // Log is an open log. It is not safe for concurrent use.
 type Log struct {
-	dir   string
-	limit int64 // bytes on disk
-	file  *os.File
-	size  int64 // of the file, all of it good
-	live  map[uint32]*Message
-	terms map[uint32]Terms // by number: those in force and those that a message may have
-	inUse []uint32         // those in force
-	last  uint32           // the highest number given to terms
-	bytes int64            // that the live messages would take in a new file, about
-	notes []byte           // outcomes and ends not yet written
-	doubt map[string]Doubt // by host
+	dir             string
+	limit           int64 // disk limit in bytes
+	file            *os.File
+	size            int64               // size of the file in bytes; all of it is readable records
+	live            map[uint32]*Message // unfinished messages by ID
+	terms           map[uint32]Terms    // by number: the current terms and those that a message may refer to
+	currentTerms    []uint32            // numbers of the terms for new messages
+	lastTermsNumber uint32              // highest number assigned so far
+	liveBytes       int64               // estimated size of the live messages in a compacted file
+	unwritten       []byte              // encoded records that are not in the file yet
+	suspicions      map[string]Doubt    // by host
 }
 
-// Open reads the log in dir, or begins one, that may take limit bytes of disk.
+// Open reads the log in dir, or creates one. The log uses at most limit bytes of disk space.
 func Open(dir string, limit int64) (*Log, Recovery, error) {
-	l := &Log{dir: dir, limit: limit, live: map[uint32]*Message{}, terms: map[uint32]Terms{}, doubt: map[string]Doubt{}}
-	// A crash in mid-compaction leaves the old file whole and a part of the new one.
-	if err := os.Remove(filepath.Join(dir, tempName)); err != nil && !errors.Is(err, os.ErrNotExist) {
+	l := &Log{dir: dir, limit: limit, live: map[uint32]*Message{}, terms: map[uint32]Terms{}, suspicions: map[string]Doubt{}}
+	// A crash during compaction leaves the old file complete and the new one partly written.
+	if err := os.Remove(filepath.Join(dir, tempFileName)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, Recovery{}, fmt.Errorf("wal: %w", err)
 	}
-	path := filepath.Join(dir, name)
+	path := filepath.Join(dir, logFileName)
 	data, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, Recovery{}, fmt.Errorf("wal: %w", err)
 	}
-	good, unreadable, damaged := l.replay(data)
+	end, unreadable, damaged := l.replay(data)
 	l.file, err = os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, Recovery{}, fmt.Errorf("wal: %w", err)
 	}
-	// What follows a torn record could not be told from it: the tail goes before anything is appended.
-	if err := l.file.Truncate(good); err != nil {
+	// Remove a torn tail before appending: records behind it could not be distinguished from it.
+	if err := l.file.Truncate(end); err != nil {
 		l.file.Close()
-		return nil, Recovery{}, fmt.Errorf("wal: drop a torn tail: %w", err)
+		return nil, Recovery{}, fmt.Errorf("wal: truncate the torn tail: %w", err)
 	}
-	l.size = good
-	return l, Recovery{Messages: l.messages(), Doubts: l.doubts(), Damaged: damaged, Unreadable: unreadable}, nil
+	l.size = end
+	return l, Recovery{Messages: l.liveMessages(), Doubts: l.sortedSuspicions(), Damaged: damaged, Unreadable: unreadable}, nil
 }
 
-// Close writes what is noted and closes the file.
+// Close writes the buffered records and closes the file.
 func (l *Log) Close() error { return errors.Join(l.Flush(), l.file.Close()) }
 
-// Owes tells whether m has no end yet.
+// Owes reports whether m is unfinished.
 func (l *Log) Owes(m *Message) bool { return l.live[m.ID] != nil }
 
-// Use puts terms in force, in the place of those before, and returns their numbers. Terms that are known keep
-// theirs. They are written before the first message that has them.
-func (l *Log) Use(ts []Terms) []uint32 {
-	numbers := make([]uint32, 0, len(ts))
-	for _, t := range ts {
+// Use replaces the current terms and returns the numbers of the new ones. Terms that are already known keep their number.
+// New terms are written to the file before the first message that refers to them.
+func (l *Log) Use(allTerms []Terms) []uint32 {
+	numbers := make([]uint32, 0, len(allTerms))
+	for _, t := range allTerms {
 		n := uint32(0)
-		for k, known := range l.terms {
-			if known.equal(t) && (n == 0 || k < n) {
-				n = k
+		for number, known := range l.terms {
+			if known.equal(t) && (n == 0 || number < n) {
+				n = number
 			}
 		}
 		if n == 0 {
-			l.last++
-			n = l.last
+			l.lastTermsNumber++
+			n = l.lastTermsNumber
 			l.terms[n] = t
-			l.notes = appendRecord(l.notes, record{Kind: recTerms, ID: n, Terms: &t}, nil)
+			l.unwritten = appendRecord(l.unwritten, record{Kind: recTerms, ID: n, Terms: &t}, nil)
 		}
 		numbers = append(numbers, n)
 	}
-	l.inUse = numbers
+	l.currentTerms = numbers
 	return numbers
 }
 
-// Terms are those that a message was taken on under; false if the log does not have them.
+// Terms returns the terms that apply to a message, or false if the log does not have them.
 func (l *Log) Terms(m *Message) (Terms, bool) {
 	t, ok := l.terms[m.Terms]
 	return t, ok
 }
 
-// Accept records that ms are taken on, all or none. With ErrFull nothing of them is in the log.
+// Accept records that the messages are accepted, all or none of them. After ErrFull none of them is in the log.
 func (l *Log) Accept(ms ...*Message) error {
 	var buf []byte
 	for _, m := range ms {
 		buf = appendRecord(buf, record{Kind: recAccept, ID: m.ID, Message: m}, m.Body)
 	}
-	if l.bytes+int64(len(buf)) > l.share(liveShare) {
+	if l.liveBytes+int64(len(buf)) > l.fractionOfLimit(maxLiveFraction) {
 		return ErrFull
 	}
 	if err := l.write(buf); err != nil {
@@ -222,12 +226,12 @@
 	}
 	for _, m := range ms {
 		l.live[m.ID] = m
-		l.bytes += cost(m)
+		l.liveBytes += estimatedSize(m)
 	}
 	return nil
 }
 
-// Sent records attempts before their first byte, all or none.
+// Sent records attempts, all or none of them. It must be called before the first byte of any of them is sent.
 func (l *Log) Sent(sends ...Send) error {
 	var buf []byte
 	for _, s := range sends {
@@ -237,150 +241,152 @@
 		return err
 	}
 	for _, s := range sends {
-		l.bytes -= cost(s.Message)
-		s.Message.sent(s.Attempt)
-		l.bytes += cost(s.Message)
+		l.liveBytes -= estimatedSize(s.Message)
+		s.Message.addAttempt(s.Attempt)
+		l.liveBytes += estimatedSize(s.Message)
 	}
 	return nil
 }
 
-// Doubt notes all hosts that are in doubt now; those noted before and not among them are so no more.
-func (l *Log) Doubt(now []Doubt) {
-	in := map[string]bool{}
-	for _, d := range now {
-		in[d.Host] = true
-		if was, ok := l.doubt[d.Host]; !ok || !was.equal(d) {
-			l.doubt[d.Host] = d
-			l.notes = appendRecord(l.notes, record{Kind: recDoubt, Doubt: &d}, nil)
+// Doubt replaces the recorded suspicions by the current ones. It buffers a record for each change.
+func (l *Log) Doubt(current []Doubt) {
+	suspected := map[string]bool{}
+	for _, d := range current {
+		suspected[d.Host] = true
+		if known, ok := l.suspicions[d.Host]; !ok || !known.equal(d) {
+			l.suspicions[d.Host] = d
+			l.unwritten = appendRecord(l.unwritten, record{Kind: recSuspicion, Doubt: &d}, nil)
 		}
 	}
-	for _, d := range l.doubts() {
-		if !in[d.Host] {
-			delete(l.doubt, d.Host)
-			l.notes = appendRecord(l.notes, record{Kind: recDoubt, Doubt: &Doubt{Host: d.Host, Over: true}}, nil)
+	for _, d := range l.sortedSuspicions() {
+		if !suspected[d.Host] {
+			delete(l.suspicions, d.Host)
+			l.unwritten = appendRecord(l.unwritten, record{Kind: recSuspicion, Doubt: &Doubt{Host: d.Host, Over: true}}, nil)
 		}
 	}
 }
 
-// doubts are the hosts in doubt, by name.
-func (l *Log) doubts() []Doubt {
-	all := slices.Collect(maps.Values(l.doubt))
-	slices.SortFunc(all, func(a, b Doubt) int { return strings.Compare(a.Host, b.Host) })
-	return all
+// sortedSuspicions returns the current suspicions sorted by host.
+func (l *Log) sortedSuspicions() []Doubt {
+	sorted := slices.Collect(maps.Values(l.suspicions))
+	slices.SortFunc(sorted, func(a, b Doubt) int { return strings.Compare(a.Host, b.Host) })
+	return sorted
 }
 
-// NeverRan notes an outcome which proves that attempt n took no effect. Any other outcome changes nothing of
-// what a restart has to go by.
+// NeverRan buffers a record that attempt n is known to have had no effect. Other outcomes need no record: after a restart the
+// attempt is treated as one that may have taken effect.
 func (l *Log) NeverRan(m *Message, n int) {
 	if l.live[m.ID] == nil {
 		return
 	}
-	l.bytes -= cost(m)
-	m.neverRan(n)
-	l.bytes += cost(m)
-	l.notes = appendRecord(l.notes, record{Kind: recOutcome, ID: m.ID, N: n}, nil)
+	l.liveBytes -= estimatedSize(m)
+	m.removeAttempt(n)
+	l.liveBytes += estimatedSize(m)
+	l.unwritten = appendRecord(l.unwritten, record{Kind: recOutcome, ID: m.ID, N: n}, nil)
 }
 
-// Decide notes the notice that will end m.
+// Decide buffers a record of the notice that will end m.
 func (l *Log) Decide(m *Message, f Final) {
 	if l.live[m.ID] == nil {
 		return
 	}
 	m.Final = &f
-	l.notes = appendRecord(l.notes, record{Kind: recFinal, ID: m.ID, Final: &f}, nil)
+	l.unwritten = appendRecord(l.unwritten, record{Kind: recFinal, ID: m.ID, Final: &f}, nil)
 }
 
-// End notes that nothing more is owed for m.
+// End buffers a record that m is finished.
 func (l *Log) End(m *Message) {
 	if l.live[m.ID] == nil {
 		return
 	}
 	delete(l.live, m.ID)
-	l.bytes -= cost(m)
-	l.notes = appendRecord(l.notes, record{Kind: recEnd, ID: m.ID}, nil)
+	l.liveBytes -= estimatedSize(m)
+	l.unwritten = appendRecord(l.unwritten, record{Kind: recEnd, ID: m.ID}, nil)
 }
 
-// Flush writes what is noted. After an error the notes are kept for the next write.
+// Flush writes the buffered records. After an error they stay buffered for the next write.
 func (l *Log) Flush() error {
-	if len(l.notes) == 0 {
+	if len(l.unwritten) == 0 {
 		return nil
 	}
 	return l.write(nil)
 }
 
-// write appends the notes and buf in one write. Only buf is given up on an error.
+// write appends the buffered records and buf to the file in one write. After an error the buffered records are kept, buf is
+// not.
 func (l *Log) write(buf []byte) error {
-	all := append(l.notes, buf...)
-	if l.size+int64(len(all)) > l.share(compactShare) {
-		// The notes are in the state that a compaction writes, so they need no records of their own. Where it
-		// fails, the room beyond the share is left.
+	data := append(l.unwritten, buf...)
+	if l.size+int64(len(data)) > l.fractionOfLimit(compactionFraction) {
+		// The compacted file includes the effect of the buffered records, so they need not be written. If the
+		// compaction fails, the rest of the disk limit is used.
 		if err := l.compact(); err == nil {
-			all = append(all[:0], buf...)
+			data = append(data[:0], buf...)
 		}
 	}
-	if len(all) == 0 {
+	if len(data) == 0 {
 		return nil
 	}
-	if l.size+int64(len(all)) > l.limit-2*block {
+	if l.size+int64(len(data)) > l.limit-2*blockSize {
 		return ErrFull
 	}
-	if _, err := l.file.WriteAt(all, l.size); err != nil {
-		// A part may have been written: it must not stand before later records.
+	if _, err := l.file.WriteAt(data, l.size); err != nil {
+		// Remove what may have been written, so that later records do not follow a torn one.
 		return errors.Join(fmt.Errorf("wal: %w", err), l.file.Truncate(l.size))
 	}
-	l.size += int64(len(all))
-	l.notes = l.notes[:0]
+	l.size += int64(len(data))
+	l.unwritten = l.unwritten[:0]
 	return nil
 }
 
-// compact puts a file of the live messages alone in the place of the log.
+// compact replaces the log file by one that holds only the live messages, their terms, the current terms and suspicions.
 func (l *Log) compact() error {
 	var buf []byte
 	terms := map[uint32]Terms{}
-	keep := func(n uint32) {
+	keepTerms := func(n uint32) {
 		t, ok := l.terms[n]
 		if _, kept := terms[n]; ok && !kept {
 			terms[n] = t
 			buf = appendRecord(buf, record{Kind: recTerms, ID: n, Terms: &t}, nil)
 		}
 	}
-	for _, n := range l.inUse {
-		keep(n)
+	for _, n := range l.currentTerms {
+		keepTerms(n)
 	}
-	for _, d := range l.doubts() {
-		buf = appendRecord(buf, record{Kind: recDoubt, Doubt: &d}, nil)
+	for _, d := range l.sortedSuspicions() {
+		buf = appendRecord(buf, record{Kind: recSuspicion, Doubt: &d}, nil)
 	}
-	for _, m := range l.messages() {
-		keep(m.Terms)
+	for _, m := range l.liveMessages() {
+		keepTerms(m.Terms)
 		buf = appendRecord(buf, record{Kind: recAccept, ID: m.ID, Message: m}, m.Body)
 	}
-	if l.size+int64(len(buf))+4*block > l.limit {
+	if l.size+int64(len(buf))+4*blockSize > l.limit {
 		return ErrFull
 	}
-	temp := filepath.Join(l.dir, tempName)
+	temp := filepath.Join(l.dir, tempFileName)
 	f, err := os.OpenFile(temp, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return fmt.Errorf("wal: compact: %w", err)
 	}
 	if _, err = f.Write(buf); err == nil {
-		err = os.Rename(temp, filepath.Join(l.dir, name)) // a crash leaves the one or the other, whole
+		err = os.Rename(temp, filepath.Join(l.dir, logFileName)) // atomic: a crash leaves either file complete
 	}
 	if err != nil {
 		return errors.Join(fmt.Errorf("wal: compact: %w", err), f.Close(), os.Remove(temp))
 	}
 	l.file.Close()
 	l.terms = terms
-	l.file, l.size, l.notes, l.bytes = f, int64(len(buf)), l.notes[:0], 0
+	l.file, l.size, l.unwritten, l.liveBytes = f, int64(len(buf)), l.unwritten[:0], 0
 	for _, m := range l.live {
-		l.bytes += cost(m)
+		l.liveBytes += estimatedSize(m)
 	}
 	return nil
 }
 
-func (l *Log) share(x float64) int64 { return int64(x * float64(l.limit)) }
+// fractionOfLimit returns a fraction of the disk limit in bytes.
+func (l *Log) fractionOfLimit(fraction float64) int64 { return int64(fraction * float64(l.limit)) }
 
-// messages are the live ones in the order in which they were taken on.
-func (l *Log) messages() []*Message {
+// liveMessages returns the unfinished messages in the order in which they were accepted.
+func (l *Log) liveMessages() []*Message {
 	ms := make([]*Message, 0, len(l.live))
 	for _, m := range l.live {
 		ms = append(ms, m)
@@ -389,8 +395,8 @@
 	return ms
 }
 
-// cost is about what m takes in a new file.
-func cost(m *Message) int64 {
+// estimatedSize returns an upper estimate, in bytes, of the record of m in a compacted file.
+func estimatedSize(m *Message) int64 {
 	n := 280 + len(m.Body) + len(m.Trace) + len(m.Key) + len(m.Order)
 	for _, a := range m.MayRun {
 		n += 80 + len(a.Host)
@@ -398,114 +404,117 @@
 	return int64(n)
 }
 
-func (m *Message) sent(a Attempt) {
+// addAttempt adds an attempt that may take effect.
+func (m *Message) addAttempt(a Attempt) {
 	m.Attempts = max(m.Attempts, a.N+1)
 	m.MayRun = append(m.MayRun, a)
 }
 
-func (m *Message) neverRan(n int) {
+// removeAttempt removes attempt n from those that may have taken effect. It still counts in Attempts.
+func (m *Message) removeAttempt(n int) {
 	m.MayRun = slices.DeleteFunc(m.MayRun, func(a Attempt) bool { return a.N == n })
 }
 
-// replay applies the records in data. It passes over what it cannot read and returns the end of the last good
-// record, how many bytes it passed over, and whether some of them stood before that end.
-func (l *Log) replay(data []byte) (good, unreadable int64, damaged bool) {
-	for at := 0; at < len(data); {
-		rec, body, n := readRecord(data[at:])
+// replay applies the records in data and skips what it cannot read. It returns the offset behind the last readable record, the
+// number of skipped bytes, and whether some of them lie before that offset.
+func (l *Log) replay(data []byte) (end, unreadable int64, damaged bool) {
+	for offset := 0; offset < len(data); {
+		rec, body, n := readRecord(data[offset:])
 		if n == 0 {
-			at++ // look for the next record: a damaged one must not hide those behind it
+			offset++ // search for the next record, which a damaged one must not hide
 			unreadable++
 			continue
 		}
-		if int64(at) != good {
+		if int64(offset) != end {
 			damaged = true
 		}
-		at += n
-		good = int64(at)
+		offset += n
+		end = int64(offset)
 		l.apply(rec, body)
 	}
-	return good, unreadable, damaged
+	return end, unreadable, damaged
 }
 
+// apply applies one record to the state.
 func (l *Log) apply(rec record, body []byte) {
 	m := l.live[rec.ID]
 	switch {
-	case rec.Kind == recTerms: // numbers of its own
+	case rec.Kind == recTerms: // its ID is the number of the terms
 		if rec.Terms != nil {
 			l.terms[rec.ID] = *rec.Terms
-			l.last = max(l.last, rec.ID)
+			l.lastTermsNumber = max(l.lastTermsNumber, rec.ID)
 		}
 		return
-	case rec.Kind == recDoubt:
+	case rec.Kind == recSuspicion:
 		if d := rec.Doubt; d != nil && d.Over {
-			delete(l.doubt, d.Host)
+			delete(l.suspicions, d.Host)
 		} else if d != nil {
-			l.doubt[d.Host] = *d
+			l.suspicions[d.Host] = *d
 		}
 		return
 	case rec.Kind == recAccept && rec.Message != nil:
 		m = rec.Message
 		m.ID, m.Body = rec.ID, slices.Clone(body)
 		l.live[m.ID] = m
-		l.bytes += cost(m)
+		l.liveBytes += estimatedSize(m)
 		return
 	case m == nil:
-		return // its first record is unreadable
+		return // the record of its acceptance is unreadable, or it has ended
 	}
-	l.bytes -= cost(m)
+	l.liveBytes -= estimatedSize(m)
 	switch {
 	case rec.Kind == recSend && rec.Attempt != nil:
-		m.sent(*rec.Attempt)
+		m.addAttempt(*rec.Attempt)
 	case rec.Kind == recOutcome:
-		m.neverRan(rec.N)
+		m.removeAttempt(rec.N)
 	case rec.Kind == recFinal && rec.Final != nil:
 		m.Final = rec.Final
 	case rec.Kind == recEnd:
 		delete(l.live, m.ID)
 		return
 	}
-	l.bytes += cost(m)
+	l.liveBytes += estimatedSize(m)
 }
 
-// appendRecord appends a record: magic, length, checksum, then the length of the readable part, that, and the
-// body.
+// appendRecord appends an encoded record to buf: magic, payload length and checksum, then the payload, which is the length of
+// the JSON part, the JSON part and the body.
 func appendRecord(buf []byte, rec record, body []byte) []byte {
-	text, err := json.Marshal(rec)
+	encoded, err := json.Marshal(rec)
 	if err != nil {
-		panic(err) // plain fields only: cannot fail
+		panic(err) // cannot happen: all fields can be encoded
 	}
 	start := len(buf)
-	buf = append(buf, make([]byte, headBytes)...)
-	buf = binary.AppendUvarint(buf, uint64(len(text)))
-	buf = append(buf, text...)
+	buf = append(buf, make([]byte, headerSize)...)
+	buf = binary.AppendUvarint(buf, uint64(len(encoded)))
+	buf = append(buf, encoded...)
 	buf = append(buf, body...)
-	payload := buf[start+headBytes:]
+	payload := buf[start+headerSize:]
 	binary.LittleEndian.PutUint16(buf[start:], magic)
 	binary.LittleEndian.PutUint32(buf[start+2:], uint32(len(payload)))
 	binary.LittleEndian.PutUint32(buf[start+6:], crc32.ChecksumIEEE(payload))
 	return buf
 }
 
-// readRecord reads the record at the start of data; n is 0 if there is no whole one.
+// readRecord decodes the record at the start of data and returns its size n, which is 0 if there is no complete, valid record.
 func readRecord(data []byte) (rec record, body []byte, n int) {
-	if len(data) < headBytes || binary.LittleEndian.Uint16(data) != magic {
+	if len(data) < headerSize || binary.LittleEndian.Uint16(data) != magic {
 		return rec, nil, 0
 	}
 	size := int64(binary.LittleEndian.Uint32(data[2:]))
-	if size > mostBytes || size > int64(len(data)-headBytes) {
+	if size > maxRecordSize || size > int64(len(data)-headerSize) {
 		return rec, nil, 0
 	}
-	payload := data[headBytes : headBytes+size]
+	payload := data[headerSize : headerSize+size]
 	if crc32.ChecksumIEEE(payload) != binary.LittleEndian.Uint32(data[6:]) {
 		return rec, nil, 0
 	}
-	text, k := binary.Uvarint(payload)
-	if k <= 0 || text > uint64(len(payload)-k) {
+	jsonSize, prefixSize := binary.Uvarint(payload)
+	if prefixSize <= 0 || jsonSize > uint64(len(payload)-prefixSize) {
 		return rec, nil, 0
 	}
-	payload = payload[k:]
-	if json.Unmarshal(payload[:text], &rec) != nil {
+	payload = payload[prefixSize:]
+	if json.Unmarshal(payload[:jsonSize], &rec) != nil {
 		return rec, nil, 0
 	}
-	return rec, payload[text:], headBytes + int(size)
+	return rec, payload[jsonSize:], headerSize + int(size)
 }
