--- a/internal/chain/attempt.go
+++ b/internal/chain/attempt.go
@@ -8,108 +8,113 @@
 	"wallflow/internal/chain/chainpb"
 )
 
-// phase is how far an attempt is.
+// phase is the stage that an attempt has reached.
 type phase int
 
 const (
-	phaseInquire phase = iota // do others see the need as well?
-	phasePrepare
-	phaseAccept
+	phaseInquire phase = iota // ask the voters whether they also see the need for a new view
+	phasePrepare              // first phase of Paxos: collect promises
+	phaseAccept               // second phase of Paxos: have a view accepted
 )
 
-// attempt is one try to have a view decided.
+// attempt is the state of this node while it proposes a view.
 type attempt struct {
-	instance  uint64
-	reason    chainpb.Reason
-	change    voterChange
-	phase     phase
-	ballot    ballot
-	started   time.Time
-	sentAt    time.Time
-	supports  map[Identity]bool
-	promises  map[string]*chainpb.Promise // by elector, see electorKey
-	majority  time.Time                   // when a majority had promised
-	value     View
-	acceptors map[string]bool
+	instance   uint64 // epoch of the view to decide
+	reason     chainpb.Reason
+	change     voterChange
+	phase      phase
+	ballot     ballot
+	startedAt  time.Time
+	sentAt     time.Time                   // when the message of the current phase was last sent
+	supporters map[Identity]bool           // voters that answered the inquiry with support
+	promises   map[string]*chainpb.Promise // by elector key, see electorKey
+	majorityAt time.Time                   // when a majority had promised, zero before
+	value      View                        // the proposed view
+	acceptedBy map[string]bool             // by elector key
 }
 
-// voterChange is one voter more, one in the place of another, or one less, or the same voters with a longer chain.
+// voterChange describes how the next view changes the voters: add one, replace one, remove one, or keep them and only
+// extend the chain.
 type voterChange struct {
-	add      Member
-	remove   Identity
-	lengthen bool
+	add         Member
+	remove      Identity
+	extendChain bool
 }
 
-func (c voterChange) adds() bool { return c.add.Identity != "" }
-func (c voterChange) none() bool { return !c.adds() && c.remove == "" && !c.lengthen }
+func (c voterChange) addsVoter() bool { return c.add.Identity != "" }
+func (c voterChange) isEmpty() bool   { return !c.addsVoter() && c.remove == "" && !c.extendChain }
 
+// startAttempt starts an attempt. The first view and changes of the voters need no support and skip the inquiry.
 func (n *Node) startAttempt(reason chainpb.Reason, change voterChange) {
 	n.counters.Proposals++
 	n.attempt = &attempt{
-		instance:  n.view.Epoch + 1,
-		reason:    reason,
-		change:    change,
-		started:   n.now,
-		supports:  make(map[Identity]bool),
-		promises:  make(map[string]*chainpb.Promise),
-		acceptors: make(map[string]bool),
+		instance:   n.view.Epoch + 1,
+		reason:     reason,
+		change:     change,
+		startedAt:  n.now,
+		supporters: make(map[Identity]bool),
+		promises:   make(map[string]*chainpb.Promise),
+		acceptedBy: make(map[string]bool),
 	}
 	if reason == chainpb.Reason_REASON_FOUND || reason == chainpb.Reason_REASON_VOTERS {
-		n.prepare()
+		n.startPrepare()
 		return
 	}
 	n.attempt.ballot.nonce = n.options.Random.Uint64()
 	n.sendAttempt()
 }
 
-// prepare begins the first phase of Paxos with a new ballot.
-func (n *Node) prepare() {
-	n.election.maximumRound = max(n.election.maximumRound, n.acceptor.promised.round) + 1
+// startPrepare starts the first phase of Paxos with a new ballot.
+func (n *Node) startPrepare() {
+	n.election.maxRound = max(n.election.maxRound, n.acceptor.promisedBallot.round) + 1
 	n.attempt.phase = phasePrepare
-	n.attempt.ballot = ballot{round: n.election.maximumRound, nonce: n.options.Random.Uint64()}
+	n.attempt.ballot = ballot{round: n.election.maxRound, nonce: n.options.Random.Uint64()}
 	n.sendAttempt()
 }
 
+// tickAttempt abandons an attempt that timed out, and otherwise advances it or repeats its messages.
 func (n *Node) tickAttempt() {
 	a := n.attempt
-	if n.now.Sub(a.started) >= attemptTimeout {
-		n.giveUp()
+	if n.now.Sub(a.startedAt) >= attemptTimeout {
+		n.abandonAttempt()
 		return
 	}
 	if a.phase == phasePrepare {
-		n.tryPropose()
+		n.tryStartAccept()
 	}
-	if n.attempt == a && n.now.Sub(a.sentAt) >= attemptResend {
+	if n.attempt == a && n.now.Sub(a.sentAt) >= attemptResendInterval {
 		n.sendAttempt()
 	}
 }
 
-// sendAttempt sends the message of the present phase to those of the electorate that have not answered it.
+// sendAttempt sends the message of the current phase to all electors that have not answered it.
 func (n *Node) sendAttempt() {
 	a := n.attempt
 	a.sentAt = n.now
 	for _, member := range n.electorate() {
-		if !a.answered(member) {
-			n.sendElector(member, a.message())
+		if !a.hasAnswerFrom(member) {
+			n.sendToElector(member, a.currentMessage())
 		}
 	}
-	if n.mistakes.learnerCounts {
-		n.askLearners()
+	if n.injectedFaults.countLearnerVotes {
+		n.sendAttemptToLearners()
 	}
 }
 
-func (a *attempt) answered(member Member) bool {
+// hasAnswerFrom reports whether an elector answered the message of the current phase.
+func (a *attempt) hasAnswerFrom(member Member) bool {
 	key := electorKey(a.instance, member)
 	switch a.phase {
 	case phaseInquire:
-		return a.supports[member.Identity]
+		return a.supporters[member.Identity]
 	case phasePrepare:
 		return a.promises[key] != nil
 	}
-	return a.acceptors[key]
+	return a.acceptedBy[key]
 }
 
-func (a *attempt) message() *chainpb.Message {
+// currentMessage returns the message of the current phase.
+func (a *attempt) currentMessage() *chainpb.Message {
 	wireBallot := ballotToWire(a.ballot)
 	switch a.phase {
 	case phaseInquire:
@@ -126,7 +131,7 @@
 	}}}
 }
 
-// electorKey names one of the electorate: by identity, and by address where the first view is decided.
+// electorKey returns the key of an elector: its identity or, for the first view, its address.
 func electorKey(instance uint64, member Member) string {
 	if instance == 1 {
 		return member.Address
@@ -134,10 +139,10 @@
 	return string(member.Identity)
 }
 
-// elector finds the key of a sender, empty if it has no vote.
-func (n *Node) elector(sender Identity) string {
+// senderElectorKey returns the elector key of a sender, or an empty key if the sender has no vote.
+func (n *Node) senderElectorKey(sender Identity) string {
 	if n.view.Epoch > 0 {
-		if _, voter := n.view.Voter(sender); voter || n.mistakes.learnerCounts {
+		if _, voter := n.view.Voter(sender); voter || n.injectedFaults.countLearnerVotes {
 			return string(sender)
 		}
 		return ""
@@ -156,16 +161,16 @@
 	if a == nil || a.phase != phaseInquire || support.Instance != a.instance || support.Nonce != a.ballot.nonce {
 		return
 	}
-	if n.elector(sender) == "" {
+	if n.senderElectorKey(sender) == "" {
 		return
 	}
-	a.supports[sender] = true
-	if len(a.supports) >= n.quorum() {
-		n.prepare()
+	a.supporters[sender] = true
+	if len(a.supporters) >= n.quorum() {
+		n.startPrepare()
 	}
 }
 
-// quorum is the number of the electorate that decides.
+// quorum returns the number of electors that form a majority.
 func (n *Node) quorum() int { return len(n.electorate())/2 + 1 }
 
 func (n *Node) receivePromise(sender Identity, promise *chainpb.Promise) {
@@ -174,31 +179,32 @@
 		return
 	}
 	if promise.Refused != nil {
-		n.election.maximumRound = max(n.election.maximumRound, promise.Refused.Round)
-		n.giveUp()
+		n.election.maxRound = max(n.election.maxRound, promise.Refused.Round)
+		n.abandonAttempt()
 		return
 	}
-	key := n.elector(sender)
+	key := n.senderElectorKey(sender)
 	if key == "" || promise.Member.GetIdentity() != string(sender) {
 		return
 	}
 	a.promises[key] = promise
-	if a.majority.IsZero() && len(a.promises) >= n.quorum() {
-		a.majority = n.now
+	if a.majorityAt.IsZero() && len(a.promises) >= n.quorum() {
+		a.majorityAt = n.now
 	}
-	n.tryPropose()
+	n.tryStartAccept()
 }
 
-// tryPropose goes on to the second phase once a majority has promised and the others had a moment to.
-func (n *Node) tryPropose() {
+// tryStartAccept starts the second phase of Paxos once a majority has promised and the remaining electors have had a
+// short time to do so.
+func (n *Node) tryStartAccept() {
 	a := n.attempt
-	if a.majority.IsZero() || (n.awaitsPromise() && n.now.Sub(a.majority) < n.promisePatience()) {
+	if a.majorityAt.IsZero() || (n.awaitsMorePromises() && n.now.Sub(a.majorityAt) < n.extraPromiseWait()) {
 		return
 	}
-	value, possible := n.proposedView()
-	if !possible {
-		if n.now.Sub(a.started) >= attemptTimeout/2 {
-			n.giveUp()
+	value, found := n.proposedView()
+	if !found {
+		if n.now.Sub(a.startedAt) >= attemptTimeout/2 {
+			n.abandonAttempt()
 		}
 		return
 	}
@@ -207,24 +213,25 @@
 	n.sendAttempt()
 }
 
-// awaitsPromise tells whether one of the electorate that can be counted on has not promised yet. The promise of one that cannot, as
-// that of a process which is stopping, does not stand for it: the view would be made with the very member that has to leave.
-func (n *Node) awaitsPromise() bool {
+// awaitsMorePromises reports whether an available elector has not promised yet. A promise of an unavailable elector,
+// such as a process that is stopping, does not stand in for it: the new view would include the very member that has to
+// leave.
+func (n *Node) awaitsMorePromises() bool {
 	for _, member := range n.electorate() {
-		counted := member.Identity == "" || !n.isDead(member.Identity)
-		if counted && n.attempt.promises[electorKey(n.attempt.instance, member)] == nil {
+		expected := member.Identity == "" || !n.isUnavailable(member.Identity)
+		if expected && n.attempt.promises[electorKey(n.attempt.instance, member)] == nil {
 			return true
 		}
 	}
 	return false
 }
 
-// promisePatience is how long to wait for more than a majority.
-func (n *Node) promisePatience() time.Duration {
+// extraPromiseWait returns how long to wait for promises beyond a majority.
+func (n *Node) extraPromiseWait() time.Duration {
 	if n.view.Epoch > 0 {
 		return promiseWait
 	}
-	return max(promiseWait, foundingWait-n.attempt.started.Sub(n.started))
+	return max(promiseWait, bootstrapPromiseWait-n.attempt.startedAt.Sub(n.startedAt))
 }
 
 func (n *Node) receiveAccepted(sender Identity, accepted *chainpb.Accepted) {
@@ -232,30 +239,31 @@
 	if a == nil || a.phase != phaseAccept || accepted.Instance != a.instance || ballotFromWire(accepted.Ballot) != a.ballot {
 		return
 	}
-	key := n.elector(sender)
+	key := n.senderElectorKey(sender)
 	if key == "" {
 		return
 	}
-	a.acceptors[key] = true
-	if len(a.acceptors) >= n.quorum() {
-		n.decided(a.value)
+	a.acceptedBy[key] = true
+	if len(a.acceptedBy) >= n.quorum() {
+		n.announceDecision(a.value)
 	}
 }
 
-// decided tells everybody concerned a view that was decided.
-func (n *Node) decided(view View) {
-	notify := make(map[Identity]bool)
+// announceDecision adopts a decided view and announces it to the voters of the old and the new view and to all live
+// processes.
+func (n *Node) announceDecision(view View) {
+	recipients := make(map[Identity]bool)
 	for _, members := range [][]Member{n.view.Voters, view.Voters} {
 		for _, member := range members {
-			notify[member.Identity] = true
+			recipients[member.Identity] = true
 		}
 	}
 	for identity := range n.membership.alive {
-		notify[identity] = true
+		recipients[identity] = true
 	}
-	delete(notify, n.self.Identity)
+	delete(recipients, n.self.Identity)
 	n.learnView(view)
-	for _, identity := range slices.Sorted(maps.Keys(notify)) {
+	for _, identity := range slices.Sorted(maps.Keys(recipients)) {
 		n.send(identity, n.viewNotice())
 	}
 }
--- a/internal/chain/barrier.go
+++ b/internal/chain/barrier.go
@@ -2,13 +2,14 @@
 
 import "wallflow/internal/chain/chainpb"
 
-// barriersHeld bounds the barriers that wait for entries; more are dropped and time out at their origin.
-const barriersHeld = 1024
+// maxBarriers is the number of waiting barriers above which further ones are dropped. The requests of dropped barriers
+// time out.
+const maxBarriers = 1024
 
-// startBarrier sends a read, or the refusal of a command, down the chain. It is answered by the tail, and only if no member
-// has promised for the next epoch, and once everything that it was decided on is committed.
+// startBarrier sends a read or the rejection of a command down the chain. The tail answers it if no member has promised
+// for the next epoch, and only after every entry that the answer depends on is committed.
 func (n *Node) startBarrier(origin *chainpb.Origin, reply Reply, read bool) {
-	n.takeBarrier(&chainpb.Barrier{
+	n.enqueueBarrier(&chainpb.Barrier{
 		Position: n.log.lastPosition(),
 		Origin:   origin,
 		Reply:    replyToWire(reply),
@@ -17,35 +18,37 @@
 }
 
 func (n *Node) receiveBarrier(barrier *chainpb.Barrier) {
-	if n.serving() {
-		n.takeBarrier(barrier)
+	if n.canServe() {
+		n.enqueueBarrier(barrier)
 	}
 }
 
-func (n *Node) takeBarrier(barrier *chainpb.Barrier) {
-	if len(n.barriers) >= barriersHeld {
+// enqueueBarrier keeps a barrier until it can be forwarded.
+func (n *Node) enqueueBarrier(barrier *chainpb.Barrier) {
+	if len(n.barriers) >= maxBarriers {
 		return
 	}
 	n.barriers = append(n.barriers, barrier)
-	n.passBarriers()
+	n.forwardBarriers()
 }
 
-// passBarriers passes on, or answers at the tail, what waits for no entry any more.
-func (n *Node) passBarriers() {
-	if len(n.barriers) == 0 || !n.serving() || n.durableInstalled != n.view.Epoch {
+// forwardBarriers forwards the barriers that wait for no entry any more or, at the tail, answers them.
+func (n *Node) forwardBarriers() {
+	if len(n.barriers) == 0 || !n.canServe() || n.durableInstalledEpoch != n.view.Epoch {
 		return
 	}
-	waiting := n.barriers[:0]
+	remaining := n.barriers[:0]
 	for _, barrier := range n.barriers {
-		if !n.passBarrier(barrier) {
-			waiting = append(waiting, barrier)
+		if !n.forwardBarrier(barrier) {
+			remaining = append(remaining, barrier)
 		}
 	}
-	clear(n.barriers[len(waiting):])
-	n.barriers = waiting
+	clear(n.barriers[len(remaining):])
+	n.barriers = remaining
 }
 
-func (n *Node) passBarrier(barrier *chainpb.Barrier) bool {
+// forwardBarrier forwards or answers a barrier. It returns false if the barrier has to wait.
+func (n *Node) forwardBarrier(barrier *chainpb.Barrier) bool {
 	if n.isTail() {
 		if barrier.Position > n.log.committed {
 			return false
@@ -53,7 +56,7 @@
 		n.answerOrigin(barrier.Origin, replyFromWire(barrier.Reply), barrier.Read, n.log.committed)
 		return true
 	}
-	if !n.successorSynced || barrier.Position > n.passed {
+	if !n.successorReady || barrier.Position > n.forwardedPosition {
 		return false
 	}
 	n.send(n.successor(), &chainpb.Message{Body: &chainpb.Message_Barrier{Barrier: barrier}})
--- a/internal/chain/clients.go
+++ b/internal/chain/clients.go
@@ -8,73 +8,74 @@
 	"wallflow/internal/chain/chainpb"
 )
 
-// clients are the requests of the local process, and what the head took lately.
+// clients is the state of the requests of the local process and, at the head, of recently accepted requests.
 type clients struct {
-	pending map[uint64]*pendingRequest
-	taken   map[takenKey]time.Time // head: requests that it took
+	pending  map[uint64]*pendingRequest // by request number
+	accepted map[requestKey]time.Time   // head: when it accepted a command, to drop duplicates
 }
 
-// pendingRequest is a request without an answer.
+// pendingRequest is an unanswered request of the local process.
 type pendingRequest struct {
-	request  uint64
-	command  []byte
-	read     bool
-	deadline time.Time
-	sentAt   time.Time // zero: not sent, or refused
-	answered bool      // read: the tail told the position to read at
-	position uint64
+	request       uint64
+	command       []byte
+	read          bool
+	deadline      time.Time
+	sentAt        time.Time // zero if it was not sent or was refused
+	positionKnown bool      // read: the tail reported readPosition
+	readPosition  uint64    // read: position that has to be committed locally before the answer
 }
 
-// takenKey names a request across all processes.
-type takenKey struct {
+// requestKey identifies a request across processes and their restarts.
+type requestKey struct {
 	identity string
 	session  uint64
 	request  uint64
 }
 
 func newClients() clients {
-	return clients{pending: make(map[uint64]*pendingRequest), taken: make(map[takenKey]time.Time)}
+	return clients{pending: make(map[uint64]*pendingRequest), accepted: make(map[requestKey]time.Time)}
 }
 
-// inOrder are the numbers of the requests without an answer, in a fixed order.
-func (c *clients) inOrder() []uint64 { return slices.Sorted(maps.Keys(c.pending)) }
+// sortedRequests returns the numbers of the pending requests in ascending order, for deterministic runs.
+func (c *clients) sortedRequests() []uint64 { return slices.Sorted(maps.Keys(c.pending)) }
 
-// viewChanged lets reads be sent to the new head. Commands are not sent again: whether they were taken isn't known.
-func (c *clients) viewChanged() {
+// resendReads marks reads to be sent again, to the new head. Commands are not sent again, since it is not known whether
+// the old head accepted them.
+func (c *clients) resendReads() {
 	for _, pending := range c.pending {
-		if pending.read && !pending.answered {
+		if pending.read && !pending.positionKnown {
 			pending.sentAt = time.Time{}
 		}
 	}
 }
 
-// Submit hands a command of the local process to the head. The request number comes back in an Answer, in this Output or a
-// later one.
+// Submit sends a command of the local process to the head. The request number identifies the Answer, which is part of
+// this Output or a later one.
 func (n *Node) Submit(now time.Time, request uint64, command []byte) Output {
-	n.begin(now)
+	n.beginCall(now)
 	n.addRequest(&pendingRequest{request: request, command: command})
-	return n.finish()
+	return n.finishCall()
 }
 
-// Read asks for the committed state, confirmed by the whole chain to be the newest.
+// Read requests the committed state, confirmed by the whole chain to be the newest.
 func (n *Node) Read(now time.Time, request uint64) Output {
-	n.begin(now)
+	n.beginCall(now)
 	n.addRequest(&pendingRequest{request: request, read: true})
-	return n.finish()
+	return n.finishCall()
 }
 
 func (n *Node) addRequest(pending *pendingRequest) {
-	pending.deadline = n.now.Add(min(requestTimeout+transferTime(len(pending.command)), longestTimeout))
+	pending.deadline = n.now.Add(min(requestTimeout+transferTime(len(pending.command)), maxRequestTimeout))
 	n.clients.pending[pending.request] = pending
 	n.sendRequest(pending)
 }
 
-// transferTime is how long bytes may be on their way.
+// transferTime returns how long the transfer of a number of bytes may take.
 func transferTime(bytes int) time.Duration {
-	return time.Duration(bytes/slowLink) * time.Millisecond
+	return time.Duration(bytes/minLinkRate) * time.Millisecond
 }
 
-// sendRequest sends a request to the head, if there is one.
+// sendRequest sends a request to the head if a view is known.
 func (n *Node) sendRequest(pending *pendingRequest) {
 	if !n.ready || n.view.Epoch == 0 {
 		return
@@ -93,45 +94,45 @@
 	}}})
 }
 
-// tickClients ends requests that are over their time, and sends what was not sent.
+// tickClients ends requests that timed out, sends those that are not sent, and repeats unanswered reads.
 func (n *Node) tickClients() {
-	for _, request := range n.clients.inOrder() {
+	for _, request := range n.clients.sortedRequests() {
 		pending := n.clients.pending[request]
 		switch {
 		case !n.now.Before(pending.deadline):
 			delete(n.clients.pending, request)
 			n.counters.UnknownOutcomes++
-			n.out.Answers = append(n.out.Answers, Answer{Request: request})
+			n.output.Answers = append(n.output.Answers, Answer{Request: request})
 		case pending.sentAt.IsZero():
 			n.sendRequest(pending)
-		case pending.read && n.now.Sub(pending.sentAt) >= readRetry:
-			pending.answered = false
+		case pending.read && n.now.Sub(pending.sentAt) >= readRetryInterval:
+			pending.positionKnown = false
 			n.sendRequest(pending)
 			n.fetch(n.view.Tail())
 		}
 	}
-	for key, at := range n.clients.taken {
-		if n.now.Sub(at) > longestTimeout {
-			delete(n.clients.taken, key)
+	for key, at := range n.clients.accepted {
+		if n.now.Sub(at) > maxRequestTimeout {
+			delete(n.clients.accepted, key)
 		}
 	}
 }
 
-// receiveSubmit takes a request at the head.
+// receiveSubmit handles a request at the head.
 func (n *Node) receiveSubmit(epoch uint64, submit *chainpb.Submit) {
 	origin := submit.Origin
 	if origin == nil {
 		return
 	}
-	key := takenKey{identity: origin.Identity, session: origin.Session, request: origin.Request}
-	if _, taken := n.clients.taken[key]; taken && !submit.Read {
+	key := requestKey{identity: origin.Identity, session: origin.Session, request: origin.Request}
+	if _, accepted := n.clients.accepted[key]; accepted && !submit.Read {
 		return
 	}
-	if !n.isHead() || !n.serving() || n.writeLate() {
+	if !n.isHead() || !n.canServe() || n.isWriteLate() {
 		n.refuse(origin)
 		return
 	}
-	if submit.Read && n.mistakes.readUnconfirmed {
+	if submit.Read && n.injectedFaults.serveUnconfirmedReads {
 		n.answerOrigin(origin, Reply{}, true, n.log.committed)
 		return
 	}
@@ -139,30 +140,31 @@
 		n.startBarrier(origin, Reply{}, true)
 		return
 	}
-	n.clients.taken[key] = n.now
+	n.clients.accepted[key] = n.now
 	state, reply := n.log.newestState().Apply(submit.Command)
 	if !reply.Accepted {
 		n.startBarrier(origin, reply, false)
 		return
 	}
-	n.accept(origin, submit.Command, state, reply)
+	n.appendCommand(origin, submit.Command, state, reply)
 }
 
+// refuse reports to the submitter that its request was not accepted and may be sent again.
 func (n *Node) refuse(origin *chainpb.Origin) {
 	n.sendTo(origin.Address, Identity(origin.Identity), &chainpb.Message{
 		Body: &chainpb.Message_Refused{Refused: &chainpb.Refused{Session: origin.Session, Request: origin.Request}},
 	})
 }
 
-// receiveRefused lets a request be sent again: the process that it went to did not take it.
+// receiveRefused marks a request that was not accepted to be sent again.
 func (n *Node) receiveRefused(refused *chainpb.Refused) {
-	pending, waiting := n.clients.pending[refused.Request]
-	if waiting && refused.Session == n.session {
+	pending, found := n.clients.pending[refused.Request]
+	if found && refused.Session == n.session {
 		pending.sentAt = time.Time{} // the next tick sends it
 	}
 }
 
-// answerOrigin tells the process that submitted a request how it ended.
+// answerOrigin sends the result of a request to the process that submitted it.
 func (n *Node) answerOrigin(origin *chainpb.Origin, reply Reply, read bool, position uint64) {
 	n.sendTo(origin.Address, Identity(origin.Identity), &chainpb.Message{
 		Body: &chainpb.Message_Answer{Answer: &chainpb.Answer{
@@ -176,12 +178,12 @@
 }
 
 func (n *Node) receiveAnswer(answer *chainpb.Answer) {
-	pending, waiting := n.clients.pending[answer.Request]
-	if !waiting || answer.Session != n.session || answer.Read != pending.read {
+	pending, found := n.clients.pending[answer.Request]
+	if !found || answer.Session != n.session || answer.Read != pending.read {
 		return
 	}
 	if pending.read {
-		pending.answered, pending.position = true, answer.Position
+		pending.positionKnown, pending.readPosition = true, answer.Position
 		n.answerReads()
 		if n.log.committed < answer.Position {
 			n.fetch(n.view.Tail())
@@ -189,20 +191,20 @@
 		return
 	}
 	delete(n.clients.pending, answer.Request)
-	n.out.Answers = append(n.out.Answers, Answer{
+	n.output.Answers = append(n.output.Answers, Answer{
 		Request: answer.Request,
 		Known:   true,
 		Reply:   replyFromWire(answer.Reply),
 	})
 }
 
-// answerReads answers the reads whose position is committed here.
+// answerReads answers the reads whose position is committed locally.
 func (n *Node) answerReads() {
-	for _, request := range n.clients.inOrder() {
+	for _, request := range n.clients.sortedRequests() {
 		pending := n.clients.pending[request]
-		if pending.answered && pending.position <= n.log.committed {
+		if pending.positionKnown && pending.readPosition <= n.log.committed {
 			delete(n.clients.pending, request)
-			n.out.Answers = append(n.out.Answers, Answer{Request: request, Known: true, State: n.log.state})
+			n.output.Answers = append(n.output.Answers, Answer{Request: request, Known: true, State: n.log.state})
 		}
 	}
 }
--- a/internal/chain/determinism_test.go
+++ b/internal/chain/determinism_test.go
@@ -7,18 +7,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// Equal seeds give equal runs, so that a walk that found something can be played again.
-func TestWalksRepeat(t *testing.T) {
+// TestRandomWalkIsDeterministic verifies that equal seeds give equal runs, so that a failed run can be reproduced.
+func TestRandomWalkIsDeterministic(t *testing.T) {
 	for seed := range int64(5) {
 		first := historyOf(t, seed)
 		second := historyOf(t, seed)
 		assert.Assert(t, len(first) > 10)
-		assert.Assert(t, slices.Equal(first, second), "walk %d", seed)
+		assert.Assert(t, slices.Equal(first, second), "seed %d", seed)
 	}
 }
 
 func historyOf(t *testing.T, seed int64) []string {
-	w := newWalk(t, seed, 5, 3, seededChooser(seed))
+	w := newRandomWalk(t, seed, 5, 3, seededChooser(seed))
 	for range 30 {
 		w.step()
 	}
--- a/internal/chain/dispatch.go
+++ b/internal/chain/dispatch.go
@@ -2,19 +2,20 @@
 
 import "wallflow/internal/chain/chainpb"
 
-// dispatch takes one message. Messages for another identity are dropped: they were for the store that was here before.
-func (n *Node) dispatch(from string, message *chainpb.Message) {
+// dispatch handles one message. A message for another identity is dropped: it was meant for a store that was previously
+// at this address.
+func (n *Node) dispatch(fromAddress string, message *chainpb.Message) {
 	if message.To != "" && Identity(message.To) != n.self.Identity {
 		return
 	}
 	sender := Identity(message.From)
 	if sender != n.self.Identity {
-		n.membership.addresses[sender] = from
-		n.compareEpochs(sender, from, message)
+		n.membership.lastAddresses[sender] = fromAddress
+		n.reconcileEpochs(sender, fromAddress, message)
 	}
 	switch body := message.Body.(type) {
 	case *chainpb.Message_JoinRequest:
-		n.receiveJoinRequest(sender, from, body.JoinRequest)
+		n.receiveJoinRequest(sender, fromAddress, body.JoinRequest)
 	case *chainpb.Message_ViewNotice:
 		n.learnView(viewFromWire(body.ViewNotice.View))
 	case *chainpb.Message_Trouble:
@@ -35,7 +36,7 @@
 	}
 }
 
-// dispatchElection takes what decides on views.
+// dispatchElection handles the messages that decide views.
 func (n *Node) dispatchElection(sender Identity, message *chainpb.Message) {
 	switch body := message.Body.(type) {
 	case *chainpb.Message_Inquiry:
@@ -53,26 +54,26 @@
 	}
 }
 
-// dispatchChain takes what passes between neighbours in the chain of this epoch.
+// dispatchChain handles the messages between chain neighbours of the current epoch.
 func (n *Node) dispatchChain(sender Identity, message *chainpb.Message) {
-	if n.mistakes.headGoesOn && message.Epoch < n.view.Epoch && n.inChain() {
-		n.dispatchDown(message)
+	if n.injectedFaults.ignoreEpochEnd && message.Epoch < n.view.Epoch && n.inChain() {
+		n.dispatchFromPredecessor(message)
 		return
 	}
-	if message.Epoch != n.view.Epoch || !n.inChain() || n.promised() {
+	if message.Epoch != n.view.Epoch || !n.inChain() || n.hasPromised() {
 		return
 	}
 	if sender == n.predecessor() {
-		n.predecessorHeardAt = n.now
-		n.dispatchDown(message)
+		n.predecessorLastContact = n.now
+		n.dispatchFromPredecessor(message)
 	}
 	if sender == n.successor() {
-		n.successorHeardAt = n.now
-		n.dispatchUp(message)
+		n.successorLastContact = n.now
+		n.dispatchFromSuccessor(message)
 	}
 }
 
-func (n *Node) dispatchDown(message *chainpb.Message) {
+func (n *Node) dispatchFromPredecessor(message *chainpb.Message) {
 	switch body := message.Body.(type) {
 	case *chainpb.Message_Sync:
 		n.receiveSync(body.Sync)
@@ -87,7 +88,7 @@
 	}
 }
 
-func (n *Node) dispatchUp(message *chainpb.Message) {
+func (n *Node) dispatchFromSuccessor(message *chainpb.Message) {
 	switch body := message.Body.(type) {
 	case *chainpb.Message_SyncRequest:
 		n.receiveSyncRequest(body.SyncRequest)
@@ -96,16 +97,16 @@
 	}
 }
 
-// compareEpochs tells a sender of an older epoch the view, and asks one of a newer epoch for it.
-func (n *Node) compareEpochs(sender Identity, from string, message *chainpb.Message) {
+// reconcileEpochs sends the view to a sender of an older epoch and requests it from a sender of a newer one.
+func (n *Node) reconcileEpochs(sender Identity, fromAddress string, message *chainpb.Message) {
 	switch {
 	case message.Epoch < n.view.Epoch:
-		if n.membership.mayNotify(sender, n.now) {
-			n.sendTo(from, sender, n.viewNotice())
+		if n.membership.allowNotice(sender, n.now) {
+			n.sendTo(fromAddress, sender, n.viewNotice())
 		}
 	case message.Epoch > n.view.Epoch && message.GetViewNotice() == nil:
-		if n.membership.mayNotify(sender, n.now) {
-			n.sendTo(from, sender, n.joinRequest())
+		if n.membership.allowNotice(sender, n.now) {
+			n.sendTo(fromAddress, sender, n.joinRequest())
 		}
 	}
 }
@@ -114,6 +115,7 @@
 	return &chainpb.Message{Body: &chainpb.Message_ViewNotice{ViewNotice: &chainpb.ViewNotice{View: viewToWire(n.view)}}}
 }
 
+// joinRequest returns a join request, which also requests a newer view.
 func (n *Node) joinRequest() *chainpb.Message {
 	return &chainpb.Message{Body: &chainpb.Message_JoinRequest{JoinRequest: &chainpb.JoinRequest{
 		Member:   memberToWire(n.self),
@@ -122,7 +124,7 @@
 	}}}
 }
 
-// send sends to a member by its identity, wherever it is now.
+// send sends to a process by its identity, at its last known address.
 func (n *Node) send(to Identity, message *chainpb.Message) {
 	if to == "" {
 		return
@@ -130,32 +132,33 @@
 	n.sendTo(n.addressOf(to), to, message)
 }
 
-// sendTo sends to an address, and to an identity if that is known.
+// sendTo sends to an address, and to the identity if it is known.
 func (n *Node) sendTo(address string, to Identity, message *chainpb.Message) {
-	n.stamp(to, message)
+	n.setEnvelope(to, message)
 	if to == n.self.Identity || address == n.self.Address {
-		n.loop = append(n.loop, message)
+		n.selfMessages = append(n.selfMessages, message)
 		return
 	}
 	if address == "" {
 		return
 	}
-	n.out.Sends = append(n.out.Sends, Send{To: address, Message: message})
+	n.output.Sends = append(n.output.Sends, Send{To: address, Message: message})
 }
 
-// sendAfter sends once what was persisted so far, and the records given, are on disk.
-func (n *Node) sendAfter(to Identity, message *chainpb.Message, records ...Record) {
+// sendAfterSync sends a message once everything queued so far and the given records are on disk.
+func (n *Node) sendAfterSync(to Identity, message *chainpb.Message, records ...Record) {
 	address := n.addressOf(to)
-	n.stamp(to, message)
+	n.setEnvelope(to, message)
 	send := Send{To: address, Message: message}
 	if to == n.self.Identity {
-		n.persist(effect{loop: []Send{send}}, records...)
+		n.persist(effect{selfMessages: []Send{send}}, records...)
 		return
 	}
 	n.persist(effect{sends: []Send{send}}, records...)
 }
 
-func (n *Node) stamp(to Identity, message *chainpb.Message) {
+// setEnvelope sets the sender, recipient and epoch of a message.
+func (n *Node) setEnvelope(to Identity, message *chainpb.Message) {
 	message.From = string(n.self.Identity)
 	message.To = string(to)
 	message.Epoch = n.view.Epoch
--- a/internal/chain/election.go
+++ b/internal/chain/election.go
@@ -7,35 +7,35 @@
 	"wallflow/internal/chain/chainpb"
 )
 
-// election decides when this node proposes a view.
+// election is the state that decides when this node proposes a view.
 type election struct {
-	proposeAt    time.Time // zero: no reason to
-	maximumRound uint64    // of ballots seen
-	asked        *askedSupport
+	proposeAt      time.Time           // zero: no reason to propose
+	maxRound       uint64              // highest ballot round seen
+	pendingInquiry *unsupportedInquiry // newest inquiry that is not supported yet
 }
 
-// askedSupport is an inquiry that was not supported yet.
-type askedSupport struct {
-	by      Identity
-	inquiry *chainpb.Inquiry
-	at      time.Time
+// unsupportedInquiry is an inquiry of another voter for which this node does not see the need yet.
+type unsupportedInquiry struct {
+	from       Identity
+	inquiry    *chainpb.Inquiry
+	receivedAt time.Time
 }
 
-// postpone lets another propose first.
-func (e *election) postpone(until time.Time) {
+// delayUntil keeps this node from proposing before a time, so that another one goes first.
+func (e *election) delayUntil(until time.Time) {
 	if e.proposeAt.Before(until) {
 		e.proposeAt = until
 	}
 }
 
-// tickElection looks for a reason to propose and drives an attempt that is under way.
+// tickElection starts an attempt if there is a reason to propose, and drives the current attempt.
 func (n *Node) tickElection() {
-	n.answerInquiry()
+	n.answerPendingInquiry()
 	if n.attempt != nil {
 		n.tickAttempt()
 		return
 	}
-	reason := n.suspicion()
+	reason := n.proposalReason()
 	if reason == chainpb.Reason_REASON_UNSPECIFIED {
 		n.election.proposeAt = time.Time{}
 		return
@@ -48,62 +48,65 @@
 	}
 }
 
-// suspicion tells why a new view is needed, if it is.
-func (n *Node) suspicion() chainpb.Reason {
+// proposalReason returns why a new view is needed, or REASON_UNSPECIFIED if none is.
+func (n *Node) proposalReason() chainpb.Reason {
 	switch {
-	case !n.votes() || n.impaired():
+	case !n.isElector() || n.impaired():
 		return chainpb.Reason_REASON_UNSPECIFIED
 	case n.view.Epoch == 0:
 		return chainpb.Reason_REASON_FOUND
-	case n.promised() && n.now.Sub(n.acceptor.since) >= undecidedTimeout:
+	case n.hasPromised() && n.now.Sub(n.acceptor.promisedAt) >= undecidedTimeout:
 		return chainpb.Reason_REASON_UNDECIDED
-	case n.promised():
+	case n.hasPromised():
 		return chainpb.Reason_REASON_UNSPECIFIED
-	case slices.ContainsFunc(n.view.Chain, n.isDead):
+	case slices.ContainsFunc(n.view.Chain, n.isUnavailable):
 		return chainpb.Reason_REASON_DEAD
-	case n.stuck():
+	case n.isStuck():
 		return chainpb.Reason_REASON_STUCK
 	}
 	return chainpb.Reason_REASON_UNSPECIFIED
 }
 
-// stuck tells whether the chain does not work, as far as a member of it can see.
-func (n *Node) stuck() bool {
-	patience := n.options.AckBound/stuckShare + transferTime(n.log.uncommittedBytes())
+// isStuck reports whether the chain makes no progress as far as a chain member can see. The head checks uncommitted
+// entries and unanswered heartbeats, the other members check when their predecessor last sent anything.
+func (n *Node) isStuck() bool {
+	timeout := n.options.AckBound/stuckDivisor + transferTime(n.log.uncommittedBytes())
 	if !n.inChain() {
 		return false
 	}
 	if !n.isHead() {
-		return n.now.Sub(n.predecessorHeardAt) >= patience
+		return n.now.Sub(n.predecessorLastContact) >= timeout
 	}
-	entryStuck := !n.entryWaits.IsZero() && n.now.Sub(n.entryWaits) >= patience
-	heartbeatStuck := !n.heartbeatUnansweredSince.IsZero() && n.now.Sub(n.heartbeatUnansweredSince) >= patience
+	entryStuck := !n.uncommittedSince.IsZero() && n.now.Sub(n.uncommittedSince) >= timeout
+	heartbeatStuck := !n.heartbeatUnansweredSince.IsZero() && n.now.Sub(n.heartbeatUnansweredSince) >= timeout
 	return entryStuck || heartbeatStuck
 }
 
-// backoff spreads proposers: by their place among those alive, the chain first, and by chance.
+// backoff returns a delay that keeps proposers apart: by rank, plus a random part.
 func (n *Node) backoff() time.Duration {
-	chance := time.Duration(n.options.Random.Int63n(int64(randomBackoff)))
-	return time.Duration(n.backoffPlace())*placeBackoff + chance
+	jitter := time.Duration(n.options.Random.Int63n(int64(maxRandomBackoff)))
+	return time.Duration(n.proposerRank())*rankBackoff + jitter
 }
 
-func (n *Node) backoffPlace() int {
+// proposerRank returns the number of available voters that precede this node in the proposer order. For the first view
+// it is the index in the seeds.
+func (n *Node) proposerRank() int {
 	if n.view.Epoch == 0 {
 		return max(0, slices.Index(n.options.Seeds, n.self.Address))
 	}
-	place := 0
+	rank := 0
 	for _, identity := range n.proposerOrder() {
 		if identity == n.self.Identity {
-			return place
+			return rank
 		}
-		if !n.isDead(identity) {
-			place++
+		if !n.isUnavailable(identity) {
+			rank++
 		}
 	}
-	return place
+	return rank
 }
 
-// proposerOrder is the chain, and then the other voters.
+// proposerOrder returns the chain followed by the other voters.
 func (n *Node) proposerOrder() []Identity {
 	order := slices.Clone(n.view.Chain)
 	for _, voter := range n.view.Voters {
@@ -114,10 +117,10 @@
 	return order
 }
 
-// giveUp ends an attempt, and lets the next one wait a little.
-func (n *Node) giveUp() {
+// abandonAttempt ends the current attempt and delays the next one.
+func (n *Node) abandonAttempt() {
 	n.attempt = nil
-	n.votersAfter = n.now.Add(candidateSteady)
-	pause := placeBackoff + time.Duration(n.options.Random.Int63n(int64(2*placeBackoff)))
-	n.election.proposeAt = n.now.Add(pause + n.backoff())
+	n.voterChangeNotBefore = n.now.Add(candidateProbation)
+	delay := rankBackoff + time.Duration(n.options.Random.Int63n(int64(2*rankBackoff)))
+	n.election.proposeAt = n.now.Add(delay + n.backoff())
 }
--- a/internal/chain/epoch_test.go
+++ b/internal/chain/epoch_test.go
@@ -8,7 +8,8 @@
 	"wallflow/internal/chain/chainpb"
 )
 
-// neighbourMessages are what the predecessor of a tail may send, each of which changes something if it is of this epoch.
+// neighbourMessages returns messages that the predecessor of a tail may send. Each changes the state of the tail if it
+// is of the current epoch.
 func neighbourMessages(tail *process) map[string]*chainpb.Message {
 	log := &tail.node.log
 	late := []*chainpb.Entry{{Position: log.lastPosition() + 1, Epoch: tail.node.view.Epoch, Command: []byte("late")}}
@@ -21,33 +22,34 @@
 	}
 }
 
-// What a neighbour sent in another epoch changes nothing, and neither does what it sends once this process has promised: the log may have
-// been replaced since by one that was decided on without those entries. Such messages come late, or by an earlier connection.
-func TestMessageOfAnotherEpochChangesNothing(t *testing.T) {
+// TestMessageOfAnotherEpochIsIgnored verifies that messages of a neighbour are ignored if they are of another epoch or
+// if this process has promised. Such messages arrive late or over an earlier connection, when the log may already have
+// been replaced by one decided without their entries.
+func TestMessageOfAnotherEpochIsIgnored(t *testing.T) {
 	for _, c := range []struct {
 		title    string
-		epochs   int // that the message is ahead
+		epochs   int // by which the message is ahead
 		promised bool
-		taken    bool
+		changed  bool
 	}{
-		{"of this epoch", 0, false, true},
-		{"of the one before", -1, false, false},
-		{"of the next", 1, false, false},
+		{"current epoch", 0, false, true},
+		{"previous epoch", -1, false, false},
+		{"next epoch", 1, false, false},
 		{"after a promise", 0, true, false},
 	} {
 		for _, name := range []string{"append", "sync", "heartbeat"} {
-			s, tail, _ := settledTail(t)
+			s, tail, _ := newSettledTail(t)
 			predecessor := s.byIdentity(tail.node.predecessor())
 			if c.promised {
-				tail.node.acceptor.promised = ballot{round: 1 << 20, nonce: 1}
+				tail.node.acceptor.promisedBallot = ballot{round: 1 << 20, nonce: 1}
 			}
 			message := neighbourMessages(tail)[name]
 			message.From, message.To = string(predecessor.node.Identity()), string(tail.node.Identity())
 			message.Epoch = uint64(int(tail.node.view.Epoch) + c.epochs)
-			position, asked := tail.node.log.lastPosition(), tail.node.questions
+			position, probesBefore := tail.node.log.lastPosition(), tail.node.probes
 			tail.node.Receive(s.now, predecessor.self.Address, message)
-			taken := tail.node.log.lastPosition() != position || tail.node.questions != asked
-			assert.Equal(t, taken, c.taken, "%s %s", name, c.title)
+			changed := tail.node.log.lastPosition() != position || tail.node.probes != probesBefore
+			assert.Equal(t, changed, c.changed, "%s %s", name, c.title)
 		}
 	}
 }
--- a/internal/chain/errors.go
+++ b/internal/chain/errors.go
@@ -6,15 +6,16 @@
 	"wallflow/internal/logfile"
 )
 
-// RecoverError tells that stored records cannot be a node's own. The store is unfit; the process has to rejoin empty.
-type RecoverError struct {
+// RecoveryError reports stored records that cannot be the valid history of a node. The store is unusable, and the
+// process has to rejoin with an empty one.
+type RecoveryError struct {
 	Index  int // of the record
 	Reason string
 	Cause  error
 }
 
-// Error describes the record.
-func (e *RecoverError) Error() string {
+// Error returns the index of the record and the reason.
+func (e *RecoveryError) Error() string {
 	if e.Cause != nil {
 		return fmt.Sprintf("chain: stored record %d: %s: %v", e.Index, e.Reason, e.Cause)
 	}
@@ -22,24 +23,24 @@
 }
 
 // Unwrap returns the cause, if there is one.
-func (e *RecoverError) Unwrap() error { return e.Cause }
+func (e *RecoveryError) Unwrap() error { return e.Cause }
 
-// OptionsError tells that a node cannot be made with the options given.
+// OptionsError reports a missing or invalid option.
 type OptionsError struct{ Field string }
 
-// Error names the field.
+// Error returns the message with the name of the field.
 func (e *OptionsError) Error() string { return "chain: options: missing or invalid " + e.Field }
 
-// unknownRecordError tells of a record type that this version does not know.
+// unknownRecordError reports a record type that this version does not know.
 type unknownRecordError struct{ kind logfile.RecordType }
 
 func (e *unknownRecordError) Error() string {
-	return fmt.Sprintf("record type %d is not known", e.kind)
+	return fmt.Sprintf("unknown record type %d", e.kind)
 }
 
-// entryOrderError tells of an entry that does not follow the log, or would replace a committed one.
+// entryOrderError reports an entry that does not follow the log or would replace a committed entry.
 type entryOrderError struct{ position, last, committed uint64 }
 
 func (e *entryOrderError) Error() string {
-	return fmt.Sprintf("entry %d does not follow a log of %d entries, %d of them committed", e.position, e.last, e.committed)
+	return fmt.Sprintf("entry %d does not follow the log, which ends at %d and is committed up to %d", e.position, e.last, e.committed)
 }
--- a/internal/chain/example_test.go
+++ b/internal/chain/example_test.go
@@ -8,7 +8,7 @@
 	"wallflow/internal/chain"
 )
 
-// counter is a state that counts the commands "add" and refuses all others.
+// counter is a state that counts the commands "add" and rejects all others.
 type counter int
 
 func (c counter) Apply(command []byte) (chain.State, chain.Reply) {
@@ -26,8 +26,8 @@
 	return value, err
 }
 
-// A system of one process founds itself and takes commands. The loop stands for the process around a node, which writes and
-// syncs what it is told to before it reports the end of the write.
+// A system of one process bootstraps itself and accepts commands. The handle function stands in for the process around
+// a node, which writes and syncs records before it reports that the write ended.
 func ExampleNode() {
 	now := time.Unix(0, 0)
 	self := chain.Member{Name: "core-1", Address: "10.0.0.1:7000", Zone: "a", Region: "r"}
--- a/internal/chain/feed.go
+++ b/internal/chain/feed.go
@@ -8,28 +8,29 @@
 	"wallflow/internal/chain/chainpb"
 )
 
-// feed is the tail's knowledge of the processes outside the chain, and a learner's of the tail.
+// feed is the state of the replication to processes outside the chain. The tail sends committed entries to them, its
+// followers.
 type feed struct {
-	followers       map[Identity]*follower
-	fetchedAt       time.Time
-	joinRequestedAt time.Time
+	followers         map[Identity]*follower // tail: by identity
+	lastFetchAt       time.Time              // when this node last sent a fetch
+	lastJoinRequestAt time.Time              // when this node last sent a join request
 }
 
-// follower is a process that gets committed entries.
+// follower is a process outside the chain to which the tail sends committed entries.
 type follower struct {
-	address  string
-	heardAt  time.Time
-	token    uint64 // of its newest question
-	position uint64 // up to which entries were sent
-	known    bool   // the position is the follower's own, or was sent since
+	address       string
+	lastContact   time.Time
+	lastToken     uint64 // probe number of its newest fetch
+	sentPosition  uint64 // up to which entries were sent
+	positionKnown bool   // sentPosition comes from a fetch of the follower
 }
 
-// inOrder are the followers in a fixed order.
-func (f *feed) inOrder() []Identity { return slices.Sorted(maps.Keys(f.followers)) }
+// sortedFollowers returns the followers in ascending order, for deterministic runs.
+func (f *feed) sortedFollowers() []Identity { return slices.Sorted(maps.Keys(f.followers)) }
 
 func newFeed() feed { return feed{followers: make(map[Identity]*follower)} }
 
-// tickFeed keeps the list of followers: who is alive outside the chain, or asked lately.
+// tickFeed updates the followers at the tail: processes outside the chain that are alive or sent a fetch recently.
 func (n *Node) tickFeed() {
 	if !n.isTail() {
 		clear(n.feed.followers)
@@ -37,182 +38,191 @@
 	}
 	for identity, member := range n.membership.alive {
 		if identity != n.self.Identity && n.view.Place(identity) < 0 {
-			n.follow(identity, member.Address)
+			n.addFollower(identity, member.Address)
 		}
 	}
-	for identity, each := range n.feed.followers {
-		if n.view.Place(identity) >= 0 || n.now.Sub(each.heardAt) > followerForget {
+	for identity, f := range n.feed.followers {
+		if n.view.Place(identity) >= 0 || n.now.Sub(f.lastContact) > followerTimeout {
 			delete(n.feed.followers, identity)
 		}
 	}
 }
 
-func (n *Node) follow(identity Identity, address string) *follower {
-	each, known := n.feed.followers[identity]
+// addFollower adds a follower or renews its address and last contact.
+func (n *Node) addFollower(identity Identity, address string) *follower {
+	f, known := n.feed.followers[identity]
 	if !known {
-		each = &follower{}
-		n.feed.followers[identity] = each
+		f = &follower{}
+		n.feed.followers[identity] = f
 	}
-	each.address, each.heardAt = address, n.now
-	return each
+	f.address, f.lastContact = address, n.now
+	return f
 }
 
-// feedFollowers sends newly committed entries to those who hold the ones before.
-func (n *Node) feedFollowers() {
-	for _, identity := range n.feed.inOrder() {
-		each := n.feed.followers[identity]
-		if each.known && each.position < n.log.committed && n.log.holds(each.position) {
-			n.feedEntries(identity, each, each.position)
+// feedNewEntries sends newly committed entries to the followers that have all previous ones.
+func (n *Node) feedNewEntries() {
+	for _, identity := range n.feed.sortedFollowers() {
+		f := n.feed.followers[identity]
+		if f.positionKnown && f.sentPosition < n.log.committed && n.log.holdsAllAfter(f.sentPosition) {
+			n.feedEntries(identity, f, f.sentPosition)
 		}
 	}
 }
 
-// feedDigests tells every follower what is committed, so that it notices a gap.
+// feedDigests sends every follower the committed position without entries, so that it notices missing ones.
 func (n *Node) feedDigests() {
-	for _, identity := range n.feed.inOrder() {
-		each := n.feed.followers[identity]
-		n.feedEntries(identity, each, n.log.committed)
+	for _, identity := range n.feed.sortedFollowers() {
+		f := n.feed.followers[identity]
+		n.feedEntries(identity, f, n.log.committed)
 	}
 }
 
-// feedEntries sends the committed entries behind a position.
+// feedEntries sends the committed entries after a position.
 func (n *Node) feedEntries(identity Identity, to *follower, after uint64) {
 	epoch, _ := n.log.epochAt(after)
 	n.sendFeed(identity, to, &chainpb.Feed{
 		PreviousEpoch:    epoch,
 		PreviousPosition: after,
-		Entries:          n.log.between(after, n.log.committed),
+		Entries:          n.log.entriesBetween(after, n.log.committed),
 	})
 }
 
+// sendFeed sends a feed with the committed position, the token of the newest fetch, and whether the epoch is confirmed
+// at the tail.
 func (n *Node) sendFeed(identity Identity, to *follower, message *chainpb.Feed) {
 	message.Committed = n.log.committed
 	message.Confirmed = n.Fresh(n.now)
-	message.Token = to.token
+	message.Token = to.lastToken
 	if len(message.Entries) > 0 || message.Snapshot != nil {
-		to.position = n.log.committed
+		to.sentPosition = n.log.committed
 	}
 	n.sendTo(to.address, identity, &chainpb.Message{Body: &chainpb.Message_Feed{Feed: message}})
 }
 
-// mayFeed tells whether the node is the tail of a chain that is installed. Only then it knows whatever was answered before.
-func (n *Node) mayFeed() bool {
-	return n.isTail() && n.serving() && n.durableInstalled == n.view.Epoch
+// canFeed reports whether the node is the tail of a chain that has installed its epoch. Only such a tail has every
+// answered command.
+func (n *Node) canFeed() bool {
+	return n.isTail() && n.canServe() && n.durableInstalledEpoch == n.view.Epoch
 }
 
-// receiveFetch answers a process that is missing entries.
+// receiveFetch sends a process outside the chain the entries that it is missing, or a snapshot.
 func (n *Node) receiveFetch(sender Identity, fetch *chainpb.Fetch) {
-	if !n.mayFeed() || n.view.Place(sender) >= 0 {
+	if !n.canFeed() || n.view.Place(sender) >= 0 {
 		return
 	}
-	each := n.follow(sender, n.addressOf(sender))
-	each.known = true
-	each.token = fetch.Token
-	after, possible := n.commonPosition(fetch.LastEpoch, fetch.LastPosition, fetch.Committed)
-	if possible {
-		each.position = min(after, n.log.committed)
-		n.feedEntries(sender, each, each.position)
+	f := n.addFollower(sender, n.addressOf(sender))
+	f.positionKnown = true
+	f.lastToken = fetch.Token
+	keep, found := n.commonPosition(fetch.LastEpoch, fetch.LastPosition, fetch.Committed)
+	if found {
+		f.sentPosition = min(keep, n.log.committed)
+		n.feedEntries(sender, f, f.sentPosition)
 		return
 	}
 	snapshot := n.snapshot()
 	n.counters.Snapshots++
-	n.sendFeed(sender, each, &chainpb.Feed{
+	n.sendFeed(sender, f, &chainpb.Feed{
 		PreviousEpoch:    snapshot.Epoch,
 		PreviousPosition: snapshot.Position,
 		Snapshot:         snapshot,
 	})
 }
 
-// fetch asks the tail for what is missing.
+// fetch requests missing entries from the tail.
 func (n *Node) fetch(tail Identity) {
-	if tail == "" || n.inChain() || n.now.Sub(n.feed.fetchedAt) < noticeInterval {
+	if tail == "" || n.inChain() || n.now.Sub(n.feed.lastFetchAt) < noticeInterval {
 		return
 	}
-	n.feed.fetchedAt = n.now
+	n.feed.lastFetchAt = n.now
 	n.send(tail, &chainpb.Message{Body: &chainpb.Message_Fetch{Fetch: &chainpb.Fetch{
 		LastEpoch:    n.log.lastEpoch(),
 		LastPosition: n.log.lastPosition(),
 		Committed:    n.log.committed,
 		Member:       memberToWire(n.self),
-		Token:        n.questions.ask(n.now),
+		Token:        n.probes.start(n.now),
 	}}})
 }
 
-// tickQuestions has a process outside the chain ask the tail from time to time: only an answer proves that its epoch is in force.
-func (n *Node) tickQuestions() {
-	if n.view.Epoch > 0 && n.now.Sub(n.feed.fetchedAt) >= heartbeatInterval {
+// tickFetch makes a process outside the chain send a fetch at regular intervals, because only the response to one
+// proves that its epoch is in force.
+func (n *Node) tickFetch() {
+	if n.view.Epoch > 0 && n.now.Sub(n.feed.lastFetchAt) >= heartbeatInterval {
 		n.fetch(n.view.Tail())
 	}
 }
 
-// receiveFeed follows the committed entries. A member of the chain gets its entries from its predecessor alone.
+// receiveFeed appends entries committed by the tail. A chain member ignores them, since it gets its entries from its
+// predecessor.
 func (n *Node) receiveFeed(sender Identity, epoch uint64, message *chainpb.Feed) {
 	if n.inChain() || n.journal.failed {
 		return
 	}
-	if message.Snapshot != nil && !n.takeSnapshot(sender, message.Snapshot) {
+	if message.Snapshot != nil && !n.applySnapshot(sender, message.Snapshot) {
 		return
 	}
-	if !n.matches(message.PreviousEpoch, message.PreviousPosition) {
+	if !n.logMatches(message.PreviousEpoch, message.PreviousPosition) {
 		n.fetch(sender)
 		return
 	}
-	n.followEntries(message.PreviousPosition, message.Entries)
+	n.appendCommittedEntries(message.PreviousPosition, message.Entries)
 	verified := message.PreviousPosition + uint64(len(message.Entries))
 	n.commit(min(message.Committed, verified))
 	n.confirmByFeed(epoch, message)
 }
 
-// confirmByFeed takes the tail's answer to a question, if all that the tail has committed is here. The tail's own confirmation may be
-// as old as it holds, so that a process outside the chain may count an epoch that is over as confirmed for twice that time.
+// confirmByFeed treats a feed as the response to a fetch if everything committed by the tail is present here. The
+// confirmation of the tail may be up to confirmationValidity old, so a process outside the chain may consider an ended
+// epoch confirmed for twice that time.
 func (n *Node) confirmByFeed(epoch uint64, message *chainpb.Feed) {
 	if !message.Confirmed || epoch != n.view.Epoch || n.log.committed < message.Committed {
 		return
 	}
-	n.confirm(message.Token)
+	n.confirmProbe(message.Token)
 }
 
-// takeSnapshot replaces the log, unless that holds as much: what follows in it may have been answered in a newer epoch.
-func (n *Node) takeSnapshot(sender Identity, snapshot *chainpb.Snapshot) bool {
-	if n.matches(snapshot.Epoch, snapshot.Position) {
+// applySnapshot replaces the log with a snapshot unless the log already matches it: its later entries may have been
+// answered in a newer epoch. It returns false if the snapshot cannot be used.
+func (n *Node) applySnapshot(sender Identity, snapshot *chainpb.Snapshot) bool {
+	if n.logMatches(snapshot.Epoch, snapshot.Position) {
 		return true
 	}
 	if err := n.resetLog(snapshot); err != nil {
-		n.logf("snapshot from %s: %v", sender, err)
+		n.logf("installing the snapshot from %s: %v", sender, err)
 		return false
 	}
-	n.synced = 0
-	n.out.Committed = true
+	n.syncedPosition = 0
+	n.output.Committed = true
 	n.persist(effect{position: snapshot.Position, generation: n.generation}, encodeRecord(RecordSnapshot, snapshot))
 	n.answerReads()
 	return true
 }
 
-// matches tells whether the log is the same as another one up to a position.
-func (n *Node) matches(epoch, position uint64) bool {
+// logMatches reports whether this log equals another one up to a position, given the epoch of the entry there.
+func (n *Node) logMatches(epoch, position uint64) bool {
 	if position <= n.log.committed {
 		return true
 	}
-	held, found := n.log.epochAt(position)
-	return found && held == epoch
+	entryEpoch, found := n.log.epochAt(position)
+	return found && entryEpoch == epoch
 }
 
-// followEntries takes committed entries behind a position up to which the logs are the same.
-func (n *Node) followEntries(previous uint64, entries []*chainpb.Entry) {
+// appendCommittedEntries appends committed entries after a position up to which the logs are equal. It replaces
+// differing entries.
+func (n *Node) appendCommittedEntries(previous uint64, entries []*chainpb.Entry) {
 	for index, entry := range entries {
 		if entry.Position <= n.log.committed {
 			continue
 		}
-		if epoch, held := n.log.epochAt(entry.Position); held && epoch == entry.Epoch {
+		if epoch, retained := n.log.epochAt(entry.Position); retained && epoch == entry.Epoch {
 			continue
 		}
 		if n.log.lastPosition() >= entry.Position {
 			n.log.truncate(entry.Position - 1)
 			n.generation++
-			n.synced = min(n.synced, entry.Position-1)
+			n.syncedPosition = min(n.syncedPosition, entry.Position-1)
 		}
-		for _, fresh := range entries[index:] {
-			n.log.append(fresh)
+		for _, missing := range entries[index:] {
+			n.log.append(missing)
 		}
 		n.persistEntries(entries[index:])
 		return
--- a/internal/chain/heartbeat.go
+++ b/internal/chain/heartbeat.go
@@ -6,13 +6,14 @@
 	"wallflow/internal/chain/chainpb"
 )
 
-// tickChain does what a member of the chain does from time to time.
+// tickChain repeats the sync request of a member that has not installed its epoch, and sends the heartbeats of the
+// head.
 func (n *Node) tickChain() {
-	if !n.inChain() || n.promised() || n.journal.failed {
+	if !n.inChain() || n.hasPromised() || n.journal.failed {
 		return
 	}
-	if n.installed != n.view.Epoch {
-		if !n.isHead() && n.now.Sub(n.syncRequestedAt) >= syncRetry {
+	if n.installedEpoch != n.view.Epoch {
+		if !n.isHead() && n.now.Sub(n.syncRequestedAt) >= syncRetryInterval {
 			n.requestSync()
 		}
 		return
@@ -22,19 +23,20 @@
 	}
 }
 
-// sendHeartbeat begins a round through the chain. It comes back as an acknowledgement if no member has promised for the next epoch.
+// sendHeartbeat sends a heartbeat through the chain. It returns as an acknowledgement only if no member has promised
+// for the next epoch.
 func (n *Node) sendHeartbeat() {
-	n.heartbeat = n.questions.ask(n.now)
+	n.lastHeartbeat = n.probes.start(n.now)
 	n.heartbeatSentAt = n.now
-	n.takeCheckpoint()
+	n.recordCheckpoint()
 	if n.heartbeatUnansweredSince.IsZero() {
 		n.heartbeatUnansweredSince = n.now
 	}
-	n.passHeartbeat(n.heartbeat)
+	n.forwardHeartbeat(n.lastHeartbeat)
 }
 
-// passHeartbeat passes a heartbeat on, or turns it round at the tail.
-func (n *Node) passHeartbeat(number uint64) {
+// forwardHeartbeat forwards a heartbeat or, at the tail, acknowledges it and sends digests to the followers.
+func (n *Node) forwardHeartbeat(number uint64) {
 	if n.isTail() {
 		n.acknowledge(number)
 		n.feedDigests()
@@ -42,51 +44,55 @@
 	}
 	n.send(n.successor(), &chainpb.Message{Body: &chainpb.Message_Heartbeat{Heartbeat: &chainpb.Heartbeat{
 		Number:       number,
-		LastPosition: n.passed,
+		LastPosition: n.forwardedPosition,
 	}}})
 }
 
+// receiveHeartbeat records and forwards a heartbeat of the predecessor. Its last position shows whether entries are
+// missing here.
 func (n *Node) receiveHeartbeat(heartbeat *chainpb.Heartbeat) {
-	if !n.serving() {
+	if !n.canServe() {
 		return
 	}
 	if heartbeat.LastPosition > n.log.lastPosition() {
-		n.requestSyncAgain()
+		n.retrySync()
 	}
-	if n.durableInstalled == n.view.Epoch {
-		n.questions.note(heartbeat.Number, n.now)
-		n.passHeartbeat(heartbeat.Number)
+	if n.durableInstalledEpoch == n.view.Epoch {
+		n.probes.record(heartbeat.Number, n.now)
+		n.forwardHeartbeat(heartbeat.Number)
 	}
 }
 
-// heartbeatReturned takes a heartbeat that has passed the whole chain and come back to the head: no member had promised for the next
-// epoch when it passed there. The other members are told.
-func (n *Node) heartbeatReturned(number uint64) {
-	if _, sent := n.questions.askedAt(number); !sent {
+// handleReturnedHeartbeat confirms the epoch at the head for the time of a heartbeat that passed through the whole
+// chain and back: no member had promised for the next epoch when it passed. The other members are notified.
+func (n *Node) handleReturnedHeartbeat(number uint64) {
+	if _, sent := n.probes.sentAt(number); !sent {
 		return
 	}
-	n.confirm(number)
-	n.passConfirm(number)
+	n.confirmProbe(number)
+	n.forwardConfirm(number)
 	n.heartbeatUnansweredSince = time.Time{}
-	if number != n.heartbeat {
+	if number != n.lastHeartbeat {
 		n.heartbeatUnansweredSince = n.heartbeatSentAt
 	}
 }
 
+// receiveConfirm confirms the epoch for the time at which a heartbeat passed here, now that the heartbeat has returned
+// to the head.
 func (n *Node) receiveConfirm(confirm *chainpb.Confirm) {
-	if !n.serving() {
+	if !n.canServe() {
 		return
 	}
-	first := n.confirmedEpoch != n.view.Epoch
-	n.confirm(confirm.Heartbeat)
-	n.passConfirm(confirm.Heartbeat)
-	if first && n.isTail() {
-		n.feedDigests() // the followers' questions came before the epoch was confirmed here
+	firstOfEpoch := n.confirmedEpoch != n.view.Epoch
+	n.confirmProbe(confirm.Heartbeat)
+	n.forwardConfirm(confirm.Heartbeat)
+	if firstOfEpoch && n.isTail() {
+		n.feedDigests() // the fetches of the followers arrived before the epoch was confirmed here
 	}
 }
 
-// passConfirm tells the rest of the chain that a heartbeat came back.
-func (n *Node) passConfirm(number uint64) {
+// forwardConfirm notifies the rest of the chain that a heartbeat returned.
+func (n *Node) forwardConfirm(number uint64) {
 	if !n.isTail() {
 		n.send(n.successor(), &chainpb.Message{Body: &chainpb.Message_Confirm{Confirm: &chainpb.Confirm{Heartbeat: number}}})
 	}
--- a/internal/chain/install.go
+++ b/internal/chain/install.go
@@ -6,104 +6,108 @@
 	"wallflow/internal/chain/chainpb"
 )
 
-// replication is a node's work as a member of the chain of its view.
+// replication is the state of a node as a chain member of its view. It is reset by each new view, except for the
+// confirmation of the epoch.
 type replication struct {
-	successorSynced    bool   // the successor holds, or is being sent, what was passed
-	passed             uint64 // position up to which entries went to the successor
-	waitingSyncRequest *chainpb.SyncRequest
-	syncRequestedAt    time.Time
-	barriers           []*chainpb.Barrier
-
-	heartbeat                uint64    // head: number of the newest heartbeat
-	heartbeatSentAt          time.Time // head: when it went out
-	heartbeatUnansweredSince time.Time // head: when the oldest heartbeat without an acknowledgement went out
-	predecessorHeardAt       time.Time // others: when the predecessor last sent anything
-	successorHeardAt         time.Time // all but the tail: when the successor last sent anything
-	confirmedAt              time.Time // the epoch was in force at this time
+	successorReady      bool                 // the successor has the entries up to forwardedPosition or is being sent them
+	forwardedPosition   uint64               // up to which entries were sent to the successor
+	deferredSyncRequest *chainpb.SyncRequest // of the successor, answered once the epoch is installed here
+	syncRequestedAt     time.Time
+	barriers            []*chainpb.Barrier // waiting for entries, see startBarrier
+
+	lastHeartbeat            uint64    // head: number of the newest heartbeat
+	heartbeatSentAt          time.Time // head: when the newest heartbeat was sent
+	heartbeatUnansweredSince time.Time // head: when the oldest unacknowledged heartbeat was sent, zero for none
+	predecessorLastContact   time.Time // all but the head: when the predecessor last sent anything
+	successorLastContact     time.Time // all but the tail: when the successor last sent anything
+	confirmedAt              time.Time // time at which confirmedEpoch was in force
 	confirmedEpoch           uint64
-	activeSince              time.Time // head: since when the whole chain has installed the epoch
-	entryWaits               time.Time // head: since when entries wait to be committed
-	candidates               map[Identity]*candidate
-	checkpoints              [checkpointsHeld]checkpoint // head: the newest first
-	votersAfter              time.Time                   // head: no change of the voters before
+	activeSince              time.Time                  // head: when the whole chain had installed the epoch, zero before
+	uncommittedSince         time.Time                  // head: since when waiting entries make no progress, zero if none wait
+	candidates               map[Identity]*candidate    // head: learners that ask to become voters
+	checkpoints              [maxCheckpoints]checkpoint // head: the newest first
+	voterChangeNotBefore     time.Time                  // head: earliest time of the next attempt to change the voters
 }
 
-// promised tells whether the node takes no part in its epoch any more.
-func (n *Node) promised() bool { return !n.acceptor.promised.zero() && !n.mistakes.headGoesOn }
+// hasPromised reports whether the node promised in the instance of the next epoch and therefore takes no further part
+// in the current one.
+func (n *Node) hasPromised() bool {
+	return !n.acceptor.promisedBallot.isZero() && !n.injectedFaults.ignoreEpochEnd
+}
 
-// serving tells whether the node may append and pass on in its epoch.
-func (n *Node) serving() bool {
-	return n.inChain() && n.installed == n.view.Epoch && !n.promised() && !n.journal.failed
+// canServe reports whether the node may append and forward in its epoch.
+func (n *Node) canServe() bool {
+	return n.inChain() && n.installedEpoch == n.view.Epoch && !n.hasPromised() && !n.journal.failed
 }
 
 func (n *Node) predecessor() Identity { return n.view.neighbour(n.self.Identity, -1) }
 func (n *Node) successor() Identity   { return n.view.neighbour(n.self.Identity, 1) }
 
-// learnView takes a decided view.
+// learnView adopts a decided view if it is newer than the current one.
 func (n *Node) learnView(view View) {
 	if view.Epoch == n.view.Epoch && view.Epoch > 0 && !view.equal(n.view) {
 		n.counters.BrokenViewValue++
-		n.logf("two views for epoch %d", view.Epoch)
+		n.logf("two different views were decided for epoch %d", view.Epoch)
 	}
 	if view.Epoch <= n.view.Epoch {
 		return
 	}
-	if len(view.Chain) < n.leastChainLength(view) {
+	if len(view.Chain) < n.minChainLength(view) {
 		n.counters.BrokenChainMinimum++
 	}
-	n.noteFormerVoters(view)
-	n.view, n.viewSince = view, n.now
+	n.recordFormerVoters(view)
+	n.view, n.viewLearnedAt = view, n.now
 	n.acceptor = acceptor{instance: view.Epoch + 1}
 	n.attempt = nil
-	n.election = election{maximumRound: n.election.maximumRound}
+	n.election = election{maxRound: n.election.maxRound}
 	n.counters.ViewsDecided++
 	n.persist(effect{}, encodeRecord(RecordDecided, viewToWire(view)))
-	n.logf("view %d: %d voters, chain of %d, role %s", view.Epoch, len(view.Voters), len(view.Chain), n.role())
-	if len(view.Voters) < n.leastVoters() {
-		n.logf("%d voters can't bear the loss of %d at once: %d are needed", len(view.Voters), n.options.MinimumChain-1, n.leastVoters())
+	n.logf("view %d: %d voters, chain length %d, role %s", view.Epoch, len(view.Voters), len(view.Chain), n.role())
+	if len(view.Voters) < n.minVoters() {
+		n.logf("%d voters cannot tolerate the loss of %d at once: %d are needed", len(view.Voters), n.options.MinimumChain-1, n.minVoters())
 	}
 	confirmedAt, confirmedEpoch := n.confirmedAt, n.confirmedEpoch
 	n.replication = replication{confirmedAt: confirmedAt, confirmedEpoch: confirmedEpoch}
-	n.startChain()
-	n.clients.viewChanged()
+	n.startReplication()
+	n.clients.resendReads()
 	n.tickClients()
 }
 
-// startChain begins a member's work in its view, or goes on with it after a restart.
-func (n *Node) startChain() {
-	n.predecessorHeardAt, n.successorHeardAt = n.now, n.now
+// startReplication starts the work of a chain member in its view or resumes it after a restart.
+func (n *Node) startReplication() {
+	n.predecessorLastContact, n.successorLastContact = n.now, n.now
 	n.heartbeatUnansweredSince = n.now
-	if !n.inChain() || n.promised() || n.installed == n.view.Epoch {
+	if !n.inChain() || n.hasPromised() || n.installedEpoch == n.view.Epoch {
 		return
 	}
 	if n.isHead() {
-		n.install(&chainpb.StoredInstalled{Epoch: n.view.Epoch, Keep: n.log.lastPosition()})
+		n.installLog(&chainpb.StoredInstalled{Epoch: n.view.Epoch, Keep: n.log.lastPosition()})
 		return
 	}
 	n.requestSync()
 }
 
-// install makes the log the one of this epoch. What stored keeps has to be in the log already.
-func (n *Node) install(stored *chainpb.StoredInstalled) {
-	n.installed = stored.Epoch
+// installLog records that the log is the one of this epoch. The log has to match stored already.
+func (n *Node) installLog(stored *chainpb.StoredInstalled) {
+	n.installedEpoch = stored.Epoch
 	n.generation++
-	n.synced = n.log.committed
+	n.syncedPosition = n.log.committed
 	n.persist(effect{
-		installed:  stored.Epoch,
-		position:   n.log.lastPosition(),
-		generation: n.generation,
+		installedEpoch: stored.Epoch,
+		position:       n.log.lastPosition(),
+		generation:     n.generation,
 	}, encodeRecord(RecordInstalled, stored))
 }
 
-// installDone follows once the installation is on disk.
-func (n *Node) installDone() {
-	if request := n.waitingSyncRequest; request != nil {
-		n.waitingSyncRequest = nil
+// finishInstall runs once the installation is on disk. It answers the sync request that waited for it.
+func (n *Node) finishInstall() {
+	if request := n.deferredSyncRequest; request != nil {
+		n.deferredSyncRequest = nil
 		n.answerSyncRequest(request)
 	}
 }
 
-// requestSync asks the predecessor for what is missing.
+// requestSync requests missing entries from the predecessor.
 func (n *Node) requestSync() {
 	n.syncRequestedAt = n.now
 	n.send(n.predecessor(), &chainpb.Message{Body: &chainpb.Message_SyncRequest{SyncRequest: &chainpb.SyncRequest{
@@ -113,91 +117,93 @@
 	}}})
 }
 
-// requestSyncAgain asks again, unless it just did.
-func (n *Node) requestSyncAgain() {
-	if n.now.Sub(n.syncRequestedAt) >= syncRetry/2 {
+// retrySync repeats the sync request unless the last one was very recent.
+func (n *Node) retrySync() {
+	if n.now.Sub(n.syncRequestedAt) >= syncRetryInterval/2 {
 		n.requestSync()
 	}
 }
 
 func (n *Node) receiveSyncRequest(request *chainpb.SyncRequest) {
-	if !n.serving() {
+	if !n.canServe() {
 		return
 	}
-	if n.durableInstalled != n.view.Epoch {
-		n.waitingSyncRequest = request
+	if n.durableInstalledEpoch != n.view.Epoch {
+		n.deferredSyncRequest = request
 		return
 	}
 	n.answerSyncRequest(request)
 }
 
-// answerSyncRequest sends what the successor is missing of what is on disk here.
+// answerSyncRequest sends the successor the entries on disk that it is missing, or a snapshot if the common prefix of
+// the logs is not known.
 func (n *Node) answerSyncRequest(request *chainpb.SyncRequest) {
 	sync := &chainpb.Sync{}
-	if keep, possible := n.commonPosition(request.LastEpoch, request.LastPosition, request.Committed); possible {
+	if keep, found := n.commonPosition(request.LastEpoch, request.LastPosition, request.Committed); found {
 		sync.Keep = keep
 	} else {
 		sync.Snapshot = n.snapshot()
 		sync.Keep = n.log.committed
 		n.counters.Snapshots++
 	}
-	sync.Entries = n.log.between(sync.Keep, n.synced)
-	n.successorSynced = true
-	n.passed = n.synced
+	sync.Entries = n.log.entriesBetween(sync.Keep, n.syncedPosition)
+	n.successorReady = true
+	n.forwardedPosition = n.syncedPosition
 	n.send(n.successor(), &chainpb.Message{Body: &chainpb.Message_Sync{Sync: sync}})
-	n.passBarriers()
+	n.forwardBarriers()
 }
 
-// commonPosition is a position up to which another log is the same as this one, as far as that can be told from the other's last
-// entry and from what the other knows to be committed.
+// commonPosition returns a position up to which another log equals this one, judged by the last entry and the committed
+// position of the other log. It returns false if neither shows one.
 func (n *Node) commonPosition(lastEpoch, lastPosition, committed uint64) (uint64, bool) {
-	if epoch, held := n.log.epochAt(lastPosition); held && epoch == lastEpoch && lastPosition <= n.synced {
+	if epoch, retained := n.log.epochAt(lastPosition); retained && epoch == lastEpoch && lastPosition <= n.syncedPosition {
 		return lastPosition, true
 	}
-	if n.log.holds(committed) && committed <= n.synced {
+	if n.log.holdsAllAfter(committed) && committed <= n.syncedPosition {
 		return committed, true
 	}
 	return 0, false
 }
 
-// receiveSync installs the predecessor's log, or fills a gap in an installed one.
+// receiveSync installs the log of the predecessor or fills a gap in an already installed log.
 func (n *Node) receiveSync(sync *chainpb.Sync) {
 	if n.journal.failed {
 		return
 	}
-	if n.installed == n.view.Epoch {
+	if n.installedEpoch == n.view.Epoch {
 		n.fillGap(sync)
 		return
 	}
 	stored := &chainpb.StoredInstalled{Epoch: n.view.Epoch, Keep: sync.Keep, Entries: sync.Entries}
 	if sync.Snapshot != nil && sync.Snapshot.Position >= n.log.committed {
 		if err := n.resetLog(sync.Snapshot); err != nil {
-			n.logf("snapshot from %s: %v", n.predecessor(), err)
+			n.logf("installing the snapshot from %s: %v", n.predecessor(), err)
 			return
 		}
 		stored.Snapshot = sync.Snapshot
 	} else if sync.Keep > n.log.lastPosition() {
-		n.requestSyncAgain()
+		n.retrySync()
 		return
 	} else if !n.log.truncate(sync.Keep) {
-		n.brokenCommit("a sync would replace entry %d, which is committed", sync.Keep+1)
+		n.reportBrokenCommit("a sync would replace the committed entry %d", sync.Keep+1)
 		return
 	}
 	for _, entry := range sync.Entries {
 		n.log.append(entry)
 	}
-	n.install(stored)
+	n.installLog(stored)
 }
 
-// fillGap takes from a sync only what is new: entries that are here may have been passed on. A snapshot can't be needed, as only
-// what every member holds is dropped from a log.
+// fillGap appends only the new entries of a sync, since present ones may have been forwarded already. A snapshot cannot
+// be needed: a log drops only entries that every member has.
 func (n *Node) fillGap(sync *chainpb.Sync) {
 	if sync.Snapshot == nil {
 		n.appendEntries(sync.Keep, sync.Entries)
 	}
 }
 
-func (n *Node) brokenCommit(format string, values ...any) {
+// reportBrokenCommit counts and logs a violated invariant of the committed log.
+func (n *Node) reportBrokenCommit(format string, args ...any) {
 	n.counters.BrokenCommitLog++
-	n.logf(format, values...)
+	n.logf(format, args...)
 }
--- a/internal/chain/journal.go
+++ b/internal/chain/journal.go
@@ -2,152 +2,158 @@
 
 import "time"
 
-// journal holds what is to be written. One write is out at a time; what comes meanwhile goes into the next one together.
+// journal queues the records to write. One write is in flight at a time, and the records queued meanwhile form the next
+// one.
 type journal struct {
-	records   []Record
-	effects   []effect
-	out       []effect // of the write that is out
-	token     uint64   // of the write that is out, 0 for none
-	lastToken uint64
-	rewriting bool // the write that is out is a rewrite
-	since     time.Time
-	bytes     int // in the file, as far as known
-	snapshot  int // size of the state when it was last encoded
-	failed    bool
-	failedAt  time.Time
-	goodSince time.Time // since when no write was late
+	queuedRecords   []Record
+	queuedEffects   []effect
+	inFlightEffects []effect // of the write in flight
+	inFlightToken   uint64   // of the write in flight, 0 for none
+	lastToken       uint64
+	inFlightRewrite bool      // the write in flight replaces the file
+	inFlightSince   time.Time // start of the write in flight
+	fileBytes       int       // approximate size of the log file
+	stateBytes      int       // size of the state when it was last encoded
+	failed          bool      // the last write failed
+	failedAt        time.Time
+	recoveredAt     time.Time // end of the first successful write after a late or failed one
 }
 
-// effect is what follows once records are on disk.
+// effect is what to do once the records queued with it are on disk.
 type effect struct {
-	sends      []Send
-	loop       []Send // to the node itself
-	installed  uint64 // the log of that epoch is installed
-	position   uint64 // the log is on disk up to here
-	generation uint64 // of the log that position is about
-	identity   bool   // the store has its identity
+	sends          []Send
+	selfMessages   []Send // messages to the node itself
+	installedEpoch uint64 // the installation of this epoch is on disk
+	position       uint64 // the log is on disk up to this position
+	generation     uint64 // generation of the log to which the position applies
+	identityStored bool   // the identity is on disk
 }
 
-// recordOverhead is about what a file adds to a payload.
+// recordOverhead is the approximate number of bytes that the file adds to a payload.
 const recordOverhead = 16
 
-// persist queues records; the effect follows when they are on disk.
-func (n *Node) persist(then effect, records ...Record) {
-	n.journal.records = append(n.journal.records, records...)
-	n.journal.effects = append(n.journal.effects, then)
+// persist queues records, and an effect that is applied once they are on disk.
+func (n *Node) persist(onSynced effect, records ...Record) {
+	n.journal.queuedRecords = append(n.journal.queuedRecords, records...)
+	n.journal.queuedEffects = append(n.journal.queuedEffects, onSynced)
 }
 
-// flush puts out the next write, if none is out.
+// flush starts the next write if none is in flight. After a failure only rewrites are started, see tickJournal.
 func (n *Node) flush() {
 	j := &n.journal
-	if j.token != 0 || j.failed || len(j.records) == 0 {
+	if j.inFlightToken != 0 || j.failed || len(j.queuedRecords) == 0 {
 		return
 	}
 	if n.needsRewrite() {
 		n.rewrite()
 		return
 	}
-	for _, record := range j.records {
-		j.bytes += len(record.Payload) + recordOverhead
+	for _, record := range j.queuedRecords {
+		j.fileBytes += len(record.Payload) + recordOverhead
 	}
-	n.emitWrite(j.records, false)
+	n.startWrite(j.queuedRecords, false)
 }
 
-func (n *Node) emitWrite(records []Record, rewrite bool) {
+func (n *Node) startWrite(records []Record, rewrite bool) {
 	j := &n.journal
 	j.lastToken++
-	j.token, j.rewriting, j.since = j.lastToken, rewrite, n.now
-	j.out, j.effects, j.records = j.effects, nil, nil
-	n.out.Writes = append(n.out.Writes, Write{Token: j.token, Records: records, Rewrite: rewrite})
+	j.inFlightToken, j.inFlightRewrite, j.inFlightSince = j.lastToken, rewrite, n.now
+	j.inFlightEffects, j.queuedEffects, j.queuedRecords = j.queuedEffects, nil, nil
+	n.output.Writes = append(n.output.Writes, Write{Token: j.inFlightToken, Records: records, Rewrite: rewrite})
 }
 
+// needsRewrite reports whether the log file is long enough to be replaced with the current state.
 func (n *Node) needsRewrite() bool {
-	bytes := n.journal.bytes
-	return bytes > rewriteBytes || bytes > max(n.log.retention.RewriteFrom, rewriteFactor*n.journal.snapshot)
+	fileBytes := n.journal.fileBytes
+	return fileBytes > maxLogFileBytes || fileBytes > max(n.log.retention.RewriteFrom, maxLogFileFactor*n.journal.stateBytes)
 }
 
-// rewrite replaces the file by the present state, which holds whatever was queued.
+// rewrite replaces the log file with the full state, which includes all queued records.
 func (n *Node) rewrite() {
-	records := n.wholeState()
-	n.journal.bytes = 0
+	records := n.fullState()
+	n.journal.fileBytes = 0
 	for _, record := range records {
-		n.journal.bytes += len(record.Payload) + recordOverhead
+		n.journal.fileBytes += len(record.Payload) + recordOverhead
 	}
 	n.counters.Rewrites++
-	n.emitWrite(records, true)
+	n.startWrite(records, true)
 }
 
-// Written tells that the write with a token ended.
+// Written reports that the write with a token ended, with an error if it failed.
 func (n *Node) Written(now time.Time, token uint64, err error) Output {
-	n.begin(now)
+	n.beginCall(now)
 	j := &n.journal
-	if token != j.token {
-		return n.finish()
+	if token != j.inFlightToken {
+		return n.finishCall()
 	}
-	wasLate := now.Sub(j.since) > n.options.AckBound/impairedShare
-	j.token = 0
+	wasLate := now.Sub(j.inFlightSince) > n.options.AckBound/lateWriteDivisor
+	j.inFlightToken = 0
 	if err != nil {
-		n.writeFailed(err)
-		return n.finish()
+		n.handleWriteFailure(err)
+		return n.finishCall()
 	}
 	if wasLate || j.failed {
-		j.goodSince = now
+		j.recoveredAt = now
 	}
 	j.failed = false
-	effects := j.out
-	j.out = nil
-	for _, each := range effects {
-		n.takeEffect(each)
+	effects := j.inFlightEffects
+	j.inFlightEffects = nil
+	for _, completed := range effects {
+		n.applyEffect(completed)
 	}
-	return n.finish()
+	return n.finishCall()
 }
 
-// writeFailed keeps the effects for the rewrite that is to come: they hold once the whole state is on disk.
-func (n *Node) writeFailed(err error) {
+// handleWriteFailure keeps the effects of the failed write for the following rewrite: they apply once the full state is
+// on disk.
+func (n *Node) handleWriteFailure(err error) {
 	j := &n.journal
 	n.counters.FailedWrites++
 	n.logf("write failed, leaving the chain: %v", err)
 	j.failed, j.failedAt = true, n.now
-	j.effects = append(j.out, j.effects...)
-	j.out = nil
+	j.queuedEffects = append(j.inFlightEffects, j.queuedEffects...)
+	j.inFlightEffects = nil
 }
 
-func (n *Node) takeEffect(done effect) {
-	if done.identity {
+// applyEffect does what was waiting for records to be on disk.
+func (n *Node) applyEffect(completed effect) {
+	if completed.identityStored {
 		n.ready = true
 	}
-	n.out.Sends = append(n.out.Sends, done.sends...)
-	for _, send := range done.loop {
-		n.loop = append(n.loop, send.Message)
+	n.output.Sends = append(n.output.Sends, completed.sends...)
+	for _, send := range completed.selfMessages {
+		n.selfMessages = append(n.selfMessages, send.Message)
 	}
-	if done.generation == n.generation && done.position > n.synced {
-		n.synced = done.position
+	if completed.generation == n.generation && completed.position > n.syncedPosition {
+		n.syncedPosition = completed.position
 	}
-	if done.installed != 0 && done.installed == n.view.Epoch {
-		n.durableInstalled = done.installed
-		n.installDone()
+	if completed.installedEpoch != 0 && completed.installedEpoch == n.view.Epoch {
+		n.durableInstalledEpoch = completed.installedEpoch
+		n.finishInstall()
 	}
-	n.advance()
+	n.advanceReplication()
 }
 
-// tickJournal retries after a failure.
+// tickJournal retries a failed write by rewriting the log file.
 func (n *Node) tickJournal() {
 	j := &n.journal
-	if j.failed && j.token == 0 && n.now.Sub(j.failedAt) >= rewriteRetry {
+	if j.failed && j.inFlightToken == 0 && n.now.Sub(j.failedAt) >= rewriteRetryDelay {
 		j.failedAt = n.now
 		n.rewrite()
 	}
 }
 
-// impaired tells whether the node can't be counted on: its disk does not keep up, did not until a moment ago, or failed, or it leaves.
+// impaired reports whether the node should not be part of a chain: its disk is too slow, was so until recently or
+// failed, or the node is leaving.
 func (n *Node) impaired() bool {
 	j := &n.journal
-	if n.leaving || j.failed || n.writeLate() {
+	if n.leaving || j.failed || n.isWriteLate() {
 		return true
 	}
-	return !j.goodSince.IsZero() && n.now.Sub(j.goodSince) < fitAfter
+	return !j.recoveredAt.IsZero() && n.now.Sub(j.recoveredAt) < diskRecoveryTime
 }
 
-func (n *Node) writeLate() bool {
-	return n.journal.token != 0 && n.now.Sub(n.journal.since) > n.options.AckBound/impairedShare
+// isWriteLate reports whether the write in flight takes too long.
+func (n *Node) isWriteLate() bool {
+	return n.journal.inFlightToken != 0 && n.now.Sub(n.journal.inFlightSince) > n.options.AckBound/lateWriteDivisor
 }
--- a/internal/chain/ledger_test.go
+++ b/internal/chain/ledger_test.go
@@ -7,28 +7,28 @@
 	"strings"
 )
 
-// ledger is the replicated state of the tests: the commands that were taken, in order. A command is "id" or "id@version", where
-// the version is how many commands it builds on. The same command again is accepted and changes nothing.
-type ledger struct{ taken []string }
+// ledger is the replicated state of the tests: the accepted commands in order. A command is "id" or "id@version", where
+// the version is the number of commands that it expects. A repeated command is accepted and changes nothing.
+type ledger struct{ commands []string }
 
 const (
-	statusTaken    = 200
+	statusAccepted = 200
 	statusConflict = 412
 )
 
 func (l ledger) Apply(command []byte) (State, Reply) {
 	id, base, conditional := strings.Cut(string(command), "@")
-	if slices.Contains(l.taken, id) {
-		return l, Reply{Accepted: true, Status: statusTaken}
+	if slices.Contains(l.commands, id) {
+		return l, Reply{Accepted: true, Status: statusAccepted}
 	}
-	if conditional && base != strconv.Itoa(len(l.taken)) {
-		return l, Reply{Status: statusConflict, Body: []byte(fmt.Sprint(len(l.taken)))}
+	if conditional && base != strconv.Itoa(len(l.commands)) {
+		return l, Reply{Status: statusConflict, Body: []byte(fmt.Sprint(len(l.commands)))}
 	}
-	return ledger{taken: append(slices.Clip(slices.Clone(l.taken)), id)}, Reply{Accepted: true, Status: statusTaken}
+	return ledger{commands: append(slices.Clip(slices.Clone(l.commands)), id)}, Reply{Accepted: true, Status: statusAccepted}
 }
 
-func (l ledger) Encode() []byte { return []byte(strings.Join(l.taken, " ")) }
+func (l ledger) Encode() []byte { return []byte(strings.Join(l.commands, " ")) }
 
 func decodeLedger(encoded []byte) (State, error) {
-	return ledger{taken: strings.Fields(string(encoded))}, nil
+	return ledger{commands: strings.Fields(string(encoded))}, nil
 }
--- a/internal/chain/membership.go
+++ b/internal/chain/membership.go
@@ -6,56 +6,56 @@
 	"wallflow/internal/chain/chainpb"
 )
 
-// membership is what a node knows about which processes are alive and able.
+// membership is what a node knows about the liveness, addresses and health of other processes.
 type membership struct {
-	told        bool // Liveness was called
-	alive       map[Identity]Member
-	aliveAt     map[string]Identity // by address, to see a store that took another's place
-	deadSince   map[Identity]time.Time
-	addresses   map[Identity]string // from where a process was last heard
-	troubled    map[Identity]time.Time
-	notified    map[Identity]time.Time // when it was last sent a view notice, or asked for one
-	troubleAt   time.Time              // when the own trouble was last told
-	wasImpaired bool
+	livenessKnown     bool // whether Node.Liveness was called
+	alive             map[Identity]Member
+	aliveByAddress    map[string]Identity    // shows a new store at the address of a voter
+	downSince         map[Identity]time.Time // voters that are not alive
+	lastAddresses     map[Identity]string    // from which a process last sent anything
+	troubleReports    map[Identity]time.Time // when a process last reported that it is impaired
+	lastNotices       map[Identity]time.Time // when a view was last sent to a process, or requested from it
+	troubleSentAt     time.Time              // when this node last reported its own condition
+	announcedImpaired bool                   // the condition that was last reported
 }
 
 func newMembership() membership {
 	return membership{
-		alive:     make(map[Identity]Member),
-		aliveAt:   make(map[string]Identity),
-		deadSince: make(map[Identity]time.Time),
-		addresses: make(map[Identity]string),
-		troubled:  make(map[Identity]time.Time),
-		notified:  make(map[Identity]time.Time),
+		alive:          make(map[Identity]Member),
+		aliveByAddress: make(map[string]Identity),
+		downSince:      make(map[Identity]time.Time),
+		lastAddresses:  make(map[Identity]string),
+		troubleReports: make(map[Identity]time.Time),
+		lastNotices:    make(map[Identity]time.Time),
 	}
 }
 
-// Liveness tells which control processes are held alive, this one included.
+// Liveness sets the control processes that membership considers alive, including this one.
 func (n *Node) Liveness(now time.Time, alive []Member) Output {
-	n.begin(now)
+	n.beginCall(now)
 	m := &n.membership
-	m.told = true
+	m.livenessKnown = true
 	clear(m.alive)
-	clear(m.aliveAt)
+	clear(m.aliveByAddress)
 	for _, member := range alive {
 		identity := n.identityOf(member)
 		if identity != "" {
 			member.Identity = identity
 			m.alive[identity] = member
-			m.aliveAt[member.Address] = identity
+			m.aliveByAddress[member.Address] = identity
 		}
 	}
-	m.forget()
+	m.prune()
 	for _, voter := range n.view.Voters {
-		n.noteDeath(voter.Identity)
+		n.recordDowntime(voter.Identity)
 	}
 	if n.ready {
 		n.tickElection()
 	}
-	return n.finish()
+	return n.finishCall()
 }
 
-// identityOf is the identity of a member that is alive; where it is not told, the voter at that address.
+// identityOf returns the identity of a live member. If it is not given, it is that of the voter at the address.
 func (n *Node) identityOf(member Member) Identity {
 	if member.Identity != "" {
 		return member.Identity
@@ -68,42 +68,43 @@
 	return ""
 }
 
-// noteDeath keeps since when an identity is not alive.
-func (n *Node) noteDeath(identity Identity) {
+// recordDowntime records since when an identity is not alive.
+func (n *Node) recordDowntime(identity Identity) {
 	m := &n.membership
 	if _, alive := m.alive[identity]; alive {
-		delete(m.deadSince, identity)
+		delete(m.downSince, identity)
 		return
 	}
-	if _, noted := m.deadSince[identity]; !noted {
-		m.deadSince[identity] = n.now
+	if _, recorded := m.downSince[identity]; !recorded {
+		m.downSince[identity] = n.now
 	}
 }
 
-// isDead tells whether a process cannot be counted on: not alive, replaced, or its disk in trouble.
-func (n *Node) isDead(identity Identity) bool {
+// isUnavailable reports whether a process should not take part in a new chain: it is down, its store was replaced, or
+// it reports that it is impaired.
+func (n *Node) isUnavailable(identity Identity) bool {
 	if identity == n.self.Identity {
 		return false
 	}
-	if at, told := n.membership.troubled[identity]; told && n.now.Sub(at) < troubleForget {
+	if at, reported := n.membership.troubleReports[identity]; reported && n.now.Sub(at) < troubleTimeout {
 		return true
 	}
 	if n.isReplaced(identity) {
 		return true
 	}
-	return n.isGone(identity)
+	return n.isDown(identity)
 }
 
-// isGone tells whether membership holds another process for gone.
-func (n *Node) isGone(identity Identity) bool {
-	if identity == n.self.Identity || !n.membership.told || n.now.Sub(n.started) < startGrace {
+// isDown reports whether membership considers another process down.
+func (n *Node) isDown(identity Identity) bool {
+	if identity == n.self.Identity || !n.membership.livenessKnown || n.now.Sub(n.startedAt) < startupGracePeriod {
 		return false
 	}
 	_, alive := n.membership.alive[identity]
 	return !alive
 }
 
-// isReplaced tells whether another store is at the address of a voter.
+// isReplaced reports whether a different store is at the address of a voter.
 func (n *Node) isReplaced(identity Identity) bool {
 	voter, found := n.view.Voter(identity)
 	if !found {
@@ -112,11 +113,11 @@
 	if _, alive := n.membership.alive[identity]; alive {
 		return false
 	}
-	present, known := n.membership.aliveAt[voter.Address]
-	return known && present != identity
+	current, known := n.membership.aliveByAddress[voter.Address]
+	return known && current != identity
 }
 
-// addressOf is where a process was last, or else where the view says.
+// addressOf returns the address of a process by its liveness, by its last message or by the view, in this order.
 func (n *Node) addressOf(identity Identity) string {
 	if identity == n.self.Identity {
 		return n.self.Address
@@ -124,56 +125,56 @@
 	if member, alive := n.membership.alive[identity]; alive {
 		return member.Address
 	}
-	if address, heard := n.membership.addresses[identity]; heard {
+	if address, known := n.membership.lastAddresses[identity]; known {
 		return address
 	}
 	voter, _ := n.view.Voter(identity)
 	return voter.Address
 }
 
-// forgottenOver is how many identities are remembered before those that are not alive are forgotten.
-const forgottenOver = 256
+// maxRememberedIdentities is the number of identities above which those that are not alive are forgotten.
+const maxRememberedIdentities = 256
 
-// forget drops what is known of stores that are gone.
-func (m *membership) forget() {
-	if len(m.addresses) <= forgottenOver {
+// prune drops what is known about stores that are not alive, if there are too many.
+func (m *membership) prune() {
+	if len(m.lastAddresses) <= maxRememberedIdentities {
 		return
 	}
-	for identity := range m.addresses {
+	for identity := range m.lastAddresses {
 		if _, alive := m.alive[identity]; !alive {
-			delete(m.addresses, identity)
-			delete(m.notified, identity)
-			delete(m.troubled, identity)
-			delete(m.deadSince, identity)
+			delete(m.lastAddresses, identity)
+			delete(m.lastNotices, identity)
+			delete(m.troubleReports, identity)
+			delete(m.downSince, identity)
 		}
 	}
 }
 
-// mayNotify bounds how often a process is told, or asked, about views.
-func (m *membership) mayNotify(identity Identity, now time.Time) bool {
-	if now.Sub(m.notified[identity]) < noticeInterval {
+// allowNotice limits how often a view is sent to a process or requested from it.
+func (m *membership) allowNotice(identity Identity, now time.Time) bool {
+	if now.Sub(m.lastNotices[identity]) < noticeInterval {
 		return false
 	}
-	m.notified[identity] = now
+	m.lastNotices[identity] = now
 	return true
 }
 
-// tickTrouble tells the voters whether this node can be counted on.
-func (n *Node) tickTrouble() {
+// announceTrouble reports to the voters whether this node is impaired. It repeats the report while it is.
+func (n *Node) announceTrouble() {
 	m := &n.membership
 	impaired := n.impaired()
-	if !impaired && !m.wasImpaired {
+	if !impaired && !m.announcedImpaired {
 		return
 	}
-	if impaired && m.wasImpaired && n.now.Sub(m.troubleAt) < troubleResend {
+	if impaired && m.announcedImpaired && n.now.Sub(m.troubleSentAt) < troubleResendInterval {
 		return
 	}
-	if impaired && !m.wasImpaired && n.leaving {
+	if impaired && !m.announcedImpaired && n.leaving {
 		n.logf("stopping, leaving the chain")
-	} else if impaired && !m.wasImpaired {
-		n.logf("the disk does not keep up, leaving the chain")
+	} else if impaired && !m.announcedImpaired {
+		n.logf("the disk is too slow or failed, leaving the chain")
 	}
-	m.wasImpaired, m.troubleAt = impaired, n.now
+	m.announcedImpaired, m.troubleSentAt = impaired, n.now
 	for _, voter := range n.view.Voters {
 		if voter.Identity != n.self.Identity {
 			n.send(voter.Identity, &chainpb.Message{Body: &chainpb.Message_Trouble{Trouble: &chainpb.Trouble{Fit: !impaired}}})
@@ -181,10 +182,11 @@
 	}
 }
 
+// receiveTrouble records whether another process reports that it is impaired.
 func (n *Node) receiveTrouble(sender Identity, trouble *chainpb.Trouble) {
 	if trouble.Fit {
-		delete(n.membership.troubled, sender)
+		delete(n.membership.troubleReports, sender)
 		return
 	}
-	n.membership.troubled[sender] = n.now
+	n.membership.troubleReports[sender] = n.now
 }
--- a/internal/chain/node.go
+++ b/internal/chain/node.go
@@ -9,77 +9,77 @@
 	"wallflow/internal/chain/chainpb"
 )
 
-// Node is one process's part in the replication.
+// Node is the replication state machine of one process.
 type Node struct {
-	options  Options
-	self     Member
-	founder  bool   // may vote on the first view
-	session  uint64 // tells this life of the process from others
-	ready    bool   // the store has its identity
-	started  time.Time
-	now      time.Time // of the call that is under way
-	out      Output    // of the call that is under way
-	loop     []*chainpb.Message
-	counters Counters
-
-	journal    journal
-	log        entryLog
-	leaving    bool   // Leave was called
-	generation uint64 // rises when entries are dropped from the end of the log
-	synced     uint64 // the log is on disk up to this position
-
-	view             View
-	viewSince        time.Time
-	formerVoters     map[Identity]struct{} // of views before this one, as far as they are remembered
-	installed        uint64                // epoch in which the log was last taken from the predecessor
-	durableInstalled uint64                // the same, on disk
-	acceptor         acceptor
-	mistakes         mistakes
-	attempt          *attempt
-	election         election
-	membership       membership
+	options      Options
+	self         Member
+	founder      bool   // whether the node may vote on the first view
+	session      uint64 // random number that distinguishes this run of the process from others
+	ready        bool   // whether the identity is on disk
+	startedAt    time.Time
+	now          time.Time          // time of the current call
+	output       Output             // result of the current call
+	selfMessages []*chainpb.Message // messages to the node itself, handled at the end of the call
+	counters     Counters
+
+	journal        journal
+	log            entryLog
+	leaving        bool   // whether Node.Leave was called
+	generation     uint64 // rises when entries are truncated or the log is replaced; writes of older generations are ignored
+	syncedPosition uint64 // up to which the log is on disk
+
+	view                  View
+	viewLearnedAt         time.Time
+	formerVoters          map[Identity]struct{} // removed or replaced voters, at most maxFormerVoters
+	installedEpoch        uint64                // epoch for which the log was last synchronized with the predecessor
+	durableInstalledEpoch uint64                // the same, as far as it is on disk
+	acceptor              acceptor
+	injectedFaults        injectedFaults
+	attempt               *attempt
+	election              election
+	membership            membership
 	replication
-	questions questions
-	feed      feed
-	clients   clients
+	probes  probes
+	feed    feed
+	clients clients
 }
 
-// New makes a node from the records of its store, which are none at the first start.
-func New(options Options, recovered []Record, now time.Time) (*Node, Output, error) {
-	if err := options.check(); err != nil {
+// New returns a node that continues from the records of its store. There are none at the first start.
+func New(options Options, records []Record, now time.Time) (*Node, Output, error) {
+	if err := options.validate(); err != nil {
 		return nil, Output{}, err
 	}
 	n := &Node{
-		options:    options,
-		self:       options.Self,
-		session:    options.Random.Uint64(),
-		started:    now,
-		viewSince:  now,
-		acceptor:   acceptor{instance: 1},
-		membership: newMembership(),
-		questions:  questions{newest: options.Random.Uint64() >> 1},
-		feed:       newFeed(),
-		clients:    newClients(),
+		options:       options,
+		self:          options.Self,
+		session:       options.Random.Uint64(),
+		startedAt:     now,
+		viewLearnedAt: now,
+		acceptor:      acceptor{instance: 1},
+		membership:    newMembership(),
+		probes:        probes{lastNumber: options.Random.Uint64() >> 1},
+		feed:          newFeed(),
+		clients:       newClients(),
 	}
 	n.self.Identity = ""
-	n.log.retention = options.Retention.orDefault()
+	n.log.retention = options.Retention.withDefaults()
 	n.log.reset(0, 0, options.Initial)
-	n.begin(now)
-	if len(recovered) == 0 {
-		n.found()
-		return n, n.finish(), nil
+	n.beginCall(now)
+	if len(records) == 0 {
+		n.createIdentity()
+		return n, n.finishCall(), nil
 	}
-	if err := n.recover(recovered); err != nil {
+	if err := n.recover(records); err != nil {
 		return nil, Output{}, err
 	}
 	n.ready = true
-	n.acceptor.since = now
-	n.startChain()
-	n.advance()
-	return n, n.finish(), nil
+	n.acceptor.promisedAt = now
+	n.startReplication()
+	n.advanceReplication()
+	return n, n.finishCall(), nil
 }
 
-func (o *Options) check() error {
+func (o *Options) validate() error {
 	switch {
 	case o.Self.Address == "":
 		return &OptionsError{Field: "Self.Address"}
@@ -95,104 +95,105 @@
 	return nil
 }
 
-// found gives an empty store its identity. Only a seed at the first start of the system may vote on the first view.
-func (n *Node) found() {
+// createIdentity gives an empty store a random identity. Only a seed at the first start of the system may vote on the
+// first view.
+func (n *Node) createIdentity() {
 	const identityBytes = 16
 	random := make([]byte, identityBytes)
 	n.options.Random.Read(random)
 	n.self.Identity = Identity(hex.EncodeToString(random))
 	n.founder = n.options.Bootstrap && slices.Contains(n.options.Seeds, n.self.Address)
-	n.persist(effect{identity: true}, n.identityRecord())
+	n.persist(effect{identityStored: true}, n.identityRecord())
 }
 
-// begin starts a call.
-func (n *Node) begin(now time.Time) {
+// beginCall sets the current time, which never goes back, and resets the output.
+func (n *Node) beginCall(now time.Time) {
 	if now.After(n.now) {
 		n.now = now
 	}
-	n.out = Output{}
+	n.output = Output{}
 }
 
-// finish ends a call: messages to the node itself are taken in, and what is to be written goes out.
-func (n *Node) finish() Output {
-	for len(n.loop) > 0 {
-		message := n.loop[0]
-		n.loop = n.loop[1:]
+// finishCall handles messages of the node to itself, starts the next write and returns the output of the call.
+func (n *Node) finishCall() Output {
+	for len(n.selfMessages) > 0 {
+		message := n.selfMessages[0]
+		n.selfMessages = n.selfMessages[1:]
 		n.dispatch(n.self.Address, message)
 	}
 	n.flush()
-	return n.out
+	return n.output
 }
 
-func (n *Node) logf(format string, values ...any) {
-	n.out.Logs = append(n.out.Logs, fmt.Sprintf(format, values...))
+func (n *Node) logf(format string, args ...any) {
+	n.output.Logs = append(n.output.Logs, fmt.Sprintf(format, args...))
 }
 
-// Tick lets time pass. It is to be called every 50 to 100 ms.
+// Tick runs everything that depends on time. It should be called every 50 to 100 ms.
 func (n *Node) Tick(now time.Time) Output {
-	n.begin(now)
+	n.beginCall(now)
 	n.tickJournal()
 	if n.ready {
-		n.tickTrouble()
+		n.announceTrouble()
 		n.tickChain()
 		n.tickLearner()
-		n.tickQuestions()
+		n.tickFetch()
 		n.tickFeed()
 		n.tickElection()
 		n.tickVoters()
 	}
 	n.tickClients()
-	return n.finish()
+	return n.finishCall()
 }
 
-// Receive takes a message from the process at the internal address from.
-func (n *Node) Receive(now time.Time, from string, message *chainpb.Message) Output {
-	n.begin(now)
+// Receive handles a message from the process at an internal address.
+func (n *Node) Receive(now time.Time, fromAddress string, message *chainpb.Message) Output {
+	n.beginCall(now)
 	if n.ready {
-		n.dispatch(from, message)
+		n.dispatch(fromAddress, message)
 	}
-	return n.finish()
+	return n.finishCall()
 }
 
-// Leave has the node leave the chain in order: the other voters are told that it can't be counted on and agree on a view without it,
-// in which what it holds is held by enough others. It goes on with its part until they have: see InChain. Where they are too few for
-// that, it stays.
+// Leave makes the node leave the chain gracefully. It announces to the other voters that it is unavailable, so that
+// they agree on a view in which enough other members store every committed entry. Until they do, the node goes on
+// serving, see Node.InChain. If too few other voters remain, it stays in the chain.
 func (n *Node) Leave(now time.Time) Output {
-	n.begin(now)
+	n.beginCall(now)
 	n.leaving = true
 	if n.ready {
-		n.tickTrouble()
+		n.announceTrouble()
 	}
-	return n.finish()
+	return n.finishCall()
 }
 
-// InChain tells whether the node is a member of the chain of the newest view that it knows.
+// InChain reports whether the node is a member of the chain in the newest view that it knows.
 func (n *Node) InChain() bool { return n.inChain() }
 
-// Identity names the node's store.
+// Identity returns the identity of the store of the node.
 func (n *Node) Identity() Identity { return n.self.Identity }
 
-// View is the newest view that the node knows; its epoch is 0 when it knows none.
+// View returns the newest view that the node knows. Its epoch is 0 if the node knows none.
 func (n *Node) View() View { return n.view }
 
 // Committed returns the newest state known to be committed, and the position of its last entry.
 func (n *Node) Committed() (State, uint64) { return n.log.state, n.log.committed }
 
-// Fresh tells whether the node heard a moment ago that its epoch is in force.
+// Fresh reports whether the node knows that its epoch was in force within the last second (confirmationValidity).
 func (n *Node) Fresh(now time.Time) bool {
-	return n.view.Epoch > 0 && n.confirmedEpoch == n.view.Epoch && now.Sub(n.confirmedAt) < freshFor
+	return n.view.Epoch > 0 && n.confirmedEpoch == n.view.Epoch && now.Sub(n.confirmedAt) < confirmationValidity
 }
 
-// Status describes the node.
+// Status returns the condition of the node.
 func (n *Node) Status() Status {
 	return Status{
 		Identity:  n.self.Identity,
 		Role:      n.role(),
 		Epoch:     n.view.Epoch,
-		Installed: n.installed,
+		Installed: n.installedEpoch,
 		Position:  n.log.lastPosition(),
 		Committed: n.log.committed,
-		Promised:  n.promised(),
+		Promised:  n.hasPromised(),
 		Impaired:  n.impaired(),
 		Failed:    n.journal.failed,
 		Counters:  n.counters,
--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -7,16 +7,17 @@
 	"wallflow/internal/chain/chainpb"
 )
 
-// proposedView is the view to propose with the promises at hand: one that may have been decided already, or a new one.
+// proposedView returns the view to propose after a majority has promised: the accepted view of the highest ballot, as
+// it may already be decided, or a new view.
 func (n *Node) proposedView() (View, bool) {
-	if earlier, found := n.earlierView(); found {
-		return earlier, true
+	if accepted, found := n.highestAcceptedView(); found {
+		return accepted, true
 	}
 	return n.buildView()
 }
 
-// earlierView is the accepted view of the highest ballot among the promises.
-func (n *Node) earlierView() (View, bool) {
+// highestAcceptedView returns the view that a promiser accepted under the highest ballot, if any promiser accepted one.
+func (n *Node) highestAcceptedView() (View, bool) {
 	var highest ballot
 	var view View
 	for _, promise := range n.attempt.promises {
@@ -25,59 +26,62 @@
 			highest, view = accepted, viewFromWire(promise.View)
 		}
 	}
-	return view, !highest.zero()
+	return view, !highest.isZero()
 }
 
-// buildView makes a new view of those who promised. It fails if they are too few for a chain.
+// buildView makes a new view from the promises. It returns false if there are too few promisers for a chain.
 func (n *Node) buildView() (View, bool) {
 	a := n.attempt
 	view := View{Epoch: a.instance, Voters: n.nextVoters()}
-	head, found := n.nextHead(view)
+	head, found := n.selectHead(view)
 	if !found {
 		return View{}, false
 	}
 	candidates := n.chainCandidates(view, head)
 	length := n.chainLength(view, candidates)
-	if length < n.leastChainLength(view) {
+	if length < n.minChainLength(view) {
 		return View{}, false
 	}
-	chosen := chooseMembers(head, candidates, length)
-	view.Chain = orderChain(head, chosen)
+	selected := selectMembers(head, candidates, length)
+	view.Chain = orderChain(head, selected)
 	return view, true
 }
 
-// chainLength is as many members as are wanted, or as there are. One that membership holds for gone is taken only where a chain would be
-// too short without it: the next view would drop it again.
+// chainLength returns the number of members of the new chain: the target length, limited by the number of candidates. A
+// candidate that membership reports as down is used only if the chain would be too short without it, as the next view
+// would remove it again.
 func (n *Node) chainLength(view View, candidates []chainCandidate) int {
-	present := 0
+	up := 0
 	for _, candidate := range candidates {
-		if !candidate.gone {
-			present++
+		if !candidate.down {
+			up++
 		}
 	}
-	length := min(n.desiredChainLength(view), max(present+1, n.leastChainLength(view)))
+	length := min(n.targetChainLength(view), max(up+1, n.minChainLength(view)))
 	return min(length, len(candidates)+1)
 }
 
-// leastChainLength is the length below which a chain does not work: a majority of the voters.
-func (n *Node) leastChainLength(view View) int {
-	if n.mistakes.chainOfOne {
+// minChainLength returns the length that a chain needs at least: a majority of the voters.
+func (n *Node) minChainLength(view View) int {
+	if n.injectedFaults.allowSingleMemberChain {
 		return 1
 	}
 	return view.Majority()
 }
 
-// desiredChainLength is the length of a chain in calm times: more than may be lost at once. Where the voters are too few for a majority to
-// outlast that, a shorter chain goes on after a loss, since one that waits for a lost disk would wait for ever.
-func (n *Node) desiredChainLength(view View) int {
-	least := n.leastChainLength(view)
-	if n.mistakes.chainOfOne {
-		return least
+// targetChainLength returns the chain length when no process is lost: one more than the number of simultaneous losses
+// to tolerate. After a loss a shorter chain of at least minChainLength continues, since a chain that waits for a lost
+// disk could wait forever.
+func (n *Node) targetChainLength(view View) int {
+	minimum := n.minChainLength(view)
+	if n.injectedFaults.allowSingleMemberChain {
+		return minimum
 	}
-	return max(least, min(n.options.MinimumChain, len(view.Voters)))
+	return max(minimum, min(n.options.MinimumChain, len(view.Voters)))
 }
 
-// nextVoters are the voters of this view with the change of the attempt, or the founders.
+// nextVoters returns the voters of the new view: those of the current view with the change of the attempt or, for the
+// first view, the seeds that promised.
 func (n *Node) nextVoters() []Member {
 	a := n.attempt
 	if n.view.Epoch == 0 {
@@ -92,29 +96,30 @@
 	voters := slices.Clone(n.view.Voters)
 	for i, voter := range voters {
 		if promise := a.promises[string(voter.Identity)]; promise != nil {
-			voters[i] = memberFromWire(promise.Member) // its address may be another now
+			voters[i] = memberFromWire(promise.Member) // its address may have changed
 		}
 	}
-	if n.mistakes.learnerCounts {
+	if n.injectedFaults.countLearnerVotes {
 		voters = n.withPromisers(voters)
 	}
-	if a.change.none() {
+	if a.change.isEmpty() {
 		return voters
 	}
 	voters = slices.DeleteFunc(voters, func(voter Member) bool { return voter.Identity == a.change.remove })
-	if a.change.adds() {
+	if a.change.addsVoter() {
 		voters = append(voters, a.change.add)
 	}
-	if n.mistakes.twoReplacements {
+	if n.injectedFaults.replaceSeveralVoters {
 		voters = n.withAllCandidates(voters)
 	}
 	return voters
 }
 
-// nextHead is one of the promisers that installed the newest epoch. What was answered passed through every member of the chain, so
-// each of them holds it all. One whose disk keeps up goes first, then one that membership does not hold for gone, then the one with the
-// longest log, and who is the head already stays it where logs are equal.
-func (n *Node) nextHead(view View) (Member, bool) {
+// selectHead chooses the head of the new view among the promisers with the newest installed epoch. Every answered
+// command passed through all chain members of that epoch, so each of these promisers has all of them. Among them it
+// prefers, in this order, one that is not impaired, one that membership does not report as down, the one with the
+// longest log, and the current head.
+func (n *Node) selectHead(view View) (Member, bool) {
 	var head Member
 	var newest *chainpb.Promise
 	for _, voter := range view.Voters {
@@ -122,36 +127,36 @@
 		if promise == nil {
 			continue
 		}
-		order := 1
+		preference := 1
 		if newest != nil {
-			order = cmp.Or(
+			preference = cmp.Or(
 				cmp.Compare(promise.Installed, newest.Installed),
-				compareFlags(newest.Impaired, promise.Impaired),
-				compareFlags(n.isGone(head.Identity), n.isGone(voter.Identity)),
+				compareBools(newest.Impaired, promise.Impaired),
+				compareBools(n.isDown(head.Identity), n.isDown(voter.Identity)),
 				cmp.Compare(promise.Position, newest.Position),
 			)
 		}
-		if order > 0 || (order == 0 && voter.Identity == n.view.Head()) {
+		if preference > 0 || (preference == 0 && voter.Identity == n.view.Head()) {
 			head, newest = voter, promise
 		}
 	}
 	return head, newest != nil
 }
 
-// chainCandidate is one that may be a member of the chain, with what speaks for and against it.
+// chainCandidate is a possible chain member behind the head, with the properties by which candidates are ranked.
 type chainCandidate struct {
-	member   Member
-	impaired bool // its disk does not keep up
-	gone     bool // membership holds it for gone, though it promised
-	silent   bool // a neighbour has not heard it lately
-	outside  bool // it is not in the chain now
-	newcomer bool // it did not promise, as it becomes a voter with this view
-	distance int
+	member       Member
+	impaired     bool // its disk is too slow or failed, or it is leaving
+	down         bool // membership reports it as down, although it promised
+	silent       bool // a chain neighbour has not received anything from it recently
+	outsideChain bool // it is not in the current chain
+	newcomer     bool // it becomes a voter with this view and so cannot have promised
+	distance     int  // to the head
 }
 
-// chainCandidates are the members that may follow a head, the best first.
+// chainCandidates returns the possible chain members behind a head, the best first.
 func (n *Node) chainCandidates(view View, head Member) []chainCandidate {
-	complaints := n.complaints(head)
+	silentMembers := n.silentMembers(head)
 	var candidates []chainCandidate
 	for _, voter := range view.Voters {
 		promise := n.attempt.promises[electorKey(n.attempt.instance, voter)]
@@ -161,21 +166,21 @@
 			continue
 		}
 		candidates = append(candidates, chainCandidate{
-			member:   voter,
-			impaired: promise.GetImpaired(),
-			gone:     n.view.Epoch > 0 && n.isGone(voter.Identity),
-			silent:   complaints[voter.Identity],
-			outside:  n.view.Place(voter.Identity) < 0,
-			newcomer: newcomer,
-			distance: distance(head, voter),
+			member:       voter,
+			impaired:     promise.GetImpaired(),
+			down:         n.view.Epoch > 0 && n.isDown(voter.Identity),
+			silent:       silentMembers[voter.Identity],
+			outsideChain: n.view.Place(voter.Identity) < 0,
+			newcomer:     newcomer,
+			distance:     distance(head, voter),
 		})
 	}
 	slices.SortStableFunc(candidates, compareCandidates)
 	return candidates
 }
 
-// complaints are those whom a neighbour in the chain has not heard, the head's own complaints or all of them.
-func (n *Node) complaints(head Member) map[Identity]bool {
+// silentMembers returns the members, except the head, that a promiser reports as silent neighbours.
+func (n *Node) silentMembers(head Member) map[Identity]bool {
 	silent := make(map[Identity]bool)
 	for _, promise := range n.attempt.promises {
 		for _, identity := range promise.SilentNeighbours {
@@ -186,20 +191,21 @@
 	return silent
 }
 
+// compareCandidates orders candidates from best to worst.
 func compareCandidates(a, b chainCandidate) int {
 	return cmp.Or(
-		compareFlags(a.newcomer, b.newcomer),
-		compareFlags(a.gone, b.gone),
-		compareFlags(a.impaired, b.impaired),
-		compareFlags(a.silent, b.silent),
-		compareFlags(a.outside, b.outside),
+		compareBools(a.newcomer, b.newcomer),
+		compareBools(a.down, b.down),
+		compareBools(a.impaired, b.impaired),
+		compareBools(a.silent, b.silent),
+		compareBools(a.outsideChain, b.outsideChain),
 		cmp.Compare(a.distance, b.distance),
 		cmp.Compare(a.member.Identity, b.member.Identity),
 	)
 }
 
-// compareFlags puts the one without the flag first.
-func compareFlags(a, b bool) int {
+// compareBools orders false before true.
+func compareBools(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -209,7 +215,7 @@
 	return 1
 }
 
-// distance grows with the cost of the way between two members.
+// distance ranks the network distance between two members: same zone, same region, different regions.
 func distance(a, b Member) int {
 	switch {
 	case a.Zone == b.Zone:
@@ -220,36 +226,37 @@
 	return 2
 }
 
-// chooseMembers takes as many as the chain is to have beside the head, and one of another zone if there is any.
-func chooseMembers(head Member, candidates []chainCandidate, length int) []Member {
-	var chosen []Member
+// selectMembers returns the best candidates for a chain of a length that includes the head. If all of them are in the
+// zone of the head, the last one is replaced by the best candidate of another zone, if there is one.
+func selectMembers(head Member, candidates []chainCandidate, length int) []Member {
+	var selected []Member
 	for _, candidate := range candidates[:length-1] {
-		chosen = append(chosen, candidate.member)
+		selected = append(selected, candidate.member)
 	}
 	sameZone := func(member Member) bool { return member.Zone == head.Zone }
-	if len(chosen) == 0 || !allMembers(chosen, sameZone) {
-		return chosen
+	if len(selected) == 0 || !allMembers(selected, sameZone) {
+		return selected
 	}
 	for _, candidate := range candidates[length-1:] {
 		if !sameZone(candidate.member) {
-			chosen[len(chosen)-1] = candidate.member
+			selected[len(selected)-1] = candidate.member
 			break
 		}
 	}
-	return chosen
+	return selected
 }
 
-func allMembers(members []Member, holds func(Member) bool) bool {
-	return !slices.ContainsFunc(members, func(member Member) bool { return !holds(member) })
+func allMembers(members []Member, condition func(Member) bool) bool {
+	return !slices.ContainsFunc(members, func(member Member) bool { return !condition(member) })
 }
 
-// orderChain lays the chain so that it passes each region and zone once, the head's first.
+// orderChain orders the chain so that it passes through each region and zone once, starting with those of the head.
 func orderChain(head Member, members []Member) []Identity {
 	slices.SortStableFunc(members, func(a, b Member) int {
 		return cmp.Or(
-			compareFlags(a.Region != head.Region, b.Region != head.Region),
+			compareBools(a.Region != head.Region, b.Region != head.Region),
 			cmp.Compare(a.Region, b.Region),
-			compareFlags(a.Zone != head.Zone, b.Zone != head.Zone),
+			compareBools(a.Zone != head.Zone, b.Zone != head.Zone),
 			cmp.Compare(a.Zone, b.Zone),
 			cmp.Compare(a.Identity, b.Identity),
 		)
--- a/internal/chain/propose_test.go
+++ b/internal/chain/propose_test.go
@@ -8,10 +8,10 @@
 	"wallflow/internal/chain/chainpb"
 )
 
-// proposer is a voter of five with an attempt that has these promises, by place in the view.
-func proposer(t *testing.T, promises map[int]*chainpb.Promise) (*Node, View) {
+// newProposer returns one of five voters with an attempt that has the given promises, by index in the voters.
+func newProposer(t *testing.T, promises map[int]*chainpb.Promise) (*Node, View) {
 	t.Helper()
-	s := settled(t, 6, 5)
+	s := newSettledSimulation(t, 6, 5)
 	node := s.processes[0].node
 	view := node.View()
 	node.attempt = &attempt{instance: view.Epoch + 1, promises: make(map[string]*chainpb.Promise)}
@@ -22,14 +22,15 @@
 	return node, view
 }
 
-// A member whose disk does not keep up mostly has the longest log: it took entries that it could not pass on.
-func TestImpairedMemberIsNotHeadWhereAnotherHoldsAllThatWasAnswered(t *testing.T) {
-	node, view := proposer(t, map[int]*chainpb.Promise{
+// TestImpairedMemberIsNotHeadIfAnotherIsUpToDate verifies that an impaired member does not become head although it
+// often has the longest log, with entries that it could not forward.
+func TestImpairedMemberIsNotHeadIfAnotherIsUpToDate(t *testing.T) {
+	node, view := newProposer(t, map[int]*chainpb.Promise{
 		0: {Installed: 1, Position: 7, Impaired: true},
 		1: {Installed: 1, Position: 5},
 		2: {Installed: 0, Position: 9},
 	})
-	head, found := node.nextHead(view)
+	head, found := node.selectHead(view)
 	assert.Assert(t, found)
 	assert.Equal(t, head.Identity, view.Voters[1].Identity)
 	candidates := node.chainCandidates(view, head)
@@ -37,41 +38,44 @@
 	assert.Equal(t, candidates[1].member.Identity, view.Voters[0].Identity)
 }
 
-// One that alone installed the newest epoch may alone hold what was answered.
-func TestImpairedMemberIsHeadWhereItAloneHoldsAllThatWasAnswered(t *testing.T) {
-	node, view := proposer(t, map[int]*chainpb.Promise{
+// TestImpairedMemberIsHeadIfOnlyItIsUpToDate verifies that the only promiser that installed the newest epoch becomes
+// head, since it may be the only one that has every answered command.
+func TestImpairedMemberIsHeadIfOnlyItIsUpToDate(t *testing.T) {
+	node, view := newProposer(t, map[int]*chainpb.Promise{
 		0: {Installed: 2, Position: 7, Impaired: true},
 		1: {Installed: 1, Position: 7},
 		2: {Installed: 1, Position: 7},
 	})
-	head, found := node.nextHead(view)
+	head, found := node.selectHead(view)
 	assert.Assert(t, found)
 	assert.Equal(t, head.Identity, view.Voters[0].Identity)
 }
 
-// Of several views that were accepted, the one of the highest ballot may have been decided: that one is proposed again.
-func TestNewestAcceptedViewIsProposedAgain(t *testing.T) {
+// TestHighestAcceptedViewIsProposed verifies that of several accepted views the one with the highest ballot is proposed
+// again, since it may be decided.
+func TestHighestAcceptedViewIsProposed(t *testing.T) {
 	accepted := func(round uint64, head Identity) *chainpb.Promise {
 		view := View{Epoch: 2, Voters: []Member{{Identity: head}}, Chain: []Identity{head}}
 		return &chainpb.Promise{Accepted: &chainpb.Ballot{Round: round, Nonce: 1}, View: viewToWire(view)}
 	}
-	for range 20 { // the promises are in no order
+	for range 20 { // map iteration order is random
 		n := &Node{attempt: &attempt{promises: map[string]*chainpb.Promise{
 			"a": accepted(3, "third"), "b": accepted(7, "seventh"), "c": accepted(5, "fifth"), "d": {},
 		}}}
-		view, found := n.earlierView()
+		view, found := n.highestAcceptedView()
 		assert.Assert(t, found)
 		assert.Equal(t, view.Head(), Identity("seventh"))
 	}
 }
 
-// A chain has a member of another zone than its head's wherever there is one, be it the last choice for all else.
-func TestChainReachesAnotherZone(t *testing.T) {
+// TestChainSpansTwoZones verifies that the chain includes a member of another zone than that of the head if there is
+// one, even if it is the last candidate otherwise.
+func TestChainSpansTwoZones(t *testing.T) {
 	member := func(name, zone string) Member {
 		return Member{Identity: Identity(name), Name: name, Zone: zone, Region: "r"}
 	}
 	head := member("head", "a")
-	of := func(members ...Member) (candidates []chainCandidate) {
+	candidatesOf := func(members ...Member) (candidates []chainCandidate) {
 		for _, each := range members {
 			candidates = append(candidates, chainCandidate{member: each})
 		}
@@ -84,26 +88,26 @@
 		length     int
 		want       []Member
 	}{
-		{"the best is elsewhere", of(far, near), 2, []Member{far}},
-		{"the last is elsewhere", of(near, nearer, far), 2, []Member{far}},
-		{"the last of a longer chain makes room", of(near, nearer, far, farther), 3, []Member{near, far}},
-		{"one of those chosen is elsewhere", of(near, far, farther), 3, []Member{near, far}},
-		{"nobody is elsewhere", of(near, nearer), 2, []Member{near}},
-		{"the head alone", of(near, far), 1, nil},
+		{"best candidate in another zone", candidatesOf(far, near), 2, []Member{far}},
+		{"last candidate in another zone", candidatesOf(near, nearer, far), 2, []Member{far}},
+		{"last member of a longer chain is replaced", candidatesOf(near, nearer, far, farther), 3, []Member{near, far}},
+		{"a selected member in another zone", candidatesOf(near, far, farther), 3, []Member{near, far}},
+		{"no candidate in another zone", candidatesOf(near, nearer), 2, []Member{near}},
+		{"head alone", candidatesOf(near, far), 1, nil},
 	} {
-		assert.DeepEqual(t, chooseMembers(head, c.candidates, c.length), c.want)
+		assert.DeepEqual(t, selectMembers(head, c.candidates, c.length), c.want)
 	}
 }
 
-// Of members that installed the same epoch and are equal otherwise, the one with the longest log becomes the head: it has the least to be
-// sent, and what it alone holds goes on instead of being lost to those who asked for it.
-func TestMemberWithTheLongestLogIsHead(t *testing.T) {
-	node, view := proposer(t, map[int]*chainpb.Promise{
+// TestMemberWithLongestLogBecomesHead verifies that of otherwise equal members the one with the longest log becomes
+// head. The fewest entries have to be sent then, and its uncommitted entries are committed instead of lost.
+func TestMemberWithLongestLogBecomesHead(t *testing.T) {
+	node, view := newProposer(t, map[int]*chainpb.Promise{
 		0: {Installed: 1, Position: 5},
 		1: {Installed: 1, Position: 9},
 		2: {Installed: 1, Position: 7},
 	})
-	head, found := node.nextHead(view)
+	head, found := node.selectHead(view)
 	assert.Assert(t, found)
 	assert.Equal(t, head.Identity, view.Voters[1].Identity)
 }
--- a/internal/chain/records.go
+++ b/internal/chain/records.go
@@ -7,7 +7,7 @@
 	"wallflow/internal/logfile"
 )
 
-// The types of stored records.
+// Types of stored records.
 const (
 	RecordIdentity  logfile.RecordType = 1
 	RecordPromise   logfile.RecordType = 2
@@ -18,7 +18,7 @@
 	RecordInstalled logfile.RecordType = 7
 )
 
-// encodeRecord makes a record of a message of this package, which always can be encoded.
+// encodeRecord encodes a message of this package as a record. Encoding such a message cannot fail.
 func encodeRecord(kind logfile.RecordType, payload proto.Message) Record {
 	encoded, err := proto.Marshal(payload)
 	if err != nil {
@@ -34,15 +34,15 @@
 func (n *Node) promiseRecord() Record {
 	return encodeRecord(RecordPromise, &chainpb.StoredPromise{
 		Instance: n.acceptor.instance,
-		Ballot:   ballotToWire(n.acceptor.promised),
+		Ballot:   ballotToWire(n.acceptor.promisedBallot),
 	})
 }
 
 func (n *Node) acceptedRecord() Record {
 	return encodeRecord(RecordAccepted, &chainpb.StoredAccepted{
 		Instance: n.acceptor.instance,
-		Ballot:   ballotToWire(n.acceptor.accepted),
-		View:     viewToWire(n.acceptor.view),
+		Ballot:   ballotToWire(n.acceptor.acceptedBallot),
+		View:     viewToWire(n.acceptor.acceptedView),
 	})
 }
 
@@ -54,7 +54,7 @@
 	return records
 }
 
-// storedEntry adds what is known to be committed, of which a later start makes use.
+// storedEntry returns an entry with the currently committed position, which a later start restores.
 func (n *Node) storedEntry(entry *chainpb.Entry) *chainpb.Entry {
 	return &chainpb.Entry{
 		Epoch:     entry.Epoch,
@@ -65,28 +65,28 @@
 	}
 }
 
-// snapshot encodes the committed state.
+// snapshot returns a snapshot of the committed state.
 func (n *Node) snapshot() *chainpb.Snapshot {
 	encoded := n.log.state.Encode()
-	n.journal.snapshot = len(encoded)
+	n.journal.stateBytes = len(encoded)
 	return &chainpb.Snapshot{Position: n.log.committed, Epoch: n.log.committedEpoch(), State: encoded}
 }
 
-// wholeState is everything that a node has to have on disk.
-func (n *Node) wholeState() []Record {
+// fullState returns the records that represent the full state of the node.
+func (n *Node) fullState() []Record {
 	records := []Record{n.identityRecord()}
 	if n.view.Epoch > 0 {
 		records = append(records, encodeRecord(RecordDecided, viewToWire(n.view)))
 	}
-	if !n.acceptor.promised.zero() {
+	if !n.acceptor.promisedBallot.isZero() {
 		records = append(records, n.promiseRecord())
 	}
-	if !n.acceptor.accepted.zero() {
+	if !n.acceptor.acceptedBallot.isZero() {
 		records = append(records, n.acceptedRecord())
 	}
 	return append(records, encodeRecord(RecordInstalled, &chainpb.StoredInstalled{
-		Epoch:    n.installed,
+		Epoch:    n.installedEpoch,
 		Snapshot: n.snapshot(),
-		Entries:  n.log.between(n.log.committed, n.log.lastPosition()),
+		Entries:  n.log.entriesBetween(n.log.committed, n.log.lastPosition()),
 	}))
 }
--- a/internal/chain/recovery.go
+++ b/internal/chain/recovery.go
@@ -6,24 +6,24 @@
 	"wallflow/internal/chain/chainpb"
 )
 
-// recover rebuilds a node from its stored records.
+// recover restores a node from its stored records.
 func (n *Node) recover(records []Record) error {
 	for index, record := range records {
 		if err := n.recoverRecord(record); err != nil {
-			return &RecoverError{Index: index, Reason: "unusable", Cause: err}
+			return &RecoveryError{Index: index, Reason: "unusable", Cause: err}
 		}
-		n.journal.bytes += len(record.Payload) + recordOverhead
+		n.journal.fileBytes += len(record.Payload) + recordOverhead
 	}
 	if n.self.Identity == "" {
-		return &RecoverError{Reason: "no identity"}
+		return &RecoveryError{Reason: "no identity"}
 	}
 	if n.acceptor.instance <= n.view.Epoch {
 		n.acceptor = acceptor{instance: n.view.Epoch + 1}
 	}
-	n.synced = n.log.lastPosition()
-	n.durableInstalled = n.installed
-	n.successorSynced = true
-	n.passed = n.synced
+	n.syncedPosition = n.log.lastPosition()
+	n.durableInstalledEpoch = n.installedEpoch
+	n.successorReady = true
+	n.forwardedPosition = n.syncedPosition
 	return nil
 }
 
@@ -66,7 +66,7 @@
 	if stored.Instance != n.acceptor.instance {
 		n.acceptor = acceptor{instance: stored.Instance}
 	}
-	n.acceptor.promised = ballotFromWire(stored.Ballot)
+	n.acceptor.promisedBallot = ballotFromWire(stored.Ballot)
 	return nil
 }
 
@@ -78,11 +78,11 @@
 	if stored.Instance != n.acceptor.instance {
 		n.acceptor = acceptor{instance: stored.Instance}
 	}
-	accepted := ballotFromWire(stored.Ballot)
-	n.acceptor.accepted = accepted
-	n.acceptor.view = viewFromWire(stored.View)
-	if n.acceptor.promised.less(accepted) {
-		n.acceptor.promised = accepted
+	acceptedBallot := ballotFromWire(stored.Ballot)
+	n.acceptor.acceptedBallot = acceptedBallot
+	n.acceptor.acceptedView = viewFromWire(stored.View)
+	if n.acceptor.promisedBallot.less(acceptedBallot) {
+		n.acceptor.promisedBallot = acceptedBallot
 	}
 	return nil
 }
@@ -106,6 +106,7 @@
 	return n.recoverLogEntry(entry)
 }
 
+// recoverLogEntry appends a stored entry, which replaces uncommitted entries from its position on.
 func (n *Node) recoverLogEntry(entry *chainpb.Entry) error {
 	if entry.Position == 0 || entry.Position > n.log.lastPosition()+1 || !n.log.truncate(entry.Position-1) {
 		return &entryOrderError{position: entry.Position, last: n.log.lastPosition(), committed: n.log.committed}
@@ -140,11 +141,11 @@
 			return err
 		}
 	}
-	n.installed = stored.Epoch
+	n.installedEpoch = stored.Epoch
 	return nil
 }
 
-// resetLog replaces the log by a snapshot.
+// resetLog replaces the log with a snapshot. It fails if that would move the committed position back.
 func (n *Node) resetLog(snapshot *chainpb.Snapshot) error {
 	if snapshot.Position < n.log.committed {
 		n.counters.BrokenCommitOrder++
@@ -155,7 +156,7 @@
 		return err
 	}
 	n.log.reset(snapshot.Position, snapshot.Epoch, state)
-	n.journal.snapshot = len(snapshot.State)
+	n.journal.stateBytes = len(snapshot.State)
 	n.generation++
 	return nil
 }
--- a/internal/chain/removal_test.go
+++ b/internal/chain/removal_test.go
@@ -7,25 +7,26 @@
 	"gotest.tools/v3/assert"
 )
 
-// A machine is replaced as planned: its successor comes first and is a fourth voter, then the old one leaves for good. Without it,
-// the loss of one more disk while all are killed must leave a majority.
-func TestPlannedReplacementLeavesNoDeadVoter(t *testing.T) {
+// TestPlannedReplacementRemovesOldVoter covers the planned replacement of a machine: the new one becomes a fourth
+// voter, then the old one is shut down for good. The old one has to be removed, so that losing one more disk while all
+// processes are killed leaves a majority.
+func TestPlannedReplacementRemovesOldVoter(t *testing.T) {
 	for seed := range int64(20) {
-		s := settled(t, seed, 3)
-		former := s.processes[seed%3]
-		successor := s.addProcess(4)
-		successor.self.Zone, successor.self.Region = former.self.Zone, former.self.Region
-		successor.start(false)
-		s.until(8*time.Second, func() bool { return len(s.newestView().Voters) == 4 })
-		identity := former.node.Identity()
-		former.kill(false)
+		s := newSettledSimulation(t, seed, 3)
+		old := s.processes[seed%3]
+		replacement := s.addProcess(4)
+		replacement.self.Zone, replacement.self.Region = old.self.Zone, old.self.Region
+		replacement.start(false)
+		s.runUntil(8*time.Second, func() bool { return len(s.newestView().Voters) == 4 })
+		identity := old.node.Identity()
+		old.kill(false)
 		s.processes = append(s.processes[:seed%3], s.processes[seed%3+1:]...)
-		s.until(8*time.Second, func() bool {
-			_, stays := s.newestView().Voter(identity)
-			return !stays && s.active()
+		s.runUntil(8*time.Second, func() bool {
+			_, votes := s.newestView().Voter(identity)
+			return !votes && s.active()
 		})
 		assert.Equal(t, len(s.newestView().Voters), 3)
-		s.write("before")
+		s.submitAndWait("before")
 		for _, p := range s.processes {
 			p.kill(true)
 		}
@@ -34,76 +35,80 @@
 			p.start(false)
 		}
 		s.run(time.Second)
-		s.write("after")
-		s.finish("before", "after")
+		s.submitAndWait("after")
+		s.verifyFinalState("before", "after")
 	}
 }
 
-// Two machines are replaced at once as planned: with both successors five vote, and the two that left for good are dropped one after the
-// other. Without that, two of the living three would have to be there for ever after.
-func TestTwoPlannedReplacementsAtOnceLeaveNoDeadVoter(t *testing.T) {
+// TestTwoPlannedReplacementsRemoveOldVoters covers the planned replacement of two machines at once: there are five
+// voters with both new ones, and the two that were shut down are removed one after the other. Otherwise all three
+// remaining voters would have to stay available.
+func TestTwoPlannedReplacementsRemoveOldVoters(t *testing.T) {
 	for seed := range int64(20) {
-		s := settled(t, seed, 3)
-		former := []*process{s.processes[seed%3], s.processes[(seed+1)%3]}
-		stays := s.processes[(seed+2)%3]
-		for _, each := range former {
-			successor := s.addProcess(4 + each.number)
-			successor.self.Zone, successor.self.Region = each.self.Zone, each.self.Region
-			successor.start(false)
+		s := newSettledSimulation(t, seed, 3)
+		old := []*process{s.processes[seed%3], s.processes[(seed+1)%3]}
+		remaining := s.processes[(seed+2)%3]
+		for _, each := range old {
+			replacement := s.addProcess(4 + each.number)
+			replacement.self.Zone, replacement.self.Region = each.self.Zone, each.self.Region
+			replacement.start(false)
 		}
-		s.until(8*time.Second, func() bool { return len(s.newestView().Voters) == 5 && s.active() })
-		var left []Identity
-		for _, each := range former {
-			left = append(left, each.node.Identity())
-			each.carryOut(each.node.Leave(s.now))
+		s.runUntil(8*time.Second, func() bool { return len(s.newestView().Voters) == 5 && s.active() })
+		var oldIdentities []Identity
+		for _, each := range old {
+			oldIdentities = append(oldIdentities, each.node.Identity())
+			each.apply(each.node.Leave(s.now))
 		}
-		s.until(leaveBound, func() bool { return !former[0].node.InChain() && !former[1].node.InChain() })
-		for _, each := range former {
+		s.runUntil(maxLeaveTime, func() bool { return !old[0].node.InChain() && !old[1].node.InChain() })
+		for _, each := range old {
 			each.kill(false)
 		}
-		s.processes = append([]*process{stays}, s.processes[3:]...)
-		s.until(12*time.Second, func() bool {
+		s.processes = append([]*process{remaining}, s.processes[3:]...)
+		s.runUntil(12*time.Second, func() bool {
 			view := s.newestView()
-			_, first := view.Voter(left[0])
-			_, second := view.Voter(left[1])
+			_, first := view.Voter(oldIdentities[0])
+			_, second := view.Voter(oldIdentities[1])
 			return !first && !second && s.active()
 		})
 		assert.Equal(t, len(s.newestView().Voters), 3)
-		s.write("before")
+		s.submitAndWait("before")
 		s.processes[1].kill(true)
 		s.run(5 * time.Second)
-		s.write("with one lost")
-		s.finish("before", "with one lost")
+		s.submitAndWait("with one lost")
+		s.verifyFinalState("before", "with one lost")
 	}
 }
 
-// One dead voter of five is waited for: without it the majority would be as large, and it could not help to make it up when it is back.
-func TestOneDeadVoterOfAnOddNumberStays(t *testing.T) {
-	s := settled(t, 1, 5)
+// TestSingleDownVoterOfOddNumberStays verifies that one voter of five that is down is not removed: without it the
+// majority would be as large, and it could not contribute to the majority when it returns.
+func TestSingleDownVoterOfOddNumberStays(t *testing.T) {
+	s := newSettledSimulation(t, 1, 5)
 	s.processes[4].kill(true)
 	s.run(10 * time.Second)
 	assert.Equal(t, len(s.newestView().Voters), 5)
 	s.processes[3].kill(true)
-	s.until(8*time.Second, func() bool { return len(s.newestView().Voters) == 3 && s.active() })
-	s.write("with two of five")
-	s.finish("with two of five")
+	s.runUntil(8*time.Second, func() bool { return len(s.newestView().Voters) == 3 && s.active() })
+	s.submitAndWait("with two of five")
+	s.verifyFinalState("with two of five")
 }
 
-// With no more voters than the loss that is to be borne asks for, a dead one waits for its replacement.
-func TestDeadVoterThatIsNeededStays(t *testing.T) {
-	s := settled(t, 1, 3)
+// TestRequiredDownVoterStays verifies that a voter that is down waits for its replacement if there are no more voters
+// than required.
+func TestRequiredDownVoterStays(t *testing.T) {
+	s := newSettledSimulation(t, 1, 3)
 	s.processes[0].kill(true)
 	s.run(10 * time.Second)
 	assert.Equal(t, len(s.newestView().Voters), 3)
-	s.write("meanwhile")
-	s.finish("meanwhile")
+	s.submitAndWait("meanwhile")
+	s.verifyFinalState("meanwhile")
 }
 
-// Two of five that were dropped while they were lost vote again well before the next loss is to be borne.
-func TestDroppedVotersVoteAgainSoon(t *testing.T) {
+// TestRemovedVotersRejoinQuickly verifies that two of five voters that were removed while they were down become voters
+// again before the next loss is expected.
+func TestRemovedVotersRejoinQuickly(t *testing.T) {
 	longest := time.Duration(0)
 	for seed := range int64(40) {
-		s := settled(t, seed, 5)
+		s := newSettledSimulation(t, seed, 5)
 		lost := s.random.Perm(5)[:2]
 		for _, number := range lost {
 			s.processes[number].kill(false)
@@ -113,11 +118,11 @@
 		for _, number := range lost {
 			s.processes[number].start(false)
 		}
-		longest = max(longest, s.until(4*time.Second, func() bool {
+		longest = max(longest, s.runUntil(4*time.Second, func() bool {
 			return len(s.newestView().Voters) == 5 && s.active()
 		}))
-		s.finish()
+		s.verifyFinalState()
 	}
-	t.Logf("they vote again after %v at most", longest)
+	t.Logf("voters again after at most %v", longest)
 	assert.Assert(t, longest < 2500*time.Millisecond)
 }
--- a/internal/chain/replicate.go
+++ b/internal/chain/replicate.go
@@ -6,8 +6,8 @@
 	"wallflow/internal/chain/chainpb"
 )
 
-// accept makes an entry of a command that the head applied, and appends it.
-func (n *Node) accept(origin *chainpb.Origin, command []byte, state State, reply Reply) {
+// appendCommand makes an entry of a command that the head has applied, appends it and queues it for writing.
+func (n *Node) appendCommand(origin *chainpb.Origin, command []byte, state State, reply Reply) {
 	entry := &chainpb.Entry{
 		Epoch:    n.view.Epoch,
 		Position: n.log.lastPosition() + 1,
@@ -15,13 +15,13 @@
 		Origin:   origin,
 	}
 	n.log.appendApplied(entry, state, reply)
-	if n.entryWaits.IsZero() {
-		n.entryWaits = n.now
+	if n.uncommittedSince.IsZero() {
+		n.uncommittedSince = n.now
 	}
 	n.persistEntries([]*chainpb.Entry{entry})
 }
 
-// persistEntries queues entries that were appended to the log.
+// persistEntries queues appended entries for writing.
 func (n *Node) persistEntries(entries []*chainpb.Entry) {
 	n.persist(effect{
 		position:   entries[len(entries)-1].Position,
@@ -30,90 +30,92 @@
 }
 
 func (n *Node) receiveAppend(message *chainpb.Append) {
-	if !n.serving() {
+	if !n.canServe() {
 		return
 	}
-	if epoch, held := n.log.epochAt(message.PreviousPosition); held && epoch != message.PreviousEpoch {
-		n.brokenCommit("entry %d is of epoch %d here, of %d before", message.PreviousPosition, epoch, message.PreviousEpoch)
+	if epoch, retained := n.log.epochAt(message.PreviousPosition); retained && epoch != message.PreviousEpoch {
+		n.reportBrokenCommit("entry %d has epoch %d here and %d at the predecessor", message.PreviousPosition, epoch, message.PreviousEpoch)
 		return
 	}
 	n.appendEntries(message.PreviousPosition, message.Entries)
 }
 
-// appendEntries takes entries of the predecessor that follow a position. Within an epoch the predecessor's log only grows, so
-// what is here already is the same.
+// appendEntries appends entries of the predecessor that follow a position. Within an epoch the log of the predecessor
+// only grows, so entries that are already present are equal.
 func (n *Node) appendEntries(previous uint64, entries []*chainpb.Entry) {
 	if previous > n.log.lastPosition() {
-		n.requestSyncAgain()
+		n.retrySync()
 		return
 	}
-	first := n.log.lastPosition() - previous
-	if first >= uint64(len(entries)) {
+	known := n.log.lastPosition() - previous
+	if known >= uint64(len(entries)) {
 		return
 	}
-	fresh := entries[first:]
-	for _, entry := range fresh {
+	missing := entries[known:]
+	for _, entry := range missing {
 		n.log.append(entry)
 	}
-	n.persistEntries(fresh)
+	n.persistEntries(missing)
 }
 
-// advance does what the newest end of a write allows: pass entries on, or commit them at the tail.
-func (n *Node) advance() {
-	if !n.serving() || n.durableInstalled != n.view.Epoch {
+// advanceReplication forwards entries that are now on disk or, at the tail, commits them. It does nothing before the
+// installation of the epoch is on disk.
+func (n *Node) advanceReplication() {
+	if !n.canServe() || n.durableInstalledEpoch != n.view.Epoch {
 		return
 	}
 	if n.isTail() {
 		n.commitAtTail()
 		return
 	}
-	n.passEntries()
-	n.passBarriers()
+	n.forwardEntries()
+	n.forwardBarriers()
 }
 
-func (n *Node) passEntries() {
-	if !n.successorSynced || n.passed >= n.synced {
+// forwardEntries sends the successor the entries that are on disk and were not sent yet.
+func (n *Node) forwardEntries() {
+	if !n.successorReady || n.forwardedPosition >= n.syncedPosition {
 		return
 	}
-	epoch, held := n.log.epochAt(n.passed)
-	if !held {
-		n.successorSynced = false // it has to ask for a snapshot
+	epoch, retained := n.log.epochAt(n.forwardedPosition)
+	if !retained {
+		n.successorReady = false // the successor has to request a snapshot
 		return
 	}
 	n.send(n.successor(), &chainpb.Message{Body: &chainpb.Message_Append{Append: &chainpb.Append{
 		PreviousEpoch:    epoch,
-		PreviousPosition: n.passed,
-		Entries:          n.log.between(n.passed, n.synced),
+		PreviousPosition: n.forwardedPosition,
+		Entries:          n.log.entriesBetween(n.forwardedPosition, n.syncedPosition),
 	}}})
-	n.passed = n.synced
+	n.forwardedPosition = n.syncedPosition
 }
 
-// commitAtTail commits what is on disk here, and so at every member, and answers it.
+// commitAtTail commits and answers the entries that are on disk at the tail and therefore at every member.
 func (n *Node) commitAtTail() {
 	first := n.log.committed + 1
-	if first <= n.synced {
-		n.answerEntries(first, n.synced)
-		n.commit(n.synced)
-		n.feedFollowers()
+	if first <= n.syncedPosition {
+		n.answerEntries(first, n.syncedPosition)
+		n.commit(n.syncedPosition)
+		n.feedNewEntries()
 	}
 	n.acknowledge(0)
-	n.passBarriers()
+	n.forwardBarriers()
 }
 
-// answerEntries answers the processes that submitted entries, which are committed with this.
+// answerEntries sends the replies of entries to the processes that submitted them.
 func (n *Node) answerEntries(first, last uint64) {
 	for position := first; position <= last; position++ {
-		entry := n.log.at(position)
+		entry := n.log.entryAt(position)
 		if entry.wire.Origin != nil {
 			n.answerOrigin(entry.wire.Origin, entry.reply, false, position)
 		}
 	}
 }
 
-// acknowledge tells the predecessor what is committed, and which heartbeat came to the tail.
+// acknowledge reports to the predecessor which position is committed and which heartbeat reached the tail, 0 for none.
 func (n *Node) acknowledge(heartbeat uint64) {
 	if n.isHead() {
-		n.headAcknowledged(heartbeat)
+		n.handleAckAtHead(heartbeat)
 		return
 	}
 	n.send(n.predecessor(), &chainpb.Message{Body: &chainpb.Message_Ack{Ack: &chainpb.Ack{
@@ -123,39 +125,40 @@
 }
 
 func (n *Node) receiveAck(ack *chainpb.Ack) {
-	if !n.serving() {
+	if !n.canServe() {
 		return
 	}
-	if ack.Committed > n.synced {
-		n.brokenCommit("entry %d was acknowledged, with only %d of them on disk here", ack.Committed, n.synced)
+	if ack.Committed > n.syncedPosition {
+		n.reportBrokenCommit("entry %d was acknowledged, but only entries up to %d are on disk here", ack.Committed, n.syncedPosition)
 		return
 	}
 	n.commit(ack.Committed)
 	n.acknowledge(ack.Heartbeat)
 }
 
-// commit marks entries as committed. A position below the newest is an old message and changes nothing.
+// commit marks the entries up to a position as committed. A position that is already committed comes from an old
+// message and is ignored.
 func (n *Node) commit(position uint64) {
 	if position <= n.log.committed {
 		return
 	}
 	n.log.commit(position)
-	n.out.Committed = true
-	n.entryWaits = n.now
+	n.output.Committed = true
+	n.uncommittedSince = n.now
 	n.answerReads()
 }
 
-// headAcknowledged notes at the head that the whole chain is installed, and how far it is.
-func (n *Node) headAcknowledged(heartbeat uint64) {
-	first := n.activeSince.IsZero()
-	if first {
+// handleAckAtHead records at the head that the whole chain has installed the epoch and that commits progress.
+func (n *Node) handleAckAtHead(heartbeat uint64) {
+	firstAck := n.activeSince.IsZero()
+	if firstAck {
 		n.activeSince = n.now
 	}
 	if n.log.committed == n.log.lastPosition() {
-		n.entryWaits = time.Time{}
+		n.uncommittedSince = time.Time{}
 	}
-	n.heartbeatReturned(heartbeat)
-	if first && n.confirmedEpoch != n.view.Epoch {
-		n.sendHeartbeat() // those before met members that had not installed the epoch yet
+	n.handleReturnedHeartbeat(heartbeat)
+	if firstAck && n.confirmedEpoch != n.view.Epoch {
+		n.sendHeartbeat() // earlier heartbeats reached members that had not installed the epoch
 	}
 }
--- a/internal/chain/retention.go
+++ b/internal/chain/retention.go
@@ -1,19 +1,19 @@
 package chain
 
-// Retention bounds what a node keeps of the past beside its state. The zero value stands for DefaultRetention.
+// Retention limits the history that a node keeps beside its state. The zero value stands for DefaultRetention.
 type Retention struct {
-	Entries     int // committed entries held for processes that lag; who lacks more gets a snapshot
-	EntryBytes  int // and the size of their commands at most
-	RewriteFrom int // bytes below which the log on disk is not rewritten
+	Entries     int // committed entries kept for processes that lag; one that lacks more gets a snapshot
+	EntryBytes  int // maximum size of the commands of these entries
+	RewriteFrom int // size in bytes below which the log file is not rewritten
 }
 
-// DefaultRetention is what suits a process in service: some seconds of the fastest changes in memory, and a log on disk that is read
-// again in well under a second.
+// DefaultRetention returns the limits for production use: entries for several seconds of the highest change rate, and a
+// log file that is read in well under a second at a start.
 func DefaultRetention() Retention {
 	return Retention{Entries: 256, EntryBytes: 1 << 20, RewriteFrom: 1 << 20}
 }
 
-func (r Retention) orDefault() Retention {
+func (r Retention) withDefaults() Retention {
 	if r == (Retention{}) {
 		return DefaultRetention()
 	}
--- a/internal/chain/schedule_test.go
+++ b/internal/chain/schedule_test.go
@@ -9,185 +9,190 @@
 	"wallflow/internal/testkit"
 )
 
-// The schedules of this file are all there are: each fault at each event of a small world, and each pair of faults at each pair of some
-// of its events. Walks draw from larger worlds.
+// The schedules of this file are exhaustive: each fault at each event of a small system, and each pair of faults at
+// each pair of selected events. The random walks cover larger systems.
 
-// faultKind is what can befall a process between two events.
+// faultKind is a fault of a process that is injected between two events.
 type faultKind int
 
 const (
-	faultKill     faultKind = iota // its disk has what was written
-	faultPower                     // the write that is out is there, missing or torn
-	faultWipe                      // it comes back with an empty disk
-	faultCut                       // from all others
-	faultMute                      // its messages are lost, it hears the others
-	faultDeaf                      // it hears nobody
-	faultHang                      // its disk answers nothing
-	faultFreeze                    // it stands still
-	faultWipeDark                  // it comes back with an empty disk, and all others lose power at the same moment
-	faultLeave                     // it is told to stop, leaves the chain and ends, and comes back
-	faultKinds
+	faultKill             faultKind = iota // written data stays on its disk
+	faultPowerLoss                         // the write in flight is complete, missing or torn
+	faultWipe                              // it restarts with an empty disk
+	faultCut                               // it is cut off from all others
+	faultSendsLost                         // its messages are lost, but it receives those of others
+	faultReceivesLost                      // messages to it are lost
+	faultHang                              // writes to its disk do not end
+	faultFreeze                            // it is suspended
+	faultWipeAndPowerLoss                  // it restarts with an empty disk, and all others lose power at the same moment
+	faultLeave                             // it leaves the chain, stops and restarts
+	faultKindCount
 )
 
 func (k faultKind) String() string {
 	return [...]string{"kill", "power", "wipe", "cut", "mute", "deaf", "hang", "freeze", "wipe dark", "leave"}[k]
 }
 
-// wipes tells of the faults that take a disk away.
-func (k faultKind) wipes() bool { return k == faultWipe || k == faultWipeDark }
+// losesDisk reports whether the fault loses the content of a disk.
+func (k faultKind) losesDisk() bool { return k == faultWipe || k == faultWipeAndPowerLoss }
 
-// scheduled is a fault at a place in the order of events.
-type scheduled struct {
-	step   int // events after the window's begin
+// scheduledFault is a fault at a position in the order of events.
+type scheduledFault struct {
+	step   int // number of events after the start of the fault window
 	kind   faultKind
 	number int // of the process
 }
 
-func (s scheduled) String() string { return fmt.Sprintf("%v %d at event %d", s.kind, s.number, s.step) }
+func (s scheduledFault) String() string {
+	return fmt.Sprintf("%v %d at event %d", s.kind, s.number, s.step)
+}
 
 const (
-	scheduleWarm   = 4 * time.Second // until a view stands and commands go through
-	scheduleAway   = 300 * time.Millisecond
-	scheduleLasts  = 1200 * time.Millisecond // a cut, a hanging disk
-	scheduleLeaves = 700 * time.Millisecond  // after which one that was told to stop ends, out of the chain or not
-	scheduleWindow = 1500 * time.Millisecond
+	scheduleWarmUp = 4 * time.Second // until a view is in force and commands are accepted
+	restartDelay   = 300 * time.Millisecond
+	faultDuration  = 1200 * time.Millisecond // of a cut, a hanging disk or a freeze
+	leaveDelay     = 700 * time.Millisecond  // until a leaving process ends, whether it is out of the chain or not
+	faultWindow    = 1500 * time.Millisecond
 )
 
-// befall lets a fault happen, and end later.
-func (w *walk) befall(fault scheduled) {
+// injectFault injects a fault and schedules its end.
+func (w *randomWalk) injectFault(fault scheduledFault) {
 	p := w.processes[fault.number]
 	switch fault.kind {
-	case faultKill, faultPower:
-		p.kill(fault.kind == faultPower)
-		w.after(scheduleAway, func() { w.startOne(p) })
+	case faultKill, faultPowerLoss:
+		p.kill(fault.kind == faultPowerLoss)
+		w.schedule(restartDelay, func() { w.ensureRunning(p) })
 	case faultWipe:
 		p.kill(true)
 		p.wipe()
-		w.after(scheduleAway, func() { w.startOne(p) })
-	case faultWipeDark:
+		w.schedule(restartDelay, func() { w.ensureRunning(p) })
+	case faultWipeAndPowerLoss:
 		for _, each := range w.processes {
 			each.kill(true)
-			w.after(scheduleAway, func() { w.startOne(each) })
+			w.schedule(restartDelay, func() { w.ensureRunning(each) })
 		}
 		p.wipe()
 	case faultLeave:
-		if !p.up || p.frozen {
+		if !p.running || p.frozen {
 			return
 		}
-		life := p.life
-		p.carryOut(p.node.Leave(w.now))
-		w.after(scheduleLeaves, func() {
-			if p.life == life {
+		incarnation := p.incarnation
+		p.apply(p.node.Leave(w.now))
+		w.schedule(leaveDelay, func() {
+			if p.incarnation == incarnation {
 				p.kill(false)
-				w.after(scheduleAway, func() { w.startOne(p) })
+				w.schedule(restartDelay, func() { w.ensureRunning(p) })
 			}
 		})
 	case faultHang:
-		p.hanging = true
-		w.after(scheduleLasts, func() { p.hanging = false })
+		p.diskHanging = true
+		w.schedule(faultDuration, func() { p.diskHanging = false })
 	case faultFreeze:
 		p.frozen = true
-		w.after(scheduleLasts, func() { p.frozen = false })
+		w.schedule(faultDuration, func() { p.frozen = false })
 	default:
-		w.isolate(p, fault.kind != faultDeaf, fault.kind != faultMute)
-		w.after(scheduleLasts, func() { clear(w.trouble.cut) })
+		w.isolate(p, fault.kind != faultReceivesLost, fault.kind != faultSendsLost)
+		w.schedule(faultDuration, func() { clear(w.network.cut) })
 	}
 }
 
-// isolate cuts a process off from all others.
-func (w *walk) isolate(p *process, from, to bool) {
+// isolate cuts the links between a process and all others, in one or both directions.
+func (w *randomWalk) isolate(p *process, blockSends, blockReceives bool) {
 	for _, other := range w.processes {
 		if other != p {
-			w.trouble.cut[[2]int{p.number, other.number}] = from
-			w.trouble.cut[[2]int{other.number, p.number}] = to
+			w.network.cut[[2]int{p.number, other.number}] = blockSends
+			w.network.cut[[2]int{other.number, p.number}] = blockReceives
 		}
 	}
 }
 
-// playSchedule plays faults in a world of some voters in which two operators submit and a reader reads. It returns what broke, and how
-// many events the window has.
-func playSchedule(t *testing.T, voters int, planted mistakes, faults ...scheduled) (broken []string, events int) {
-	w := newWalk(t, 7, voters, voters, seededChooser(7))
-	w.retention = retentions[(voters/2)%2] // with five as little as possible is kept
+// runSchedule injects scheduled faults in a system with two operators and reads. It returns the violations and the
+// number of events in the fault window.
+func runSchedule(t *testing.T, voters int, injected injectedFaults, faults ...scheduledFault) (violations []string, events int) {
+	w := newRandomWalk(t, 7, voters, voters, seededChooser(7))
+	w.retention = retentions[(voters/2)%2] // with five voters, the smallest retention
 	for _, p := range w.processes {
-		p.mistakes = planted
+		p.injectedFaults = injected
 	}
-	w.run(scheduleWarm)
-	begin := w.executed
-	w.before = func(step int) {
+	w.run(scheduleWarmUp)
+	start := w.executedEvents
+	w.beforeEvent = func(step int) {
 		for _, fault := range faults {
-			if step == begin+fault.step {
-				w.befall(fault)
+			if step == start+fault.step {
+				w.injectFault(fault)
 			}
 		}
 	}
-	w.run(scheduleWindow)
-	events = w.executed - begin
-	w.end()
-	return w.broken, events
+	w.run(faultWindow)
+	events = w.executedEvents - start
+	w.healAndCheck()
+	return w.violations, events
 }
 
-// playAll plays schedules side by side and reports those in which something broke.
-func playAll(t *testing.T, voters int, schedules [][]scheduled) {
+// runSchedules runs schedules concurrently and reports those with violations.
+func runSchedules(t *testing.T, voters int, schedules [][]scheduledFault) {
 	t.Helper()
 	testkit.Each(len(schedules), func(index int) {
-		if broken, _ := playSchedule(t, voters, mistakes{}, schedules[index]...); len(broken) > 0 {
-			t.Errorf("%v: %s", schedules[index], broken[0])
+		if violations, _ := runSchedule(t, voters, injectedFaults{}, schedules[index]...); len(violations) > 0 {
+			t.Errorf("%v: %s", schedules[index], violations[0])
 		}
 	})
 	t.Logf("%d schedules", len(schedules))
 }
 
 var (
-	singleStride = flag.Int("chain.singles", 20, "every so many events get each single fault; 1: all")
-	pairPlaces   = flag.Int("chain.pairs", 1, "so many events get each pair of faults")
+	singleFaultStride  = flag.Int("chain.singles", 20, "inject each single fault at every n-th event; 1: at all events")
+	faultPairPositions = flag.Int("chain.pairs", 1, "number of events at which each pair of faults is injected")
 )
 
-// commandSpan is about the number of events between two answered commands: faults in one such span meet every moment of a command.
-const commandSpan = 240
+// eventsPerCommand is the approximate number of events between two answered commands. Faults at all positions in such a
+// span cover every stage of a command.
+const eventsPerCommand = 240
 
+// TestEachFaultAtEachEvent injects each single fault at each selected event.
 func TestEachFaultAtEachEvent(t *testing.T) {
 	for _, voters := range []int{3, 5} {
 		t.Run(fmt.Sprintf("%d voters", voters), func(t *testing.T) {
-			var schedules [][]scheduled
-			for step := 0; step < commandSpan; step += *singleStride {
-				for kind := range faultKinds {
+			var schedules [][]scheduledFault
+			for step := 0; step < eventsPerCommand; step += *singleFaultStride {
+				for kind := range faultKindCount {
 					for number := range voters {
-						schedules = append(schedules, []scheduled{{step, kind, number}})
+						schedules = append(schedules, []scheduledFault{{step, kind, number}})
 					}
 				}
 			}
-			playAll(t, voters, schedules)
+			runSchedules(t, voters, schedules)
 		})
 	}
 }
 
-// Two disks lost at once are outside of what a chain of two bears.
+// TestEachPairOfFaults injects each pair of faults at each pair of selected events, except pairs that lose two disks,
+// which a chain of two does not tolerate.
 func TestEachPairOfFaults(t *testing.T) {
 	const voters = 3
-	places := make([]int, *pairPlaces)
-	for index := range places {
-		places[index] = index * commandSpan / len(places)
+	positions := make([]int, *faultPairPositions)
+	for index := range positions {
+		positions[index] = index * eventsPerCommand / len(positions)
 	}
-	var schedules [][]scheduled
-	for first := range places {
-		for _, second := range places[first:] {
-			schedules = append(schedules, pairs(voters, places[first], second)...)
+	var schedules [][]scheduledFault
+	for first := range positions {
+		for _, second := range positions[first:] {
+			schedules = append(schedules, faultPairs(voters, positions[first], second)...)
 		}
 	}
-	playAll(t, voters, schedules)
+	runSchedules(t, voters, schedules)
 }
 
-func pairs(voters, firstStep, secondStep int) [][]scheduled {
-	var all [][]scheduled
-	for first := range faultKinds {
-		for second := range faultKinds {
+func faultPairs(voters, firstStep, secondStep int) [][]scheduledFault {
+	var all [][]scheduledFault
+	for first := range faultKindCount {
+		for second := range faultKindCount {
 			for a := range voters {
 				for b := range voters {
-					if a == b || first.wipes() && second.wipes() {
+					if a == b || first.losesDisk() && second.losesDisk() {
 						continue
 					}
-					all = append(all, []scheduled{{firstStep, first, a}, {secondStep, second, b}})
+					all = append(all, []scheduledFault{{firstStep, first, a}, {secondStep, second, b}})
 				}
 			}
 		}
@@ -195,27 +200,30 @@
 	return all
 }
 
-// The window holds at least one command's whole way.
+// TestScheduleWindowIsLongEnough verifies that the fault window covers at least one complete command.
 func TestScheduleWindowIsLongEnough(t *testing.T) {
 	for _, voters := range []int{3, 5} {
-		broken, events := playSchedule(t, voters, mistakes{})
-		if len(broken) > 0 || events < commandSpan {
-			t.Errorf("%d voters: %d events, %v", voters, events, broken)
+		violations, events := runSchedule(t, voters, injectedFaults{})
+		if len(violations) > 0 || events < eventsPerCommand {
+			t.Errorf("%d voters: %d events, %v", voters, events, violations)
 		}
 	}
 }
 
-// The schedules find a chain that is too short: what was answered is gone with one disk, where the others have heard of it and not written
-// it. (Since followers ask the tail all the while, they hear of each command at once, so that the loss of the disk alone shows nothing.)
-func TestSchedulesFindAShortChain(t *testing.T) {
+// TestSchedulesDetectSingleMemberChain verifies that the schedules detect a chain that is too short. A single lost disk
+// takes an answered command away if the others received the command but have not written it. The other processes lose
+// power too, because followers fetch from the tail continuously and receive each command at once, so the loss of the
+// disk alone would show nothing.
+func TestSchedulesDetectSingleMemberChain(t *testing.T) {
 	const voters = 3
-	for step := 0; step < commandSpan; step += *singleStride {
+	for step := 0; step < eventsPerCommand; step += *singleFaultStride {
 		for number := range voters {
-			if broken, _ := playSchedule(t, voters, mistakes{chainOfOne: true}, scheduled{step, faultWipeDark, number}); len(broken) > 0 {
-				t.Logf("found: %s", broken[0])
+			if violations, _ := runSchedule(t, voters, injectedFaults{allowSingleMemberChain: true},
+				scheduledFault{step, faultWipeAndPowerLoss, number}); len(violations) > 0 {
+				t.Logf("detected: %s", violations[0])
 				return
 			}
 		}
 	}
-	t.Error("not found")
+	t.Error("not detected")
 }
--- a/internal/chain/simulation_test.go
+++ b/internal/chain/simulation_test.go
@@ -16,87 +16,88 @@
 	"wallflow/internal/virtualtime"
 )
 
-// simulation plays processes with a virtual clock. Equal seeds give equal runs.
+// simulation runs processes with a virtual clock, simulated disks and a simulated network. Equal seeds give equal runs.
 type simulation struct {
-	t         *testing.T
-	random    *rand.Rand
-	now       time.Time
-	events    virtualtime.Queue
-	processes []*process
-	seeds     []string
-	trouble   networkTrouble
-	verbose   bool
-	retention Retention
-	minimum   int // length of the chain that is wanted
-	initial   State
-	decode    Decoder
-	soft      bool                 // what is broken is noted, not fatal
-	watch     func(*process)       // after every call of a node
-	sent      func(Send)           // every message
-	executed  int                  // events so far
-	decided   map[uint64]time.Time // when the first process learned the view of an epoch
-	before    func(step int)       // every event
-	broken    []string
-}
-
-// networkTrouble is what happens to messages.
-type networkTrouble struct {
-	minimumDelay time.Duration
-	spreadDelay  time.Duration
-	oneWay       time.Duration // between regions, on top
-	bytesAMs     int           // that pass in a millisecond; 0: any number
-	loss         float64
-	duplicates   float64
-	cut          map[[2]int]bool          // from, to
-	slow         map[[2]int]time.Duration // from, to: on top of all other delays
-}
-
-// process is a control process with its disk.
+	t                 *testing.T
+	random            *rand.Rand
+	now               time.Time
+	events            virtualtime.Queue
+	processes         []*process
+	seeds             []string
+	network           networkFaults
+	verbose           bool
+	retention         Retention
+	chainLength       int // Options.MinimumChain of every process
+	initial           State
+	decode            Decoder
+	collectViolations bool                 // a store that cannot be opened is a violation, not fatal
+	afterCall         func(*process)       // called after every call of a node
+	onSend            func(Send)           // called for every message
+	executedEvents    int                  // number of events so far
+	decidedAt         map[uint64]time.Time // when the first process learned the view of an epoch
+	beforeEvent       func(step int)       // called before every event
+	violations        []string
+}
+
+// networkFaults sets the delays and faults of the network.
+type networkFaults struct {
+	minDelay            time.Duration
+	maxJitter           time.Duration
+	interRegionDelay    time.Duration // one way, in addition
+	bytesPerMillisecond int           // 0 for unlimited
+	loss                float64
+	duplicates          float64
+	cut                 map[[2]int]bool          // from, to: messages are dropped
+	extraDelay          map[[2]int]time.Duration // from, to: in addition to all other delays
+}
+
+// process is a simulated control process with its disk.
 type process struct {
-	simulation *simulation
-	number     int
-	self       Member
-	node       *Node
-	life       int // rises with each start and end
-	up         bool
-	disk       *simdisk.Disk
-	file       *logfile.File
-	writing    *Write // the write that is out
-	persisted  uint64 // position of the newest entry that is on disk in this life
-	syncTime   time.Duration
-	hanging    bool
-	frozen     bool
-	heard      map[int]time.Time
-	unseen     bool // membership takes it for gone elsewhere, and all others for gone here, whatever passes between them
-	request    uint64
-	waiting    map[uint64]func(Answer)
-	revision   uint64 // the newest committed one in this life
-	rewrites   int    // of the file, in all lives
-	mistakes   mistakes
-}
-
-// simulatedFolder is where the store of each process lies on its disk.
-const simulatedFolder = "/data"
+	simulation        *simulation
+	number            int
+	self              Member
+	node              *Node
+	incarnation       int // rises with each start and end
+	running           bool
+	disk              *simdisk.Disk
+	file              *logfile.File
+	inFlightWrite     *Write
+	persistedPosition uint64                  // position of the newest entry known to be on disk in this run
+	syncTime          time.Duration           // how long a write takes
+	diskHanging       bool                    // writes do not end
+	frozen            bool                    // the process is suspended: it handles nothing
+	lastContact       map[int]time.Time       // by process number
+	reportedDown      bool                    // membership reports it down to all others and vice versa
+	lastRequest       uint64                  // number of the newest request
+	callbacks         map[uint64]func(Answer) // by request number
+	committedRevision uint64                  // highest committed position in this run
+	rewrites          int                     // of the log file, in all runs
+	injectedFaults    injectedFaults
+}
+
+// simulatedDirectory is the directory of the store on each simulated disk.
+const simulatedDirectory = "/data"
 
 const (
-	simulatedTick  = 50 * time.Millisecond
-	simulatedAlive = 100 * time.Millisecond
-	simulatedDeath = 500 * time.Millisecond
-	simulatedSync  = 5 * time.Millisecond
-	simulatedBound = 5 * time.Second
+	tickInterval      = 50 * time.Millisecond
+	livenessInterval  = 100 * time.Millisecond
+	livenessTimeout   = 500 * time.Millisecond
+	normalSyncTime    = 5 * time.Millisecond
+	simulatedAckBound = 5 * time.Second
 )
 
-// newSimulation makes processes in three zones of three regions; the first few are the seeds.
+// newSimulation returns a simulation of processes in three zones, each in a region of its own. The first three are the
+// seeds.
 func newSimulation(t *testing.T, seed int64, count int) *simulation {
 	s := &simulation{
-		t:       t,
-		random:  rand.New(rand.NewSource(seed)),
-		now:     time.Unix(1000, 0),
-		minimum: 2,
-		initial: ledger{},
-		decided: make(map[uint64]time.Time),
-		decode:  decodeLedger,
-		trouble: networkTrouble{minimumDelay: time.Millisecond, spreadDelay: 40 * time.Millisecond, cut: make(map[[2]int]bool)},
+		t:           t,
+		random:      rand.New(rand.NewSource(seed)),
+		now:         time.Unix(1000, 0),
+		chainLength: 2,
+		initial:     ledger{},
+		decidedAt:   make(map[uint64]time.Time),
+		decode:      decodeLedger,
+		network:     networkFaults{minDelay: time.Millisecond, maxJitter: 40 * time.Millisecond, cut: make(map[[2]int]bool)},
 	}
 	for number := range count {
 		p := s.addProcess(number)
@@ -109,11 +110,11 @@
 
 func (s *simulation) addProcess(number int) *process {
 	p := &process{
-		simulation: s,
-		number:     number,
-		syncTime:   simulatedSync,
-		disk:       simdisk.New(),
-		heard:      make(map[int]time.Time),
+		simulation:  s,
+		number:      number,
+		syncTime:    normalSyncTime,
+		disk:        simdisk.New(),
+		lastContact: make(map[int]time.Time),
 		self: Member{
 			Name:    fmt.Sprintf("core-%d", number),
 			Address: fmt.Sprintf("10.0.0.%d:7000", number+1),
@@ -125,53 +126,55 @@
 	return p
 }
 
-func (s *simulation) after(delay time.Duration, run func()) {
+// schedule adds an event after a delay.
+func (s *simulation) schedule(delay time.Duration, run func()) {
 	s.events.At(s.now.Add(delay), run)
 }
 
-// run lets time pass.
+// run executes the events of a duration.
 func (s *simulation) run(duration time.Duration) {
 	end := s.now.Add(duration)
 	for {
-		at, happen, due := s.events.Next(end)
+		at, event, due := s.events.Next(end)
 		if !due {
 			break
 		}
 		s.now = at
-		if s.before != nil {
-			s.before(s.executed)
+		if s.beforeEvent != nil {
+			s.beforeEvent(s.executedEvents)
 		}
-		s.executed++
-		happen()
+		s.executedEvents++
+		event()
 	}
 	s.now = end
 }
 
-// until runs until a condition holds and returns how long that took.
-func (s *simulation) until(limit time.Duration, condition func() bool) time.Duration {
+// runUntil runs until a condition holds and returns how long that took. It fails the test after the timeout.
+func (s *simulation) runUntil(timeout time.Duration, condition func() bool) time.Duration {
 	s.t.Helper()
 	start := s.now
 	for !condition() {
-		if s.now.Sub(start) > limit {
-			s.dump()
-			s.t.Fatalf("not within %v", limit)
+		if s.now.Sub(start) > timeout {
+			s.logState()
+			s.t.Fatalf("condition not met within %v", timeout)
 		}
 		s.run(5 * time.Millisecond)
 	}
 	return s.now.Sub(start)
 }
 
-func (s *simulation) dump() {
+func (s *simulation) logState() {
 	for _, p := range s.processes {
-		if !p.up {
+		if !p.running {
 			s.t.Logf("%s down", p.self.Name)
 			continue
 		}
-		s.t.Logf("%s %+v view %d chain %v attempt %v", p.self.Name, p.node.Status(), p.node.View().Epoch, s.names(p.node.View().Chain), p.node.attempt != nil)
+		s.t.Logf("%s %+v view %d chain %v attempt %v",
+			p.self.Name, p.node.Status(), p.node.View().Epoch, s.chainNames(p.node.View().Chain), p.node.attempt != nil)
 	}
 }
 
-func (s *simulation) names(chain []Identity) []string {
+func (s *simulation) chainNames(chain []Identity) []string {
 	var names []string
 	for _, identity := range chain {
 		name := string(identity[:4])
@@ -188,7 +191,7 @@
 // startAll starts every process for the first time, within 0.3 s.
 func (s *simulation) startAll() {
 	for _, p := range s.processes {
-		s.after(time.Duration(s.random.Int63n(int64(300*time.Millisecond))), func() { p.start(true) })
+		s.schedule(time.Duration(s.random.Int63n(int64(300*time.Millisecond))), func() { p.start(true) })
 	}
 	s.run(300 * time.Millisecond)
 }
@@ -198,132 +201,136 @@
 		Self:         p.self,
 		Bootstrap:    bootstrap,
 		Seeds:        p.simulation.seeds,
-		MinimumChain: p.simulation.minimum,
+		MinimumChain: p.simulation.chainLength,
 		Initial:      p.simulation.initial,
 		Decode:       p.simulation.decode,
-		AckBound:     simulatedBound,
+		AckBound:     simulatedAckBound,
 		Retention:    p.simulation.retention,
 		Random:       rand.New(rand.NewSource(p.simulation.random.Int63())),
 	}
 }
 
 func (p *process) start(bootstrap bool) {
-	p.life++
-	p.up = true
-	p.writing, p.hanging, p.frozen, p.disk.SyncError = nil, false, false, nil
-	p.waiting = make(map[uint64]func(Answer))
-	p.request, p.revision = 0, 0 // numbers begin anew with each life
-	clear(p.heard)
+	p.incarnation++
+	p.running = true
+	p.inFlightWrite, p.diskHanging, p.frozen, p.disk.SyncError = nil, false, false, nil
+	p.callbacks = make(map[uint64]func(Answer))
+	p.lastRequest, p.committedRevision = 0, 0 // request numbers start again with each run
+	clear(p.lastContact)
 	if err := p.open(bootstrap); err != nil {
-		if !p.simulation.soft {
+		if !p.simulation.collectViolations {
 			p.simulation.t.Fatalf("%s: %v", p.self.Name, err)
 		}
-		p.simulation.fail("%s: %v", p.self.Name, err)
-		p.up = false
+		p.simulation.recordViolation("%s: %v", p.self.Name, err)
+		p.running = false
 		return
 	}
-	p.tick(p.life)
-	p.liveness(p.life)
+	p.tick(p.incarnation)
+	p.updateLiveness(p.incarnation)
 }
 
-// open reads the store and makes a node of it.
+// open opens the store and makes a node from its records.
 func (p *process) open(bootstrap bool) error {
-	file, records, _, err := logfile.OpenOn(p.disk, simulatedFolder, logfile.Limits{})
+	file, records, _, err := logfile.OpenOn(p.disk, simulatedDirectory, logfile.Limits{})
 	if err != nil {
 		return err
 	}
 	p.file = file
-	p.persisted = newestEntry(records)
+	p.persistedPosition = newestPosition(records)
 	node, output, err := New(p.options(bootstrap), records, p.simulation.now)
 	if err != nil {
 		return err
 	}
 	p.node = node
-	p.node.mistakes = p.mistakes
-	p.carryOut(output)
+	p.node.injectedFaults = p.injectedFaults
+	p.apply(output)
 	return nil
 }
 
-// mostOperations is how many operations of the disk a write takes, about: a rewrite makes, writes, syncs and renames a file.
-const mostOperations = 8
+// maxWriteOperations is the approximate number of disk operations of a write: a rewrite creates, writes, syncs and
+// renames a file.
+const maxWriteOperations = 8
 
-// kill ends a process. The write that was out got as far as chance has it; with the power goes what was not synced.
-func (p *process) kill(power bool) {
-	if !p.up {
+// kill ends a process. The write in flight stops at a random operation. A power loss also discards what was not synced.
+func (p *process) kill(powerLoss bool) {
+	if !p.running {
 		return
 	}
-	p.up = false
-	p.life++
-	if p.writing != nil {
-		p.disk.StopAfter(p.simulation.random.Intn(mostOperations))
-		p.carryOutWrite(*p.writing) // whatever comes of it: nobody is there to be told
-		p.writing = nil
+	p.running = false
+	p.incarnation++
+	if p.inFlightWrite != nil {
+		p.disk.StopAfter(p.simulation.random.Intn(maxWriteOperations))
+		p.performWrite(*p.inFlightWrite) // the result is ignored, since the node no longer runs
+		p.inFlightWrite = nil
 	}
-	if power {
+	if powerLoss {
 		p.disk.LosePower(p.simulation.random)
 		return
 	}
 	p.disk.Kill()
 }
 
-func (p *process) carryOutWrite(write Write) error {
+func (p *process) performWrite(write Write) error {
 	if write.Rewrite {
 		return p.file.Rewrite(write.Records)
 	}
 	return p.file.Append(write.Records)
 }
 
+// wipe replaces the disk with an empty one.
 func (p *process) wipe() { p.disk = simdisk.New() }
 
-// records are what a start would read.
+// records returns the records that a start would read.
 func (p *process) records() []Record {
-	trouble := p.disk.SyncError
+	syncError := p.disk.SyncError
 	p.disk.SyncError = nil
-	defer func() { p.disk.SyncError = trouble }()
-	_, records, _, err := logfile.OpenOn(p.disk, simulatedFolder, logfile.Limits{})
+	defer func() { p.disk.SyncError = syncError }()
+	_, records, _, err := logfile.OpenOn(p.disk, simulatedDirectory, logfile.Limits{})
 	assert.NilError(p.simulation.t, err)
 	return records
 }
 
-func (p *process) tick(life int) {
-	if p.life != life {
+func (p *process) tick(incarnation int) {
+	if p.incarnation != incarnation {
 		return
 	}
 	if !p.frozen {
-		p.carryOut(p.node.Tick(p.simulation.now))
+		p.apply(p.node.Tick(p.simulation.now))
 	}
-	p.simulation.after(simulatedTick, func() { p.tick(life) })
+	p.simulation.schedule(tickInterval, func() { p.tick(incarnation) })
 }
 
-// liveness stands for membership: whom a process has exchanged messages with lately is alive.
-func (p *process) liveness(life int) {
-	if p.life != life {
+// updateLiveness stands in for membership: a process is alive if messages could be exchanged with it recently.
+func (p *process) updateLiveness(incarnation int) {
+	if p.incarnation != incarnation {
 		return
 	}
 	s := p.simulation
 	if p.frozen {
-		s.after(simulatedAlive, func() { p.liveness(life) })
+		s.schedule(livenessInterval, func() { p.updateLiveness(incarnation) })
 		return
 	}
 	var alive []Member
 	for _, other := range s.processes {
-		if other != p && (p.unseen || other.unseen) {
+		if other != p && (p.reportedDown || other.reportedDown) {
 			continue
 		}
-		if other == p || (other.up && !other.frozen && !s.trouble.cut[[2]int{p.number, other.number}] && !s.trouble.cut[[2]int{other.number, p.number}]) {
-			p.heard[other.number] = s.now
+		if other == p || (other.running && !other.frozen &&
+			!s.network.cut[[2]int{p.number, other.number}] && !s.network.cut[[2]int{other.number, p.number}]) {
+			p.lastContact[other.number] = s.now
 		}
-		if heard, ever := p.heard[other.number]; ever && s.now.Sub(heard) < simulatedDeath && other.node != nil {
+		if lastContact, ever := p.lastContact[other.number]; ever && s.now.Sub(lastContact) < livenessTimeout && other.node != nil {
 			member := other.self
 			member.Identity = other.node.Identity()
 			alive = append(alive, member)
 		}
 	}
-	p.carryOut(p.node.Liveness(s.now, alive))
-	s.after(simulatedAlive, func() { p.liveness(life) })
+	p.apply(p.node.Liveness(s.now, alive))
+	s.schedule(livenessInterval, func() { p.updateLiveness(incarnation) })
 }
 
-func (p *process) carryOut(output Output) {
+// apply executes the output of a node and checks invariants.
+func (p *process) apply(output Output) {
 	s := p.simulation
 	for _, line := range output.Logs {
 		if s.verbose {
@@ -331,31 +338,31 @@
 		}
 	}
 	for _, write := range output.Writes {
-		p.write(write)
+		p.startWrite(write)
 	}
 	for _, send := range output.Sends {
-		s.deliver(p, send)
+		s.transmit(p, send)
 	}
-	if s.watch != nil {
-		s.watch(p)
+	if s.afterCall != nil {
+		s.afterCall(p)
 	}
 	p.checkPersisted()
 	p.checkConfirmed()
-	if _, revision := p.node.Committed(); revision < p.revision {
-		s.fail("%s: committed went from %d back to %d", p.self.Name, p.revision, revision)
+	if _, committedRevision := p.node.Committed(); committedRevision < p.committedRevision {
+		s.recordViolation("%s: the committed position went back from %d to %d", p.self.Name, p.committedRevision, committedRevision)
 	} else {
-		p.revision = revision
+		p.committedRevision = committedRevision
 	}
 	for _, answer := range output.Answers {
-		if done := p.waiting[answer.Request]; done != nil {
-			delete(p.waiting, answer.Request)
+		if done := p.callbacks[answer.Request]; done != nil {
+			delete(p.callbacks, answer.Request)
 			done(answer)
 		}
 	}
 }
 
-// newestEntry is the highest position that records hold.
-func newestEntry(records []Record) uint64 {
+// newestPosition returns the highest log position in the records.
+func newestPosition(records []Record) uint64 {
 	newest := uint64(0)
 	for _, record := range records {
 		var entry chainpb.Entry
@@ -371,146 +378,153 @@
 		case RecordInstalled:
 			_ = proto.Unmarshal(record.Payload, &installed)
 			newest = max(newest, installed.Snapshot.GetPosition())
-			for _, each := range installed.Entries {
-				newest = max(newest, each.Position)
+			for _, stored := range installed.Entries {
+				newest = max(newest, stored.Position)
 			}
 		}
 	}
 	return newest
 }
 
-// checkPersisted holds that a member of the chain has on its disk what it passed on, and the tail what it committed.
+// checkPersisted verifies that a chain member has on its disk everything that it forwarded and, if it is the tail,
+// committed.
 func (p *process) checkPersisted() {
 	n := p.node
-	if !n.serving() || n.durableInstalled != n.view.Epoch {
+	if !n.canServe() || n.durableInstalledEpoch != n.view.Epoch {
 		return
 	}
-	if n.passed > p.persisted || n.isTail() && n.log.committed > p.persisted {
-		p.simulation.fail("%s passed %d and committed %d entries, of which %d are on its disk", p.self.Name, n.passed, n.log.committed, p.persisted)
+	if n.forwardedPosition > p.persistedPosition || n.isTail() && n.log.committed > p.persistedPosition {
+		p.simulation.recordViolation("%s forwarded up to entry %d and committed up to %d, but only entries up to %d are on its disk",
+			p.self.Name, n.forwardedPosition, n.log.committed, p.persistedPosition)
 	}
 }
 
-// checkConfirmed holds that an epoch was in force at the time for which a process takes it for confirmed: the view of the next one had
-// not been decided by then. What a process outside the chain knows of the tail may be older by the time for which a confirmation holds.
+// checkConfirmed verifies that the epoch that a process considers confirmed was in force at that time: the view of the
+// next epoch was not decided yet. Outside the chain the confirmation may be older by confirmationValidity.
 func (p *process) checkConfirmed() {
 	n, s := p.node, p.simulation
-	if _, known := s.decided[n.view.Epoch]; !known {
-		s.decided[n.view.Epoch] = s.now
+	if _, known := s.decidedAt[n.view.Epoch]; !known {
+		s.decidedAt[n.view.Epoch] = s.now
 	}
-	over, decided := s.decided[n.confirmedEpoch+1]
+	epochEnd, decided := s.decidedAt[n.confirmedEpoch+1]
 	if !decided || n.confirmedEpoch != n.view.Epoch {
 		return
 	}
 	if !n.inChain() {
-		over = over.Add(freshFor)
+		epochEnd = epochEnd.Add(confirmationValidity)
 	}
-	if n.confirmedAt.After(over) {
-		s.fail("%s takes epoch %d for confirmed %v after the next one was decided", p.self.Name, n.confirmedEpoch, n.confirmedAt.Sub(over))
+	if n.confirmedAt.After(epochEnd) {
+		s.recordViolation("%s considers epoch %d confirmed %v after the next one was decided",
+			p.self.Name, n.confirmedEpoch, n.confirmedAt.Sub(epochEnd))
 	}
 }
 
-func (p *process) write(write Write) {
-	life := p.life
-	p.writing = &write
+func (p *process) startWrite(write Write) {
+	incarnation := p.incarnation
+	p.inFlightWrite = &write
 	if write.Rewrite {
 		p.rewrites++
 	}
-	p.simulation.after(p.syncTime, func() { p.endWrite(life, write) })
+	p.simulation.schedule(p.syncTime, func() { p.completeWrite(incarnation, write) })
 }
 
-func (p *process) endWrite(life int, write Write) {
-	if p.life != life {
+func (p *process) completeWrite(incarnation int, write Write) {
+	if p.incarnation != incarnation {
 		return
 	}
-	if p.hanging || p.frozen {
-		p.simulation.after(20*time.Millisecond, func() { p.endWrite(life, write) })
+	if p.diskHanging || p.frozen {
+		p.simulation.schedule(20*time.Millisecond, func() { p.completeWrite(incarnation, write) })
 		return
 	}
-	p.writing = nil
-	err := p.carryOutWrite(write)
+	p.inFlightWrite = nil
+	err := p.performWrite(write)
 	if err == nil {
-		p.persisted = max(p.persisted, newestEntry(write.Records))
+		p.persistedPosition = max(p.persistedPosition, newestPosition(write.Records))
 	}
-	p.carryOut(p.node.Written(p.simulation.now, write.Token, err))
+	p.apply(p.node.Written(p.simulation.now, write.Token, err))
 }
 
-func (s *simulation) deliver(from *process, send Send) {
-	if s.sent != nil {
-		s.sent(send)
+// transmit passes a message to the network, which may duplicate it.
+func (s *simulation) transmit(from *process, message Send) {
+	if s.onSend != nil {
+		s.onSend(message)
 	}
-	encoded, err := proto.Marshal(send.Message)
+	encoded, err := proto.Marshal(message.Message)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	for _, to := range s.processes {
-		if to.self.Address != send.To {
+		if to.self.Address != message.To {
 			continue
 		}
 		copies := 1
-		if s.random.Float64() < s.trouble.duplicates {
+		if s.random.Float64() < s.network.duplicates {
 			copies = 2
 		}
 		for range copies {
-			s.deliverOne(from, to, encoded)
+			s.sendCopy(from, to, encoded)
 		}
 	}
 }
 
-func (s *simulation) deliverOne(from, to *process, encoded []byte) {
-	if s.random.Float64() < s.trouble.loss {
+// sendCopy loses a message or delivers it after its delay.
+func (s *simulation) sendCopy(from, to *process, encoded []byte) {
+	if s.random.Float64() < s.network.loss {
 		return
 	}
-	delay := s.trouble.minimumDelay + time.Duration(s.random.Int63n(int64(s.trouble.spreadDelay)))
+	delay := s.network.minDelay + time.Duration(s.random.Int63n(int64(s.network.maxJitter)))
 	if from.self.Region != to.self.Region {
-		delay += s.trouble.oneWay
+		delay += s.network.interRegionDelay
 	}
-	delay += s.trouble.slow[[2]int{from.number, to.number}]
-	if s.trouble.bytesAMs > 0 {
-		delay += time.Duration(len(encoded)/s.trouble.bytesAMs) * time.Millisecond
+	delay += s.network.extraDelay[[2]int{from.number, to.number}]
+	if s.network.bytesPerMillisecond > 0 {
+		delay += time.Duration(len(encoded)/s.network.bytesPerMillisecond) * time.Millisecond
 	}
-	s.after(delay, func() { s.arrive(from, to, encoded) })
+	s.schedule(delay, func() { s.receive(from, to, encoded) })
 }
 
-// arrive gives a message to a process, once it is not frozen.
-func (s *simulation) arrive(from, to *process, encoded []byte) {
+// receive delivers a message to a process, as soon as that is not frozen.
+func (s *simulation) receive(from, to *process, encoded []byte) {
 	switch {
-	case !to.up || s.trouble.cut[[2]int{from.number, to.number}]:
+	case !to.running || s.network.cut[[2]int{from.number, to.number}]:
 	case to.frozen:
-		s.after(20*time.Millisecond, func() { s.arrive(from, to, encoded) })
+		s.schedule(20*time.Millisecond, func() { s.receive(from, to, encoded) })
 	default:
 		message := new(chainpb.Message)
 		if err := proto.Unmarshal(encoded, message); err != nil {
 			s.t.Fatal(err)
 		}
-		to.carryOut(to.node.Receive(s.now, from.self.Address, message))
+		to.apply(to.node.Receive(s.now, from.self.Address, message))
 	}
 }
 
-func (s *simulation) fail(format string, values ...any) {
-	s.broken = append(s.broken, fmt.Sprintf(format, values...))
+// recordViolation records a violated invariant.
+func (s *simulation) recordViolation(format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// submit hands in a command and calls done with the answer, or with none when the process dies.
+// submit submits a command. It calls done with the answer, but not if the process ends first.
 func (p *process) submit(command string, done func(Answer)) {
-	p.request++
-	p.waiting[p.request] = done
-	p.carryOut(p.node.Submit(p.simulation.now, p.request, []byte(command)))
+	p.lastRequest++
+	p.callbacks[p.lastRequest] = done
+	p.apply(p.node.Submit(p.simulation.now, p.lastRequest, []byte(command)))
 }
 
 func (p *process) read(done func(Answer)) {
-	p.request++
-	p.waiting[p.request] = done
-	p.carryOut(p.node.Read(p.simulation.now, p.request))
+	p.lastRequest++
+	p.callbacks[p.lastRequest] = done
+	p.apply(p.node.Read(p.simulation.now, p.lastRequest))
 }
 
-// write has a command taken by whichever process takes it, as an operator would.
-func (s *simulation) write(command string) (Reply, time.Duration) {
+// submitAndWait submits a command to random processes until the outcome is known, as an operator would. It returns the
+// reply and the time that it took.
+func (s *simulation) submitAndWait(command string) (Reply, time.Duration) {
 	s.t.Helper()
 	start := s.now
 	var last Answer
 	for attempt := range 100 {
 		p := s.processes[(attempt+s.random.Intn(len(s.processes)))%len(s.processes)]
-		if !p.up {
+		if !p.running {
 			s.run(10 * time.Millisecond)
 			continue
 		}
@@ -524,16 +538,16 @@
 			return last.Reply, s.now.Sub(start)
 		}
 	}
-	s.dump()
-	s.t.Fatalf("%q was not taken", command)
+	s.logState()
+	s.t.Fatalf("%q was not answered", command)
 	return Reply{}, 0
 }
 
-// committedEverywhere tells whether all processes that are up hold the same.
+// committedEverywhere reports whether all running processes have the same committed state.
 func (s *simulation) committedEverywhere() bool {
 	first := ""
 	for _, p := range s.processes {
-		if !p.up {
+		if !p.running {
 			continue
 		}
 		state, _ := p.node.Committed()
@@ -546,8 +560,8 @@
 	return true
 }
 
-// countBroken notes the invariants that nodes counted as broken.
-func (s *simulation) countBroken() {
+// checkCounters records the invariants that nodes counted as broken.
+func (s *simulation) checkCounters() {
 	for _, p := range s.processes {
 		if p.node == nil {
 			continue
@@ -555,16 +569,16 @@
 		counters := p.node.Status().Counters
 		broken := counters.BrokenCommitOrder + counters.BrokenCommitLog + counters.BrokenViewValue + counters.BrokenChainMinimum
 		if broken > 0 {
-			s.fail("%s counted broken invariants: %+v", p.self.Name, counters)
+			s.recordViolation("%s counted broken invariants: %+v", p.self.Name, counters)
 		}
 	}
 }
 
-// check looks at the invariants.
-func (s *simulation) check() {
+// checkInvariants fails the test if a violation was recorded.
+func (s *simulation) checkInvariants() {
 	s.t.Helper()
-	s.countBroken()
-	assert.Equal(s.t, len(s.broken), 0, "%v", s.broken)
+	s.checkCounters()
+	assert.Equal(s.t, len(s.violations), 0, "%v", s.violations)
 }
 
-var errDisk = errors.New("disk trouble")
+var errDisk = errors.New("injected disk error")
