--- a/internal/chain/types.go
+++ b/internal/chain/types.go
@@ -8,10 +8,11 @@
 	"wallflow/internal/logfile"
 )
 
-// Identity names a store. It is random and written with the store's first sync, so a wiped disk is another identity.
+// Identity identifies a store. It is random and is written with the first sync of the store, so a wiped disk gets a new
+// identity.
 type Identity string
 
-// Member is a process that keeps the replicated state. Address is its internal "ip:port".
+// Member is a process that stores the replicated state or may come to do so. Address is its internal "ip:port".
 type Member struct {
 	Identity Identity
 	Name     string
@@ -20,71 +21,73 @@
 	Region   string
 }
 
-// View says who votes on the next view and which voters form the chain: Chain[0] is the head, the last one the tail.
+// View lists the voters that decide the next view, and the voters that form the chain. Chain[0] is the head and the
+// last element is the tail.
 type View struct {
 	Epoch  uint64
 	Voters []Member
 	Chain  []Identity
 }
 
-// State is an immutable value. Apply of a rejected command returns the same state, and must depend on nothing but the state
-// and the command.
+// State is an immutable value of the replicated state machine. Apply depends on nothing but the state and the command,
+// and returns the unchanged state if it rejects the command.
 type State interface {
 	Apply(command []byte) (State, Reply)
 	Encode() []byte
 }
 
-// Reply is what a state answers to a command.
+// Reply is the result of applying a command.
 type Reply struct {
 	Accepted bool
 	Status   int
 	Body     []byte
 }
 
-// Decoder is the inverse of State.Encode.
+// Decoder decodes the result of State.Encode.
 type Decoder func([]byte) (State, error)
 
-// Record is one stored item.
+// Record is one record of the log file.
 type Record = logfile.Record
 
-// Options are what a node is told at its start.
+// Options configure a node.
 type Options struct {
-	Self         Member        // Identity is ignored: it comes from the store
-	Bootstrap    bool          // true at the first start of the whole system alone
-	Seeds        []string      // internal addresses of the processes that found the system
-	MinimumChain int           // machines that may be lost at once, and one
-	Initial      State         // the state before the first command
-	Decode       Decoder       // reads what Encode wrote
-	AckBound     time.Duration // within which a submitted command has to be answered
-	Random       *rand.Rand    // for identities, ballots and back-off
-	Retention    Retention     // of old entries
+	Self         Member        // Identity is ignored, since it comes from the store
+	Bootstrap    bool          // true only at the first start of the whole system
+	Seeds        []string      // internal addresses of the processes that decide the first view
+	MinimumChain int           // desired chain length: the number of simultaneous losses to tolerate, plus one
+	Initial      State         // state before the first command
+	Decode       Decoder       // decodes an encoded state
+	AckBound     time.Duration // limit for answering a submitted command; disk and chain timeouts derive from it
+	Random       *rand.Rand    // source of identities, ballot nonces and backoff
+	Retention    Retention     // how much history is kept beside the state
 }
 
-// Output is what the owner of a node has to do after a call. Sends may be lost. Writes are carried out in order, and each is
-// reported by Written.
+// Output lists what the owner of a node has to do after a call. Sends may be lost. Writes have to be executed in order,
+// and the end of each is reported by Node.Written.
 type Output struct {
 	Sends     []Send
 	Writes    []Write
 	Answers   []Answer
-	Committed bool // the committed state changed
-	Logs      []string
+	Committed bool     // the committed state changed
+	Logs      []string // log lines
 }
 
-// Send is a message for the process at an internal address.
+// Send is a message to the process at an internal address.
 type Send struct {
 	To      string
 	Message *chainpb.Message
 }
 
-// Write asks to write and sync records: behind what is there, or, with Rewrite, in a new file in place of the old one.
+// Write requests that records be written and synced. They are appended to the log file or, if Rewrite is set, replace
+// it.
 type Write struct {
-	Token   uint64
+	Token   uint64 // to be passed to Node.Written
 	Records []Record
 	Rewrite bool
 }
 
-// Answer ends a request of Submit or Read. Known is false where the outcome is not known: the command may have been, or may yet
-// be, applied. State is the state that a Read has read.
+// Answer is the result of a request made by Node.Submit or Node.Read. If the outcome is not known, the command may have
+// been applied or may still be. State is the result of a read.
 type Answer struct {
 	Request uint64
 	Known   bool
@@ -92,81 +95,81 @@
 	State   State
 }
 
-// Role is the part that a node has in its view.
+// Role is the position of a node in its view.
 type Role string
 
-// The roles.
+// Roles of a node.
 const (
-	RoleLearner Role = "learner"
-	RoleVoter   Role = "voter"
-	RoleMember  Role = "member" // of the chain
+	RoleLearner Role = "learner" // not a voter
+	RoleVoter   Role = "voter"   // outside the chain
+	RoleMember  Role = "member"  // of the chain, neither head nor tail
 	RoleHead    Role = "head"
 	RoleTail    Role = "tail"
-	RoleSingle  Role = "single" // head and tail
+	RoleSingle  Role = "single" // head and tail of a chain of one
 )
 
-// Status describes a node for logs and metrics.
+// Status reports the condition of a node for logs and metrics.
 type Status struct {
 	Identity  Identity
 	Role      Role
 	Epoch     uint64
-	Installed uint64 // epoch in which the log was last taken from the predecessor in the chain
-	Position  uint64
-	Committed uint64
-	Promised  bool // promised in the instance of the next epoch
-	Impaired  bool // the own disk does not keep up, or failed
-	Failed    bool // the last write failed
+	Installed uint64 // epoch for which the log was last synchronized with the predecessor
+	Position  uint64 // of the last log entry
+	Committed uint64 // position of the last entry known to be committed
+	Promised  bool   // whether the node promised in the instance that decides the next epoch
+	Impaired  bool   // whether the disk is too slow or failed, or the node is leaving
+	Failed    bool   // whether the last write failed
 	Counters  Counters
 }
 
-// Counters count events since the start. The broken ones are invariants that were found broken, and stay 0.
+// Counters count events since the start of the node. Those named Broken count violated invariants and should stay 0.
 type Counters struct {
-	Proposals          uint64
+	Proposals          uint64 // attempts to have a view decided
 	ViewsDecided       uint64
-	Snapshots          uint64 // sent
-	Rewrites           uint64
+	Snapshots          uint64 // snapshots sent
+	Rewrites           uint64 // rewrites of the log file
 	FailedWrites       uint64
-	UnknownOutcomes    uint64
-	BrokenCommitOrder  uint64 // a snapshot would have taken committed back
-	BrokenViewValue    uint64 // two views for one epoch
+	UnknownOutcomes    uint64 // local requests that timed out
+	BrokenCommitOrder  uint64 // a snapshot would have moved the committed position back
+	BrokenViewValue    uint64 // two different views were decided for one epoch
 	BrokenCommitLog    uint64 // a committed entry would have been replaced
-	BrokenChainMinimum uint64 // a view with too short a chain was told
+	BrokenChainMinimum uint64 // a decided view has a chain shorter than a majority of its voters
 }
 
-// The times and bounds of a node. Times are kept to within the interval between calls of Tick.
+// Timeouts, intervals and limits of a node. The precision of the times is the interval between calls of Node.Tick.
 const (
-	requestTimeout      = 700 * time.Millisecond  // then the outcome counts as unknown
-	longestTimeout      = 2300 * time.Millisecond // the same for a long command
-	slowLink            = 128                     // bytes a millisecond, at which a long command passes from end to end at least
-	readRetry           = 250 * time.Millisecond  // a read without answer is sent again
-	heartbeatInterval   = 300 * time.Millisecond  // from head to tail, and digests to learners
-	freshFor            = time.Second             // how long a confirmation of the epoch holds, from when it was asked for
-	quietBeforeVote     = 600 * time.Millisecond  // a voter that heard no confirmation for so long supports a new view
-	quietBeforeGone     = 2 * time.Second         // the same where membership holds the proposer for gone
-	syncRetry           = 200 * time.Millisecond  // a member asks its predecessor again
-	startGrace          = 700 * time.Millisecond  // after a start, nobody is held dead yet
-	foundingWait        = 1500 * time.Millisecond // for the last of the seeds, when a majority is there
-	attemptTimeout      = 900 * time.Millisecond  // of a proposal
-	attemptResend       = 250 * time.Millisecond  // of its messages
-	promiseWait         = 120 * time.Millisecond  // for more promises than a majority
-	placeBackoff        = 150 * time.Millisecond  // between proposers, by place
-	randomBackoff       = 100 * time.Millisecond  // and by chance
-	supportPause        = 500 * time.Millisecond  // of the own proposal, when another's is supported
-	undecidedTimeout    = 500 * time.Millisecond  // after which a promiser proposes by itself
-	joinRequestInterval = 500 * time.Millisecond  // of a process that is not a voter
-	noticeInterval      = 100 * time.Millisecond  // between view notices to one process
-	candidateSteady     = time.Second             // before a learner becomes a voter
-	candidateReturned   = 300 * time.Millisecond  // the same for one at the address of a dead voter
-	candidateForget     = 2 * time.Second         // a learner that is silent for so long is none
-	voterDead           = 2 * time.Second         // before another takes the place of a voter
-	activeSteady        = 400 * time.Millisecond  // of an epoch, before its head changes the voters
-	troubleResend       = 500 * time.Millisecond  // of a member whose disk is in trouble
-	troubleForget       = 2 * time.Second         // such news are believed for
-	fitAfter            = time.Second             // a disk works this long before it counts as well
-	rewriteRetry        = time.Second             // after a failed write
-	followerForget      = 3 * time.Second         // learner feed to one that said nothing
-	impairedShare       = 8                       // of AckBound: a write out for longer is trouble
-	stuckShare          = 4                       // of AckBound: an entry or heartbeat not through for longer is trouble
-	rewriteBytes        = 8 << 20                 // a log longer than this is rewritten
-	rewriteFactor       = 4                       // or one longer than this times the snapshot, see Retention
+	requestTimeout               = 700 * time.Millisecond  // after which the outcome of a short command is unknown
+	maxRequestTimeout            = 2300 * time.Millisecond // upper limit of the timeout of a long command
+	minLinkRate                  = 128                     // bytes per millisecond assumed for transfers from end to end
+	readRetryInterval            = 250 * time.Millisecond  // after which an unanswered read is sent again
+	heartbeatInterval            = 300 * time.Millisecond  // between heartbeats, and between fetches of a process outside the chain
+	confirmationValidity         = time.Second             // how long a confirmation of the epoch is valid, counted from its probe
+	unconfirmedBeforeSupport     = 600 * time.Millisecond  // time without confirmation after which a voter supports a new view
+	unconfirmedBeforeDownSupport = 2 * time.Second         // the same if membership reports the proposer as down
+	syncRetryInterval            = 200 * time.Millisecond  // between requests for missing entries to the predecessor
+	startupGracePeriod           = 700 * time.Millisecond  // after a start, during which no process counts as down
+	bootstrapPromiseWait         = 1500 * time.Millisecond // from the start, for the remaining seeds to promise the first view
+	attemptTimeout               = 900 * time.Millisecond  // of an attempt to have a view decided
+	attemptResendInterval        = 250 * time.Millisecond  // between repetitions of the messages of an attempt
+	promiseWait                  = 120 * time.Millisecond  // for further promises once a majority has promised
+	rankBackoff                  = 150 * time.Millisecond  // delay per rank of a proposer
+	maxRandomBackoff             = 100 * time.Millisecond  // upper limit of the random delay of a proposer
+	supportBackoff               = 500 * time.Millisecond  // delay of the own proposal after supporting another one
+	undecidedTimeout             = 500 * time.Millisecond  // after which a voter that promised proposes by itself
+	joinRequestInterval          = 500 * time.Millisecond  // between join requests of a process that is not a voter
+	noticeInterval               = 100 * time.Millisecond  // minimum between view notices to one process, and between fetches
+	candidateProbation           = time.Second             // before a learner becomes a voter, and after a failed change of voters
+	shortCandidateProbation      = 300 * time.Millisecond  // the same for a former voter, or at the address of a voter that is down
+	candidateTimeout             = 2 * time.Second         // after which a silent learner is no longer a candidate
+	voterDownTimeout             = 2 * time.Second         // before a voter that is down is replaced or removed
+	epochSettleTime              = 400 * time.Millisecond  // of an epoch, before its head changes the voters
+	troubleResendInterval        = 500 * time.Millisecond  // between trouble messages of an impaired node
+	troubleTimeout               = 2 * time.Second         // after which a trouble message expires
+	diskRecoveryTime             = time.Second             // a disk has to work for this long to count as healthy again
+	rewriteRetryDelay            = time.Second             // after a failed write
+	followerTimeout              = 3 * time.Second         // after which a silent follower is no longer fed
+	lateWriteDivisor             = 8                       // a write in flight for longer than AckBound divided by this is late
+	stuckDivisor                 = 4                       // the chain is stuck after AckBound divided by this without progress
+	maxLogFileBytes              = 8 << 20                 // a longer log file is rewritten
+	maxLogFileFactor             = 4                       // as is one longer than this times the encoded state, see Retention.RewriteFrom
 )
--- a/internal/chain/view.go
+++ b/internal/chain/view.go
@@ -6,10 +6,10 @@
 	"wallflow/internal/chain/chainpb"
 )
 
-// Majority is the number of voters that decides.
+// Majority returns the number of voters that form a majority.
 func (v View) Majority() int { return len(v.Voters)/2 + 1 }
 
-// Voter finds a voter by its identity.
+// Voter returns the voter with an identity, if there is one.
 func (v View) Voter(identity Identity) (Member, bool) {
 	for _, member := range v.Voters {
 		if member.Identity == identity {
@@ -19,10 +19,10 @@
 	return Member{}, false
 }
 
-// Place is the place of an identity in the chain, or -1.
+// Place returns the index of an identity in the chain, or -1.
 func (v View) Place(identity Identity) int { return slices.Index(v.Chain, identity) }
 
-// Head is the first identity of the chain, or empty.
+// Head returns the first identity of the chain, or an empty one.
 func (v View) Head() Identity {
 	if len(v.Chain) == 0 {
 		return ""
@@ -30,7 +30,7 @@
 	return v.Chain[0]
 }
 
-// Tail is the last identity of the chain, or empty.
+// Tail returns the last identity of the chain, or an empty one.
 func (v View) Tail() Identity {
 	if len(v.Chain) == 0 {
 		return ""
@@ -38,16 +38,17 @@
 	return v.Chain[len(v.Chain)-1]
 }
 
-// neighbour returns the member of the chain that is step places behind identity, or empty.
-func (v View) neighbour(identity Identity, step int) Identity {
-	place := v.Place(identity)
-	if place < 0 || place+step < 0 || place+step >= len(v.Chain) {
+// neighbour returns the chain member at an offset from identity, or an empty identity. A positive offset is towards the
+// tail.
+func (v View) neighbour(identity Identity, offset int) Identity {
+	index := v.Place(identity)
+	if index < 0 || index+offset < 0 || index+offset >= len(v.Chain) {
 		return ""
 	}
-	return v.Chain[place+step]
+	return v.Chain[index+offset]
 }
 
-// equal tells whether two views say the same.
+// equal reports whether two views have the same epoch, voters and chain.
 func (v View) equal(other View) bool {
 	return v.Epoch == other.Epoch && slices.Equal(v.Voters, other.Voters) && slices.Equal(v.Chain, other.Chain)
 }
@@ -94,7 +95,8 @@
 	return view
 }
 
-// ballot orders attempts to decide one view.
+// ballot identifies and orders the attempts to decide one view. The random nonce distinguishes attempts of the same
+// round.
 type ballot struct{ round, nonce uint64 }
 
 func (b ballot) less(other ballot) bool {
@@ -104,7 +106,7 @@
 	return b.nonce < other.nonce
 }
 
-func (b ballot) zero() bool { return b == ballot{} }
+func (b ballot) isZero() bool { return b == ballot{} }
 
 func ballotToWire(b ballot) *chainpb.Ballot {
 	return &chainpb.Ballot{Round: b.round, Nonce: b.nonce}
--- a/internal/chain/voters.go
+++ b/internal/chain/voters.go
@@ -8,55 +8,57 @@
 	"wallflow/internal/chain/chainpb"
 )
 
-// candidate is a process that asks to become a voter.
+// candidate is a learner that asks to become a voter.
 type candidate struct {
-	member   Member
-	caughtUp bool // as of its newest join request
-	since    time.Time
-	heardAt  time.Time
+	member       Member
+	caughtUp     bool // by its newest join request
+	firstContact time.Time
+	lastContact  time.Time
 }
 
-// A learner may be taken as a voter if it lacks few entries, or holds what was committed a while ago: where many changes go through, it
-// always lacks those of the time in which its word comes here.
+// A learner may become a voter if it lacks at most maxLearnerLag entries, or if it has every entry that was committed
+// maxLearnerDelay ago. Under continuous changes it always lacks the entries committed while its join request is on the
+// way.
 const (
-	caughtUpEntries = 16
-	caughtUpWithin  = 600 * time.Millisecond
-	checkpointsHeld = 4
-	// formerVotersMost is how many voters that were dropped or replaced are remembered; then all are forgotten.
-	formerVotersMost = 64
+	maxLearnerLag   = 16 // entries
+	maxLearnerDelay = 600 * time.Millisecond
+	maxCheckpoints  = 4 // one per heartbeat
+	// maxFormerVoters is the number of removed or replaced voters at which all of them are forgotten.
+	maxFormerVoters = 64
 )
 
-// checkpoint remembers what was committed at a time.
+// checkpoint records the committed position at a time.
 type checkpoint struct {
 	at       time.Time
 	position uint64
 }
 
-// takeCheckpoint keeps what is committed now for comparisons with learners.
-func (n *Node) takeCheckpoint() {
-	copy(n.checkpoints[1:], n.checkpoints[:checkpointsHeld-1])
+// recordCheckpoint records the committed position for comparisons with learners.
+func (n *Node) recordCheckpoint() {
+	copy(n.checkpoints[1:], n.checkpoints[:maxCheckpoints-1])
 	n.checkpoints[0] = checkpoint{at: n.now, position: n.log.committed}
 }
 
-// isCaughtUp tells whether a learner at a position may become a voter.
+// isCaughtUp reports whether a learner at a position may become a voter.
 func (n *Node) isCaughtUp(position uint64) bool {
-	if position+caughtUpEntries >= n.log.committed {
+	if position+maxLearnerLag >= n.log.committed {
 		return true
 	}
 	for _, checkpoint := range n.checkpoints {
-		if !checkpoint.at.IsZero() && n.now.Sub(checkpoint.at) >= caughtUpWithin {
+		if !checkpoint.at.IsZero() && n.now.Sub(checkpoint.at) >= maxLearnerDelay {
 			return position >= checkpoint.position
 		}
 	}
 	return false
 }
 
-// tickLearner makes a process that has no vote known: to the seeds while it knows no view, then to the head.
+// tickLearner sends join requests of a process that is not a voter: to the seeds while it knows no view, and to the
+// head afterwards.
 func (n *Node) tickLearner() {
-	if n.isVoter() || n.impaired() || n.now.Sub(n.feed.joinRequestedAt) < joinRequestInterval {
+	if n.isVoter() || n.impaired() || n.now.Sub(n.feed.lastJoinRequestAt) < joinRequestInterval {
 		return
 	}
-	n.feed.joinRequestedAt = n.now
+	n.feed.lastJoinRequestAt = n.now
 	if n.view.Epoch > 0 {
 		n.send(n.view.Head(), n.joinRequest())
 		return
@@ -68,8 +70,8 @@
 	}
 }
 
-// receiveJoinRequest notes a process that may become a voter. That its epoch is older, or newer, was dealt with before.
-func (n *Node) receiveJoinRequest(sender Identity, from string, joinRequest *chainpb.JoinRequest) {
+// receiveJoinRequest records a process that may become a voter. Differing epochs are handled by reconcileEpochs.
+func (n *Node) receiveJoinRequest(sender Identity, fromAddress string, joinRequest *chainpb.JoinRequest) {
 	member := memberFromWire(joinRequest.Member)
 	if member.Identity != sender || !n.isHead() {
 		return
@@ -77,75 +79,78 @@
 	if _, voter := n.view.Voter(sender); voter {
 		return
 	}
-	member.Address = from
-	each, known := n.candidates[sender]
+	member.Address = fromAddress
+	learner, known := n.candidates[sender]
 	if !known {
-		each = &candidate{since: n.now}
+		learner = &candidate{firstContact: n.now}
 		if n.candidates == nil {
 			n.candidates = make(map[Identity]*candidate)
 		}
-		n.candidates[sender] = each
+		n.candidates[sender] = learner
 	}
-	each.member, each.caughtUp, each.heardAt = member, n.isCaughtUp(joinRequest.Position), n.now
+	learner.member, learner.caughtUp, learner.lastContact = member, n.isCaughtUp(joinRequest.Position), n.now
 }
 
-// tickVoters lets the head of an active epoch change the voters, by one at a time.
+// tickVoters lets the head of an active epoch change the voters, one change at a time.
 func (n *Node) tickVoters() {
-	for identity, each := range n.candidates {
-		if n.now.Sub(each.heardAt) > candidateForget {
+	for identity, learner := range n.candidates {
+		if n.now.Sub(learner.lastContact) > candidateTimeout {
 			delete(n.candidates, identity)
 		}
 	}
-	if !n.mayChangeVoters() {
+	if !n.canChangeVoters() {
 		return
 	}
-	if change := n.nextChange(); !change.none() {
+	if change := n.nextChange(); !change.isEmpty() {
 		n.startAttempt(chainpb.Reason_REASON_VOTERS, change)
 	}
 }
 
-func (n *Node) mayChangeVoters() bool {
-	if !n.isHead() || !n.serving() || n.impaired() || n.attempt != nil {
+// canChangeVoters reports whether this node is the head of a working chain and no change is under way or has just
+// failed.
+func (n *Node) canChangeVoters() bool {
+	if !n.isHead() || !n.canServe() || n.impaired() || n.attempt != nil {
 		return false
 	}
-	if n.activeSince.IsZero() || n.now.Sub(n.activeSince) < activeSteady || !n.Fresh(n.now) {
+	if n.activeSince.IsZero() || n.now.Sub(n.activeSince) < epochSettleTime || !n.Fresh(n.now) {
 		return false
 	}
-	return n.now.After(n.votersAfter) && n.suspicion() == chainpb.Reason_REASON_UNSPECIFIED
+	return n.now.After(n.voterChangeNotBefore) && n.proposalReason() == chainpb.Reason_REASON_UNSPECIFIED
 }
 
-// nextChange takes the candidate that replaces a dead voter, or else one more voter if all are alive, or else drops a dead voter
-// that is not needed.
+// nextChange returns the next change of the voters. In order of preference, a candidate replaces a voter that is down,
+// a candidate is added if all voters are available, a voter that is down and not needed is removed, or the chain is
+// extended.
 func (n *Node) nextChange() voterChange {
-	for _, each := range n.readyCandidates() {
-		if dead, found := n.replaceable(each.member); found {
-			if n.now.Sub(each.since) >= n.steadiness(dead, each.member) {
-				return voterChange{add: each.member, remove: dead.Identity}
+	for _, learner := range n.readyCandidates() {
+		if voter, found := n.voterToReplace(learner.member); found {
+			if n.now.Sub(learner.firstContact) >= n.replacementProbation(voter, learner.member) {
+				return voterChange{add: learner.member, remove: voter.Identity}
 			}
 			continue
 		}
-		if n.now.Sub(each.since) >= n.patienceWith(each.member.Identity) && !n.anyVoterDead() {
-			return voterChange{add: each.member}
+		if n.now.Sub(learner.firstContact) >= n.additionProbation(learner.member.Identity) && !n.anyVoterUnavailable() {
+			return voterChange{add: learner.member}
 		}
 	}
-	if dead, found := n.superfluous(); found {
-		return voterChange{remove: dead.Identity}
+	if voter, found := n.removableVoter(); found {
+		return voterChange{remove: voter.Identity}
 	}
-	return voterChange{lengthen: n.mayLengthen()}
+	return voterChange{extendChain: n.canExtendChain()}
 }
 
-// patienceWith is how long a learner is watched before it becomes one more voter. One that voted before was dropped while it was lost: the
-// sooner it votes again, the sooner the next loss can be borne.
-func (n *Node) patienceWith(learner Identity) time.Duration {
+// additionProbation returns how long a learner is observed before it is added as a voter. A former voter was removed
+// while it was down: the sooner it votes again, the sooner the next loss can be tolerated.
+func (n *Node) additionProbation(learner Identity) time.Duration {
 	if _, former := n.formerVoters[learner]; former {
-		return candidateReturned
+		return shortCandidateProbation
 	}
-	return candidateSteady
+	return candidateProbation
 }
 
-// noteFormerVoters remembers who votes no more with a newer view.
-func (n *Node) noteFormerVoters(view View) {
-	if n.formerVoters == nil || len(n.formerVoters) >= formerVotersMost {
+// recordFormerVoters records the voters that a newer view no longer includes.
+func (n *Node) recordFormerVoters(view View) {
+	if n.formerVoters == nil || len(n.formerVoters) >= maxFormerVoters {
 		n.formerVoters = make(map[Identity]struct{})
 	}
 	for _, voter := range n.view.Voters {
@@ -155,28 +160,29 @@
 	}
 }
 
-// mayLengthen tells whether the chain is shorter than wanted, and a voter outside of it can be counted on.
-func (n *Node) mayLengthen() bool {
-	if len(n.view.Chain) >= n.desiredChainLength(n.view) || n.now.Sub(n.activeSince) < candidateSteady {
+// canExtendChain reports whether the chain is shorter than its target length and an available voter is outside of it.
+func (n *Node) canExtendChain() bool {
+	if len(n.view.Chain) >= n.targetChainLength(n.view) || n.now.Sub(n.activeSince) < candidateProbation {
 		return false
 	}
 	return slices.ContainsFunc(n.view.Voters, func(voter Member) bool {
-		return n.view.Place(voter.Identity) < 0 && !n.isDead(voter.Identity)
+		return n.view.Place(voter.Identity) < 0 && !n.isUnavailable(voter.Identity)
 	})
 }
 
-// superfluous finds a voter that is dead for long and outside the chain, where enough stay without it and its removal brings the
-// living nearer to bearing the next loss: with an even number of voters the majority shrinks by one, with an odd one it does once
-// another dead voter is removed after it. The only dead one of an odd number stays a voter until it is replaced: without it the
-// majority would be as large, and it could not help to make it up when it returns.
-func (n *Node) superfluous() (Member, bool) {
-	if len(n.view.Voters) <= n.leastVoters() {
+// removableVoter returns a voter outside the chain that has been down for voterDownTimeout, if enough voters remain
+// without it and its removal helps to tolerate the next loss. With an even number of voters the removal reduces the
+// majority by one. With an odd number it does so only together with the removal of another voter that is down. The only
+// voter that is down among an odd number therefore stays until it is replaced: without it the majority would be as
+// large, and it could not contribute to the majority when it returns.
+func (n *Node) removableVoter() (Member, bool) {
+	if len(n.view.Voters) <= n.minVoters() {
 		return Member{}, false
 	}
 	var removable []Member
 	for _, voter := range n.view.Voters {
-		since, dead := n.membership.deadSince[voter.Identity]
-		if dead && n.now.Sub(since) >= voterDead && n.view.Place(voter.Identity) < 0 {
+		since, down := n.membership.downSince[voter.Identity]
+		if down && n.now.Sub(since) >= voterDownTimeout && n.view.Place(voter.Identity) < 0 {
 			removable = append(removable, voter)
 		}
 	}
@@ -187,52 +193,55 @@
 	return removable[0], true
 }
 
-// leastVoters is the number of voters of which as many as may be lost at once leave a majority.
-func (n *Node) leastVoters() int { return 2*n.options.MinimumChain - 1 }
+// minVoters returns the number of voters that still have a majority after the losses to tolerate.
+func (n *Node) minVoters() int { return 2*n.options.MinimumChain - 1 }
 
-// readyCandidates are those that have caught up, in a fixed order.
+// readyCandidates returns the candidates that are caught up and available, in a deterministic order.
 func (n *Node) readyCandidates() []*candidate {
 	var ready []*candidate
-	for _, each := range n.candidates {
-		if each.caughtUp && !n.isDead(each.member.Identity) {
-			ready = append(ready, each)
+	for _, learner := range n.candidates {
+		if learner.caughtUp && !n.isUnavailable(learner.member.Identity) {
+			ready = append(ready, learner)
 		}
 	}
 	slices.SortFunc(ready, func(a, b *candidate) int { return cmp.Compare(a.member.Identity, b.member.Identity) })
 	return ready
 }
 
-func (n *Node) steadiness(dead, learner Member) time.Duration {
-	if dead.Address == learner.Address {
-		return candidateReturned
+// replacementProbation returns how long a learner is observed before it replaces a voter.
+func (n *Node) replacementProbation(voter, learner Member) time.Duration {
+	if voter.Address == learner.Address {
+		return shortCandidateProbation
 	}
-	return candidateSteady
+	return candidateProbation
 }
 
-// replaceable finds the dead voter whose place a learner takes: the one at its address, or one that is dead for long, of its own
-// zone if there is one. Members of the chain have to leave that first.
-func (n *Node) replaceable(learner Member) (Member, bool) {
+// voterToReplace returns the voter that a learner replaces: preferably the one that was at its address, otherwise one
+// that has been down for voterDownTimeout, preferably of the zone of the learner. A member of the chain has to leave
+// the chain first.
+func (n *Node) voterToReplace(learner Member) (Member, bool) {
 	var best Member
 	bestRank := 0
 	for _, voter := range n.view.Voters {
 		if n.view.Place(voter.Identity) >= 0 {
 			continue
 		}
-		if rank := n.replaceRank(voter, learner); rank > bestRank {
+		if rank := n.replacementRank(voter, learner); rank > bestRank {
 			best, bestRank = voter, rank
 		}
 	}
 	return best, bestRank > 0
 }
 
-func (n *Node) replaceRank(voter, learner Member) int {
+// replacementRank returns how well a learner suits as the replacement of a voter, 0 if it may not replace it.
+func (n *Node) replacementRank(voter, learner Member) int {
 	const sameAddress, sameZone, elsewhere = 3, 2, 1
-	since, dead := n.membership.deadSince[voter.Identity]
+	since, down := n.membership.downSince[voter.Identity]
 	_, alive := n.membership.alive[voter.Identity]
 	switch {
 	case voter.Address == learner.Address && !alive:
 		return sameAddress
-	case !dead || n.now.Sub(since) < voterDead:
+	case !down || n.now.Sub(since) < voterDownTimeout:
 		return 0
 	case voter.Zone == learner.Zone:
 		return sameZone
@@ -240,6 +249,6 @@
 	return elsewhere
 }
 
-func (n *Node) anyVoterDead() bool {
-	return slices.ContainsFunc(n.view.Voters, func(voter Member) bool { return n.isDead(voter.Identity) })
+func (n *Node) anyVoterUnavailable() bool {
+	return slices.ContainsFunc(n.view.Voters, func(voter Member) bool { return n.isUnavailable(voter.Identity) })
 }
--- a/internal/chain/walk_test.go
+++ b/internal/chain/walk_test.go
@@ -15,7 +15,7 @@
 	"wallflow/internal/logfile"
 )
 
-// chooser draws the steps of a walk.
+// chooser selects the steps of a random walk.
 type chooser interface {
 	choose(label string, count int) int
 }
@@ -32,58 +32,59 @@
 	return rapid.IntRange(0, count-1).Draw(c.t, label)
 }
 
-// walk is a run of random events with operators that keep on submitting, and a reader.
-type walk struct {
+// randomWalk is a simulation with random events, operators that submit commands all the time, and reads.
+type randomWalk struct {
 	*simulation
-	chooser   chooser
-	operators []*operator
-	history   []string // the longest committed order seen
-	known     int      // how many commands are known to be taken, by answers
-	wipedAt   time.Time
-	keepsName bool // mistake: a wiped disk keeps its identity
-	refused   map[string]bool
-	answered  []string
-	views     map[uint64]View // all that any process held
+	chooser            chooser
+	operators          []*operator
+	history            []string // longest committed sequence of commands seen
+	minCommitted       int      // number of commands known from answers to be committed
+	wipedAt            time.Time
+	keepsWipedIdentity bool // injected fault: a wiped disk keeps its identity
+	rejectedIDs        map[string]bool
+	acceptedIDs        []string
+	views              map[uint64]View // every view that any process had, by epoch
 }
 
-// operator submits one command after the other and sends it again, to any process, until it has a clear answer.
+// operator submits one command after the other. It submits a command again, to any process, until its outcome is known.
 type operator struct {
-	walk    *walk
-	name    string
-	number  int
-	command string
-	sent    int
+	walk     *randomWalk
+	name     string
+	number   int
+	command  string
+	attempts int
 }
 
-// retentions are what the walks keep of the past: as in service, and so little that who was away for a moment needs a snapshot, and that
-// the log on disk is rewritten all the time.
+// retentions are used by the random walks: the default; so little that a process that was down briefly needs a
+// snapshot; and so little that the log file is rewritten continuously.
 var retentions = []Retention{
 	{},
 	{Entries: 2, EntryBytes: 1 << 20, RewriteFrom: 2 << 10},
 	{Entries: 20, EntryBytes: 60, RewriteFrom: 16 << 10},
 }
 
-func newWalk(t *testing.T, seed int64, count, initial int, chooser chooser) *walk {
-	w := &walk{simulation: newSimulation(t, seed, count), chooser: chooser, refused: make(map[string]bool), views: make(map[uint64]View)}
-	w.soft = true
+func newRandomWalk(t *testing.T, seed int64, count, initial int, chooser chooser) *randomWalk {
+	w := &randomWalk{simulation: newSimulation(t, seed, count), chooser: chooser,
+		rejectedIDs: make(map[string]bool), views: make(map[uint64]View)}
+	w.collectViolations = true
 	w.retention = retentions[seed%int64(len(retentions))]
-	w.watch = w.observe
+	w.afterCall = w.observe
 	for _, p := range w.processes {
 		if p.number < initial {
-			w.after(time.Duration(w.random.Int63n(int64(300*time.Millisecond))), func() { p.start(true) })
+			w.schedule(time.Duration(w.random.Int63n(int64(300*time.Millisecond))), func() { p.start(true) })
 		}
 	}
 	for _, name := range []string{"x", "y"} {
 		o := &operator{walk: w, name: name}
 		w.operators = append(w.operators, o)
-		w.after(time.Second, o.next)
+		w.schedule(time.Second, o.submitNext)
 	}
-	w.after(time.Second, w.readAgain)
+	w.schedule(time.Second, w.readRepeatedly)
 	return w
 }
 
-// next begins another command, often one that builds on the newest version known.
-func (o *operator) next() {
+// submitNext submits another command, which often expects the newest known version.
+func (o *operator) submitNext() {
 	o.number++
 	o.command = fmt.Sprintf("%s%d", o.name, o.number)
 	if o.walk.random.Intn(2) == 0 {
@@ -94,127 +95,129 @@
 
 func (o *operator) send() {
 	w := o.walk
-	o.sent++
-	try := o.sent
+	o.attempts++
+	attempt := o.attempts
 	p := w.processes[w.random.Intn(len(w.processes))]
-	w.after(time.Second, func() { o.again(try) })
-	if !p.up || p.frozen {
-		w.after(20*time.Millisecond, func() { o.again(try) })
+	w.schedule(time.Second, func() { o.retry(attempt) })
+	if !p.running || p.frozen {
+		w.schedule(20*time.Millisecond, func() { o.retry(attempt) })
 		return
 	}
 	p.submit(o.command, func(answer Answer) {
 		switch {
-		case o.sent != try:
+		case o.attempts != attempt:
 		case !answer.Known:
-			o.again(try)
+			o.retry(attempt)
 		default:
-			o.done(answer.Reply)
+			o.handleReply(answer.Reply)
 		}
 	})
 }
 
-func (o *operator) again(try int) {
-	if o.sent == try {
+func (o *operator) retry(attempt int) {
+	if o.attempts == attempt {
 		o.send()
 	}
 }
 
-func (o *operator) done(reply Reply) {
+func (o *operator) handleReply(reply Reply) {
 	w := o.walk
-	o.sent++
+	o.attempts++
 	id, _, _ := strings.Cut(o.command, "@")
 	if reply.Accepted {
-		w.answered = append(w.answered, id)
-		w.known = max(w.known, 1+slices.Index(w.history, id))
+		w.acceptedIDs = append(w.acceptedIDs, id)
+		w.minCommitted = max(w.minCommitted, 1+slices.Index(w.history, id))
 		if !slices.Contains(w.history, id) {
-			w.fail("%s was answered and is not committed anywhere", id)
+			w.recordViolation("%s was accepted but is not committed anywhere", id)
 		}
 	} else {
-		w.refused[id] = true
-		if taken, err := strconv.Atoi(string(reply.Body)); err != nil || taken > len(w.history) {
-			w.fail("%s was refused for %q commands taken before, of which %d are committed", id, reply.Body, len(w.history))
+		w.rejectedIDs[id] = true
+		if accepted, err := strconv.Atoi(string(reply.Body)); err != nil || accepted > len(w.history) {
+			w.recordViolation("%s was rejected because of %q accepted commands, of which %d are committed", id, reply.Body, len(w.history))
 		}
 		if slices.Contains(w.history, id) {
-			w.fail("%s was refused and is committed", id)
+			w.recordViolation("%s was rejected but is committed", id)
 		}
 	}
-	w.after(time.Duration(w.random.Int63n(int64(60*time.Millisecond))), o.next)
+	w.schedule(time.Duration(w.random.Int63n(int64(60*time.Millisecond))), o.submitNext)
 }
 
-// readAgain reads somewhere: the state read must hold whatever was known when the read began.
-func (w *walk) readAgain() {
-	w.after(time.Duration(w.random.Int63n(int64(100*time.Millisecond))), w.readAgain)
+// readRepeatedly reads from random processes. The state read has to contain everything that was known to be committed
+// when the read started.
+func (w *randomWalk) readRepeatedly() {
+	w.schedule(time.Duration(w.random.Int63n(int64(100*time.Millisecond))), w.readRepeatedly)
 	p := w.processes[w.random.Intn(len(w.processes))]
-	if !p.up || p.frozen {
+	if !p.running || p.frozen {
 		return
 	}
-	known := w.known
+	minCommitted := w.minCommitted
 	p.read(func(answer Answer) {
 		if !answer.Known {
 			return
 		}
-		taken := answer.State.(ledger).taken
-		if len(taken) < known {
-			w.fail("%s read %d commands, of %d that were known before", p.self.Name, len(taken), known)
+		commands := answer.State.(ledger).commands
+		if len(commands) < minCommitted {
+			w.recordViolation("%s read %d commands, but %d were known to be committed", p.self.Name, len(commands), minCommitted)
 		}
-		w.compare(p, taken)
-		w.known = max(w.known, len(taken))
+		w.checkPrefix(p, commands)
+		w.minCommitted = max(w.minCommitted, len(commands))
 	})
 }
 
-// observe compares what a process holds as committed with what others do.
-func (w *walk) observe(p *process) {
+// observe checks the view and the committed state of a process against those of the others.
+func (w *randomWalk) observe(p *process) {
 	view := p.node.View()
 	if earlier, seen := w.views[view.Epoch]; !seen {
 		w.views[view.Epoch] = view
 	} else if !earlier.equal(view) {
-		w.fail("two views for epoch %d: %v and %v", view.Epoch, earlier, view)
+		w.recordViolation("two views for epoch %d: %v and %v", view.Epoch, earlier, view)
 	}
-	state, revision := p.node.Committed()
-	if revision == p.revision {
+	state, committedRevision := p.node.Committed()
+	if committedRevision == p.committedRevision {
 		return
 	}
-	w.compare(p, state.(ledger).taken)
+	w.checkPrefix(p, state.(ledger).commands)
 }
 
-func (w *walk) compare(p *process, taken []string) {
-	shared := min(len(taken), len(w.history))
-	if !slices.Equal(taken[:shared], w.history[:shared]) {
-		w.fail("%s holds %v, others %v", p.self.Name, taken, w.history)
+// checkPrefix verifies that the committed commands of a process and the history agree as far as both go.
+func (w *randomWalk) checkPrefix(p *process, commands []string) {
+	common := min(len(commands), len(w.history))
+	if !slices.Equal(commands[:common], w.history[:common]) {
+		w.recordViolation("%s committed %v, others committed %v", p.self.Name, commands, w.history)
 	}
-	if len(taken) > len(w.history) {
-		w.history = taken
+	if len(commands) > len(w.history) {
+		w.history = commands
 	}
 }
 
-// step lets something happen.
-func (w *walk) step() {
+// step lets a random event happen.
+func (w *randomWalk) step() {
 	p := w.processes[w.chooser.choose("process", len(w.processes))]
 	other := w.processes[w.chooser.choose("other", len(w.processes))]
 	switch action := w.chooser.choose("action", 17); action {
 	case 0, 1:
 		p.kill(action == 0)
 	case 2, 3, 4:
-		w.startOne(p)
+		w.ensureRunning(p)
 	case 5:
-		w.wipeOne(p)
+		w.wipeDisk(p)
 	case 6:
-		w.trouble.cut[[2]int{p.number, other.number}] = true
+		w.network.cut[[2]int{p.number, other.number}] = true
 	case 7:
 		for _, each := range w.processes {
-			w.trouble.cut[[2]int{p.number, each.number}] = p != each
-			w.trouble.cut[[2]int{each.number, p.number}] = p != each
+			w.network.cut[[2]int{p.number, each.number}] = p != each
+			w.network.cut[[2]int{each.number, p.number}] = p != each
 		}
 	case 8, 9:
-		clear(w.trouble.cut)
+		clear(w.network.cut)
 	case 10:
-		p.hanging = !p.hanging
+		p.diskHanging = !p.diskHanging
 	case 11:
-		p.syncTime = simulatedSync * time.Duration(1+29*w.chooser.choose("slow", 2))
+		p.syncTime = normalSyncTime * time.Duration(1+29*w.chooser.choose("slow", 2))
 	case 12:
 		for _, each := range w.processes {
 			each.kill(true)
-			w.after(time.Duration(w.random.Int63n(int64(time.Second))), func() { w.startOne(each) })
+			w.schedule(time.Duration(w.random.Int63n(int64(time.Second))), func() { w.ensureRunning(each) })
 		}
 	case 13:
 		p.disk.SyncError = nil
@@ -224,26 +227,26 @@
 	case 14:
 		p.frozen = !p.frozen
 	case 15:
-		w.maybeRewrite(p)
+		w.rewriteIfIdle(p)
 	case 16:
-		w.wipeOne(p)
+		w.wipeDisk(p)
 		for _, each := range w.processes {
 			each.kill(true)
-			w.after(time.Duration(w.random.Int63n(int64(time.Second))), func() { w.startOne(each) })
+			w.schedule(time.Duration(w.random.Int63n(int64(time.Second))), func() { w.ensureRunning(each) })
 		}
 	}
 	pauses := []time.Duration{10, 100, 300, 1000, 3000}
 	w.run(pauses[w.chooser.choose("pause", len(pauses))] * time.Millisecond)
 }
 
-func (w *walk) startOne(p *process) {
-	if !p.up {
+func (w *randomWalk) ensureRunning(p *process) {
+	if !p.running {
 		p.start(false)
 	}
 }
 
-// wipeOne takes a disk away, if the system had the time to get over the last loss of one.
-func (w *walk) wipeOne(p *process) {
+// wipeDisk wipes a disk if the system has recovered from the previous loss of a disk.
+func (w *randomWalk) wipeDisk(p *process) {
 	if !w.active() || w.now.Sub(w.wipedAt) < 4*time.Second {
 		return
 	}
@@ -260,20 +263,20 @@
 	p.kill(true)
 	identity := p.records()
 	p.wipe()
-	if w.keepsName && len(identity) > 0 {
+	if w.keepsWipedIdentity && len(identity) > 0 {
 		p.keepIdentity(identity[:1])
 	}
-	w.after(time.Duration(w.random.Int63n(int64(time.Second))), func() { w.startOne(p) })
+	w.schedule(time.Duration(w.random.Int63n(int64(time.Second))), func() { w.ensureRunning(p) })
 }
 
-// keepIdentity gives a wiped disk the name that it had.
+// keepIdentity writes the previous identity to a wiped disk.
 func (p *process) keepIdentity(identity []Record) {
-	file, _, _, err := logfile.OpenOn(p.disk, simulatedFolder, logfile.Limits{})
+	file, _, _, err := logfile.OpenOn(p.disk, simulatedDirectory, logfile.Limits{})
 	assert.NilError(p.simulation.t, err)
 	assert.NilError(p.simulation.t, file.Append(identity))
 }
 
-// identity is that of the store on a process's disk, while it is the one of its node.
+// identity returns the identity of a node, or an empty one if its disk was wiped since.
 func (p *process) identity() Identity {
 	if p.node == nil || p.disk.Empty() {
 		return ""
@@ -281,76 +284,76 @@
 	return p.node.Identity()
 }
 
-// recoveryLimit is how long the system may take to get over everything once it is healed.
+// recoveryLimit is how long the system may take to recover after all faults end.
 const recoveryLimit = 12 * time.Second
 
-// recover runs until the system got over everything, or had its time.
-func (w *walk) recover() {
-	for waited := time.Duration(0); waited < recoveryLimit && !w.recovered(); waited += simulatedAlive {
-		w.run(simulatedAlive)
+// awaitRecovery runs until the system has recovered or recoveryLimit has passed.
+func (w *randomWalk) awaitRecovery() {
+	for waited := time.Duration(0); waited < recoveryLimit && !w.recovered(); waited += livenessInterval {
+		w.run(livenessInterval)
 	}
 }
 
-// recovered tells whether every process knows the newest view to be in force, and every disk works.
-func (w *walk) recovered() bool {
+// recovered reports whether every process runs with a healthy disk and has the newest view confirmed.
+func (w *randomWalk) recovered() bool {
 	if !w.active() {
 		return false
 	}
 	epoch := w.newestView().Epoch
 	for _, p := range w.processes {
-		if !p.up || p.node.Status().Impaired || !p.node.Fresh(w.now) || p.node.View().Epoch != epoch {
+		if !p.running || p.node.Status().Impaired || !p.node.Fresh(w.now) || p.node.View().Epoch != epoch {
 			return false
 		}
 	}
 	return true
 }
 
-// end heals everything and looks whether the system gets over it with all that was answered.
-func (w *walk) end() {
-	clear(w.trouble.cut)
-	w.trouble.loss, w.trouble.duplicates = 0, 0
+// healAndCheck ends all faults and verifies that the system recovers with all answered commands.
+func (w *randomWalk) healAndCheck() {
+	clear(w.network.cut)
+	w.network.loss, w.network.duplicates = 0, 0
 	for _, p := range w.processes {
-		p.hanging, p.frozen, p.syncTime, p.disk.SyncError = false, false, simulatedSync, nil
-		w.startOne(p)
+		p.diskHanging, p.frozen, p.syncTime, p.disk.SyncError = false, false, normalSyncTime, nil
+		w.ensureRunning(p)
 	}
-	w.recover()
-	answers := len(w.answered) + len(w.refused)
+	w.awaitRecovery()
+	answers := len(w.acceptedIDs) + len(w.rejectedIDs)
 	w.run(2 * time.Second)
-	w.recover() // a learner may have become a voter just now
-	if len(w.answered)+len(w.refused) <= answers || !w.recovered() {
-		w.fail("the system does not get over it")
+	w.awaitRecovery() // a learner may just have become a voter
+	if len(w.acceptedIDs)+len(w.rejectedIDs) <= answers || !w.recovered() {
+		w.recordViolation("the system does not recover")
 	}
-	for _, id := range w.answered {
+	for _, id := range w.acceptedIDs {
 		if !slices.Contains(w.history, id) {
-			w.fail("%s was answered and is lost", id)
+			w.recordViolation("%s was accepted but is lost", id)
 		}
 	}
 	seen := make(map[string]bool)
 	for _, id := range w.history {
-		if seen[id] || w.refused[id] {
-			w.fail("%s is there twice, or though it was refused", id)
+		if seen[id] || w.rejectedIDs[id] {
+			w.recordViolation("%s is committed twice or although it was rejected", id)
 		}
 		seen[id] = true
 	}
-	w.countBroken()
+	w.checkCounters()
 }
 
-// TestRandomWalk plays crashes, lost disks, cuts in one and both directions, disk trouble, frozen processes, lost, doubled
-// and overtaking messages.
+// TestRandomWalk injects crashes, disk losses, one-way and two-way partitions, disk faults, frozen processes, and lost,
+// duplicated and reordered messages.
 func TestRandomWalk(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		chooser := rapidChooser{r}
 		count := 3 + 2*chooser.choose("count", 2)
-		w := newWalk(t, int64(chooser.choose("seed", 1<<20)), count, count, chooser)
-		w.trouble.loss = float64(chooser.choose("loss", 3)) * 0.01
-		w.trouble.duplicates = float64(chooser.choose("duplicates", 3)) * 0.02
+		w := newRandomWalk(t, int64(chooser.choose("seed", 1<<20)), count, count, chooser)
+		w.network.loss = float64(chooser.choose("loss", 3)) * 0.01
+		w.network.duplicates = float64(chooser.choose("duplicates", 3)) * 0.02
 		w.run(4 * time.Second)
 		for range 5 + chooser.choose("steps", 30) {
 			w.step()
 		}
-		w.end()
-		if len(w.broken) > 0 {
-			r.Fatalf("%s", strings.Join(w.broken[:min(len(w.broken), 5)], "\n"))
+		w.healAndCheck()
+		if len(w.violations) > 0 {
+			r.Fatalf("%s", strings.Join(w.violations[:min(len(w.violations), 5)], "\n"))
 		}
 	})
 }
