--- a/internal/chain/acceptor.go
+++ b/internal/chain/acceptor.go
@@ -155,7 +155,7 @@
 	if n.hasPromised() {
 		return true
 	}
-	if reason == chainpb.Reason_REASON_STUCK && n.view.Place(sender) >= 0 {
+	if reason == chainpb.Reason_REASON_STUCK && n.view.ChainIndex(sender) >= 0 {
 		return true
 	}
 	unconfirmed := n.confirmedEpoch != n.view.Epoch || n.now.Sub(n.confirmedAt) >= unconfirmedBeforeSupport
--- a/internal/chain/catchup_test.go
+++ b/internal/chain/catchup_test.go
@@ -85,7 +85,7 @@
 	if c.wiped {
 		lagging.wipe()
 	}
-	s.runUntil(4*time.Second, func() bool { return s.newestView().Place(lagging.node.Identity()) < 0 && s.active() })
+	s.runUntil(4*time.Second, func() bool { return s.newestView().ChainIndex(lagging.node.Identity()) < 0 && s.active() })
 	submitting := true
 	var submitChange func()
 	submitChange = func() {
--- a/internal/chain/clients.go
+++ b/internal/chain/clients.go
@@ -192,9 +192,9 @@
 	}
 	delete(n.clients.pending, answer.Request)
 	n.output.Answers = append(n.output.Answers, Answer{
-		Request: answer.Request,
-		Known:   true,
-		Reply:   replyFromWire(answer.Reply),
+		Request:      answer.Request,
+		OutcomeKnown: true,
+		Reply:        replyFromWire(answer.Reply),
 	})
 }
 
@@ -204,7 +204,7 @@
 		pending := n.clients.pending[request]
 		if pending.positionKnown && pending.readPosition <= n.log.committed {
 			delete(n.clients.pending, request)
-			n.output.Answers = append(n.output.Answers, Answer{Request: request, Known: true, State: n.log.state})
+			n.output.Answers = append(n.output.Answers, Answer{Request: request, OutcomeKnown: true, State: n.log.state})
 		}
 	}
 }
--- a/internal/chain/clients_test.go
+++ b/internal/chain/clients_test.go
@@ -21,8 +21,8 @@
 	submit("short", "short")
 	submit("long", "long"+strings.Repeat("-", 200<<10))
 	s.runUntil(maxRequestTimeout+tickInterval, func() bool { return len(answers) == 2 })
-	assert.Assert(t, !answers["short"].Known)
-	assert.Assert(t, answers["long"].Known)
+	assert.Assert(t, !answers["short"].OutcomeKnown)
+	assert.Assert(t, answers["long"].OutcomeKnown)
 }
 
 // TestUnreachableHeadGivesUnknownOutcome verifies that without a reachable head the outcome of a command is unknown and
@@ -37,7 +37,7 @@
 	rest[0].read(func(answer Answer) { answers = append(answers, answer) })
 	took := s.runUntil(time.Second, func() bool { return len(answers) == 2 })
 	assert.Assert(t, took <= requestTimeout+tickInterval)
-	assert.Assert(t, !answers[0].Known && !answers[1].Known)
+	assert.Assert(t, !answers[0].OutcomeKnown && !answers[1].OutcomeKnown)
 }
 
 // TestRefusedRequestIsResentToNewHead verifies that a process that is not the head refuses a request, and that the
@@ -50,7 +50,7 @@
 	s.runUntil(4*time.Second, func() bool { return rest[0].node.View().Epoch > epoch })
 	var answer Answer
 	rest[0].submit("early", func(got Answer) { answer = got })
-	s.runUntil(time.Second, func() bool { return answer.Known })
+	s.runUntil(time.Second, func() bool { return answer.OutcomeKnown })
 	assert.Equal(t, answer.Reply.Status, statusAccepted)
 	s.verifyFinalState("early")
 }
@@ -82,7 +82,7 @@
 	assert.Equal(t, commands, 1)
 	assert.Assert(t, reads > 1)
 	for _, answer := range answers {
-		assert.Assert(t, !answer.Known || answer.Reply.Status == 0, "a command that reached no process was answered")
+		assert.Assert(t, !answer.OutcomeKnown || answer.Reply.Status == 0, "a command that reached no process was answered")
 	}
 }
 
--- a/internal/chain/election.go
+++ b/internal/chain/election.go
@@ -110,7 +110,7 @@
 func (n *Node) proposerOrder() []Identity {
 	order := slices.Clone(n.view.Chain)
 	for _, voter := range n.view.Voters {
-		if n.view.Place(voter.Identity) < 0 {
+		if n.view.ChainIndex(voter.Identity) < 0 {
 			order = append(order, voter.Identity)
 		}
 	}
--- a/internal/chain/example_test.go
+++ b/internal/chain/example_test.go
@@ -32,14 +32,14 @@
 	now := time.Unix(0, 0)
 	self := chain.Member{Name: "core-1", Address: "10.0.0.1:7000", Zone: "a", Region: "r"}
 	node, output, err := chain.New(chain.Options{
-		Self:         self,
-		Bootstrap:    true,
-		Seeds:        []string{self.Address},
-		MinimumChain: 1,
-		Initial:      counter(0),
-		Decode:       decodeCounter,
-		AckBound:     5 * time.Second,
-		Random:       rand.New(rand.NewSource(1)),
+		Self:              self,
+		Bootstrap:         true,
+		Seeds:             []string{self.Address},
+		TargetChainLength: 1,
+		Initial:           counter(0),
+		Decode:            decodeCounter,
+		AckBound:          5 * time.Second,
+		Random:            rand.New(rand.NewSource(1)),
 	}, nil, now)
 	if err != nil {
 		panic(err)
@@ -47,7 +47,7 @@
 	handle := func(output chain.Output) {
 		for len(output.Writes) > 0 || len(output.Answers) > 0 {
 			for _, answer := range output.Answers {
-				fmt.Println("request", answer.Request, "known", answer.Known, "status", answer.Reply.Status)
+				fmt.Println("request", answer.Request, "known", answer.OutcomeKnown, "status", answer.Reply.Status)
 			}
 			writes := output.Writes
 			output = chain.Output{}
--- a/internal/chain/failure_test.go
+++ b/internal/chain/failure_test.go
@@ -245,11 +245,11 @@
 		for _, number := range minority {
 			p := s.processes[number]
 			assert.Assert(t, !p.node.Fresh(s.now))
-			p.submit(fmt.Sprintf("cut-%d", number), func(answer Answer) { assert.Assert(t, !answer.Known) })
-			p.read(func(answer Answer) { assert.Assert(t, !answer.Known) })
+			p.submit(fmt.Sprintf("cut-%d", number), func(answer Answer) { assert.Assert(t, !answer.OutcomeKnown) })
+			p.read(func(answer Answer) { assert.Assert(t, !answer.OutcomeKnown) })
 		}
 		accepted := false
-		s.processes[majority[0]].submit("large", func(answer Answer) { accepted = answer.Known })
+		s.processes[majority[0]].submit("large", func(answer Answer) { accepted = answer.OutcomeKnown })
 		longest := s.longestNotFresh(6*time.Second, majority)
 		assert.Assert(t, accepted)
 		assert.Assert(t, longest <= 500*time.Millisecond, "seed %d: %v", seed, longest)
@@ -317,7 +317,7 @@
 		statuses := make(map[string]int)
 		for number, command := range []string{"x@2", "y@2"} {
 			s.processes[number].submit(command, func(answer Answer) {
-				assert.Assert(t, answer.Known)
+				assert.Assert(t, answer.OutcomeKnown)
 				statuses[command] = answer.Reply.Status
 			})
 		}
@@ -380,7 +380,7 @@
 		firstEpoch := s.newestView().Epoch
 		reported.reportedDown = true
 		s.runUntil(4*time.Second, func() bool {
-			return s.newestView().Place(reported.node.Identity()) < 0 && s.active()
+			return s.newestView().ChainIndex(reported.node.Identity()) < 0 && s.active()
 		})
 		epoch := s.newestView().Epoch
 		assert.Equal(t, epoch, firstEpoch+1, "seed %d: a single view removed the member", seed)
--- a/internal/chain/feed.go
+++ b/internal/chain/feed.go
@@ -37,12 +37,12 @@
 		return
 	}
 	for identity, member := range n.membership.alive {
-		if identity != n.self.Identity && n.view.Place(identity) < 0 {
+		if identity != n.self.Identity && n.view.ChainIndex(identity) < 0 {
 			n.addFollower(identity, member.Address)
 		}
 	}
 	for identity, f := range n.feed.followers {
-		if n.view.Place(identity) >= 0 || n.now.Sub(f.lastContact) > followerTimeout {
+		if n.view.ChainIndex(identity) >= 0 || n.now.Sub(f.lastContact) > followerTimeout {
 			delete(n.feed.followers, identity)
 		}
 	}
@@ -107,7 +107,7 @@
 
 // receiveFetch sends a process outside the chain the entries that it is missing, or a snapshot.
 func (n *Node) receiveFetch(sender Identity, fetch *chainpb.Fetch) {
-	if !n.canFeed() || n.view.Place(sender) >= 0 {
+	if !n.canFeed() || n.view.ChainIndex(sender) >= 0 {
 		return
 	}
 	f := n.addFollower(sender, n.addressOf(sender))
@@ -191,7 +191,7 @@
 		return false
 	}
 	n.syncedPosition = 0
-	n.output.Committed = true
+	n.output.CommittedChanged = true
 	n.persist(effect{position: snapshot.Position, generation: n.generation}, encodeRecord(RecordSnapshot, snapshot))
 	n.answerReads()
 	return true
--- a/internal/chain/injected_faults_test.go
+++ b/internal/chain/injected_faults_test.go
@@ -53,7 +53,7 @@
 		members = append(members, w.byIdentity(identity))
 	}
 	for _, p := range w.processes {
-		if p.node == nil || view.Place(p.node.Identity()) < 0 {
+		if p.node == nil || view.ChainIndex(p.node.Identity()) < 0 {
 			rest = append(rest, p)
 		}
 	}
--- a/internal/chain/install.go
+++ b/internal/chain/install.go
@@ -64,7 +64,7 @@
 	n.persist(effect{}, encodeRecord(RecordDecided, viewToWire(view)))
 	n.logf("view %d: %d voters, chain length %d, role %s", view.Epoch, len(view.Voters), len(view.Chain), n.role())
 	if len(view.Voters) < n.minVoters() {
-		n.logf("%d voters cannot tolerate the loss of %d at once: %d are needed", len(view.Voters), n.options.MinimumChain-1, n.minVoters())
+		n.logf("%d voters cannot tolerate the loss of %d at once: %d are needed", len(view.Voters), n.options.TargetChainLength-1, n.minVoters())
 	}
 	confirmedAt, confirmedEpoch := n.confirmedAt, n.confirmedEpoch
 	n.replication = replication{confirmedAt: confirmedAt, confirmedEpoch: confirmedEpoch}
--- a/internal/chain/journal.go
+++ b/internal/chain/journal.go
@@ -65,7 +65,7 @@
 // needsRewrite reports whether the log file is long enough to be replaced with the current state.
 func (n *Node) needsRewrite() bool {
 	fileBytes := n.journal.fileBytes
-	return fileBytes > maxLogFileBytes || fileBytes > max(n.log.retention.RewriteFrom, maxLogFileFactor*n.journal.stateBytes)
+	return fileBytes > maxLogFileBytes || fileBytes > max(n.log.retention.MinRewriteBytes, maxLogFileFactor*n.journal.stateBytes)
 }
 
 // rewrite replaces the log file with the full state, which includes all queued records.
--- a/internal/chain/latency_test.go
+++ b/internal/chain/latency_test.go
@@ -81,7 +81,7 @@
 	for number := range reads {
 		sentAt := s.now
 		s.processes[number%len(s.processes)].read(func(answer Answer) {
-			assert.Assert(t, answer.Known)
+			assert.Assert(t, answer.OutcomeKnown)
 			longest, answered = max(longest, s.now.Sub(sentAt)), answered+1
 		})
 		s.run(50 * time.Millisecond)
--- a/internal/chain/leave_test.go
+++ b/internal/chain/leave_test.go
@@ -35,7 +35,7 @@
 				s.schedule(time.Duration(number)*80*time.Millisecond, func() {
 					submitted := s.now
 					others[number%len(others)].submit(fmt.Sprintf("c%d", number), func(answer Answer) {
-						if answer.Known {
+						if answer.OutcomeKnown {
 							answered++
 						} else if !leftAt.IsZero() && submitted.After(leftAt) {
 							unknown++
--- a/internal/chain/membership.go
+++ b/internal/chain/membership.go
@@ -8,7 +8,7 @@
 
 // membership is what a node knows about the liveness, addresses and health of other processes.
 type membership struct {
-	livenessKnown     bool // whether Node.Liveness was called
+	livenessKnown     bool // whether Node.SetAlive was called
 	alive             map[Identity]Member
 	aliveByAddress    map[string]Identity    // shows a new store at the address of a voter
 	downSince         map[Identity]time.Time // voters that are not alive
@@ -30,8 +30,8 @@
 	}
 }
 
-// Liveness sets the control processes that membership considers alive, including this one.
-func (n *Node) Liveness(now time.Time, alive []Member) Output {
+// SetAlive sets the control processes that membership considers alive, including this one.
+func (n *Node) SetAlive(now time.Time, alive []Member) Output {
 	n.beginCall(now)
 	m := &n.membership
 	m.livenessKnown = true
--- a/internal/chain/node.go
+++ b/internal/chain/node.go
@@ -187,16 +187,16 @@
 // Status returns the condition of the node.
 func (n *Node) Status() Status {
 	return Status{
-		Identity:  n.self.Identity,
-		Role:      n.role(),
-		Epoch:     n.view.Epoch,
-		Installed: n.installedEpoch,
-		Position:  n.log.lastPosition(),
-		Committed: n.log.committed,
-		Promised:  n.hasPromised(),
-		Impaired:  n.impaired(),
-		Failed:    n.journal.failed,
-		Counters:  n.counters,
+		Identity:       n.self.Identity,
+		Role:           n.role(),
+		Epoch:          n.view.Epoch,
+		InstalledEpoch: n.installedEpoch,
+		Position:       n.log.lastPosition(),
+		Committed:      n.log.committed,
+		Promised:       n.hasPromised(),
+		Impaired:       n.impaired(),
+		Failed:         n.journal.failed,
+		Counters:       n.counters,
 	}
 }
 
@@ -221,6 +221,6 @@
 	return found
 }
 
-func (n *Node) inChain() bool { return n.view.Place(n.self.Identity) >= 0 }
+func (n *Node) inChain() bool { return n.view.ChainIndex(n.self.Identity) >= 0 }
 func (n *Node) isHead() bool  { return n.inChain() && n.view.Head() == n.self.Identity }
 func (n *Node) isTail() bool  { return n.inChain() && n.view.Tail() == n.self.Identity }
--- a/internal/chain/node_test.go
+++ b/internal/chain/node_test.go
@@ -27,7 +27,7 @@
 		assert.Equal(t, reply.Status, statusConflict)
 		var read Answer
 		s.processes[2].read(func(answer Answer) { read = answer })
-		s.runUntil(time.Second, func() bool { return read.Known })
+		s.runUntil(time.Second, func() bool { return read.OutcomeKnown })
 		assert.Equal(t, len(read.State.(ledger).commands), 21)
 		s.runUntil(time.Second, s.committedEverywhere)
 		s.checkInvariants()
--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -77,7 +77,7 @@
 	if n.injectedFaults.allowSingleMemberChain {
 		return minimum
 	}
-	return max(minimum, min(n.options.MinimumChain, len(view.Voters)))
+	return max(minimum, min(n.options.TargetChainLength, len(view.Voters)))
 }
 
 // nextVoters returns the voters of the new view: those of the current view with the change of the attempt or, for the
@@ -170,7 +170,7 @@
 			impaired:     promise.GetImpaired(),
 			down:         n.view.Epoch > 0 && n.isDown(voter.Identity),
 			silent:       silentMembers[voter.Identity],
-			outsideChain: n.view.Place(voter.Identity) < 0,
+			outsideChain: n.view.ChainIndex(voter.Identity) < 0,
 			newcomer:     newcomer,
 			distance:     distance(head, voter),
 		})
--- a/internal/chain/repair_test.go
+++ b/internal/chain/repair_test.go
@@ -75,7 +75,7 @@
 			for number := range 8 {
 				command := fmt.Sprintf("c%d", number)
 				s.processes[s.random.Intn(voters)].submit(command, func(answer Answer) {
-					if answer.Known && answer.Reply.Accepted {
+					if answer.OutcomeKnown && answer.Reply.Accepted {
 						answered = append(answered, command)
 					}
 				})
--- a/internal/chain/replicate.go
+++ b/internal/chain/replicate.go
@@ -143,7 +143,7 @@
 		return
 	}
 	n.log.commit(position)
-	n.output.Committed = true
+	n.output.CommittedChanged = true
 	n.uncommittedSince = n.now
 	n.answerReads()
 }
--- a/internal/chain/rewrite_test.go
+++ b/internal/chain/rewrite_test.go
@@ -56,7 +56,7 @@
 func (s *simulation) makeLag(lagging *process) {
 	s.t.Helper()
 	lagging.kill(false)
-	s.runUntil(4*time.Second, func() bool { return s.newestView().Place(lagging.node.Identity()) < 0 && s.active() })
+	s.runUntil(4*time.Second, func() bool { return s.newestView().ChainIndex(lagging.node.Identity()) < 0 && s.active() })
 	for number := range 3 * retainedEntries {
 		s.anyRunning().submit(fmt.Sprintf("c%d", number), func(Answer) {})
 		s.run(10 * time.Millisecond)
--- a/internal/chain/simulation_test.go
+++ b/internal/chain/simulation_test.go
@@ -27,7 +27,7 @@
 	network           networkFaults
 	verbose           bool
 	retention         Retention
-	chainLength       int // Options.MinimumChain of every process
+	chainLength       int // Options.TargetChainLength of every process
 	initial           State
 	decode            Decoder
 	collectViolations bool                 // a store that cannot be opened is a violation, not fatal
@@ -198,15 +198,15 @@
 
 func (p *process) options(bootstrap bool) Options {
 	return Options{
-		Self:         p.self,
-		Bootstrap:    bootstrap,
-		Seeds:        p.simulation.seeds,
-		MinimumChain: p.simulation.chainLength,
-		Initial:      p.simulation.initial,
-		Decode:       p.simulation.decode,
-		AckBound:     simulatedAckBound,
-		Retention:    p.simulation.retention,
-		Random:       rand.New(rand.NewSource(p.simulation.random.Int63())),
+		Self:              p.self,
+		Bootstrap:         bootstrap,
+		Seeds:             p.simulation.seeds,
+		TargetChainLength: p.simulation.chainLength,
+		Initial:           p.simulation.initial,
+		Decode:            p.simulation.decode,
+		AckBound:          simulatedAckBound,
+		Retention:         p.simulation.retention,
+		Random:            rand.New(rand.NewSource(p.simulation.random.Int63())),
 	}
 }
 
@@ -325,7 +325,7 @@
 			alive = append(alive, member)
 		}
 	}
-	p.apply(p.node.Liveness(s.now, alive))
+	p.apply(p.node.SetAlive(s.now, alive))
 	s.schedule(livenessInterval, func() { p.updateLiveness(incarnation) })
 }
 
@@ -534,7 +534,7 @@
 		for !answered && s.now.Before(deadline) {
 			s.run(time.Millisecond)
 		}
-		if answered && last.Known {
+		if answered && last.OutcomeKnown {
 			return last.Reply, s.now.Sub(start)
 		}
 	}
--- a/internal/chain/stale_process_test.go
+++ b/internal/chain/stale_process_test.go
@@ -41,12 +41,12 @@
 		head.frozen = false
 		assert.Assert(t, !head.node.Fresh(s.now))
 		head.read(func(answer Answer) {
-			if answer.Known {
+			if answer.OutcomeKnown {
 				assert.Equal(t, len(answer.State.(ledger).commands), 3)
 			}
 		})
 		head.submit("late@2", func(answer Answer) {
-			assert.Assert(t, !answer.Known || answer.Reply.Status == statusConflict)
+			assert.Assert(t, !answer.OutcomeKnown || answer.Reply.Status == statusConflict)
 		})
 		s.run(time.Second)
 		s.verifyFinalState("meanwhile")
--- a/internal/chain/types.go
+++ b/internal/chain/types.go
@@ -51,25 +51,25 @@
 
 // Options configure a node.
 type Options struct {
-	Self         Member        // Identity is ignored, since it comes from the store
-	Bootstrap    bool          // true only at the first start of the whole system
-	Seeds        []string      // internal addresses of the processes that decide the first view
-	MinimumChain int           // desired chain length: the number of simultaneous losses to tolerate, plus one
-	Initial      State         // state before the first command
-	Decode       Decoder       // decodes an encoded state
-	AckBound     time.Duration // limit for answering a submitted command; disk and chain timeouts derive from it
-	Random       *rand.Rand    // source of identities, ballot nonces and backoff
-	Retention    Retention     // how much history is kept beside the state
+	Self              Member        // Identity is ignored, since it comes from the store
+	Bootstrap         bool          // true only at the first start of the whole system
+	Seeds             []string      // internal addresses of the processes that decide the first view
+	TargetChainLength int           // desired chain length: the number of simultaneous losses to tolerate, plus one
+	Initial           State         // state before the first command
+	Decode            Decoder       // decodes an encoded state
+	AckBound          time.Duration // limit for answering a submitted command; disk and chain timeouts derive from it
+	Random            *rand.Rand    // source of identities, ballot nonces and backoff
+	Retention         Retention     // how much history is kept beside the state
 }
 
 // Output lists what the owner of a node has to do after a call. Sends may be lost. Writes have to be executed in order,
 // and the end of each is reported by Node.Written.
 type Output struct {
-	Sends     []Send
-	Writes    []Write
-	Answers   []Answer
-	Committed bool     // the committed state changed
-	Logs      []string // log lines
+	Sends            []Send
+	Writes           []Write
+	Answers          []Answer
+	CommittedChanged bool     // the committed state changed
+	Logs             []string // log lines
 }
 
 // Send is a message to the process at an internal address.
@@ -89,10 +89,10 @@
 // Answer is the result of a request made by Node.Submit or Node.Read. If the outcome is not known, the command may have
 // been applied or may still be. State is the result of a read.
 type Answer struct {
-	Request uint64
-	Known   bool
-	Reply   Reply
-	State   State
+	Request      uint64
+	OutcomeKnown bool
+	Reply        Reply
+	State        State
 }
 
 // Role is the position of a node in its view.
@@ -110,16 +110,16 @@
 
 // Status reports the condition of a node for logs and metrics.
 type Status struct {
-	Identity  Identity
-	Role      Role
-	Epoch     uint64
-	Installed uint64 // epoch for which the log was last synchronized with the predecessor
-	Position  uint64 // of the last log entry
-	Committed uint64 // position of the last entry known to be committed
-	Promised  bool   // whether the node promised in the instance that decides the next epoch
-	Impaired  bool   // whether the disk is too slow or failed, or the node is leaving
-	Failed    bool   // whether the last write failed
-	Counters  Counters
+	Identity       Identity
+	Role           Role
+	Epoch          uint64
+	InstalledEpoch uint64 // epoch for which the log was last synchronized with the predecessor
+	Position       uint64 // of the last log entry
+	Committed      uint64 // position of the last entry known to be committed
+	Promised       bool   // whether the node promised in the instance that decides the next epoch
+	Impaired       bool   // whether the disk is too slow or failed, or the node is leaving
+	Failed         bool   // whether the last write failed
+	Counters       Counters
 }
 
 // Counters count events since the start of the node. Those named Broken count violated invariants and should stay 0.
@@ -171,5 +171,5 @@
 	lateWriteDivisor             = 8                       // a write in flight for longer than AckBound divided by this is late
 	stuckDivisor                 = 4                       // the chain is stuck after AckBound divided by this without progress
 	maxLogFileBytes              = 8 << 20                 // a longer log file is rewritten
-	maxLogFileFactor             = 4                       // as is one longer than this times the encoded state, see Retention.RewriteFrom
+	maxLogFileFactor             = 4                       // as is one longer than this times the encoded state, see Retention.MinRewriteBytes
 )
--- a/internal/chain/view.go
+++ b/internal/chain/view.go
@@ -19,8 +19,8 @@
 	return Member{}, false
 }
 
-// Place returns the index of an identity in the chain, or -1.
-func (v View) Place(identity Identity) int { return slices.Index(v.Chain, identity) }
+// ChainIndex returns the index of an identity in the chain, or -1.
+func (v View) ChainIndex(identity Identity) int { return slices.Index(v.Chain, identity) }
 
 // Head returns the first identity of the chain, or an empty one.
 func (v View) Head() Identity {
@@ -41,7 +41,7 @@
 // neighbour returns the chain member at an offset from identity, or an empty identity. A positive offset is towards the
 // tail.
 func (v View) neighbour(identity Identity, offset int) Identity {
-	index := v.Place(identity)
+	index := v.ChainIndex(identity)
 	if index < 0 || index+offset < 0 || index+offset >= len(v.Chain) {
 		return ""
 	}
--- a/internal/chain/voters.go
+++ b/internal/chain/voters.go
@@ -166,7 +166,7 @@
 		return false
 	}
 	return slices.ContainsFunc(n.view.Voters, func(voter Member) bool {
-		return n.view.Place(voter.Identity) < 0 && !n.isUnavailable(voter.Identity)
+		return n.view.ChainIndex(voter.Identity) < 0 && !n.isUnavailable(voter.Identity)
 	})
 }
 
@@ -182,7 +182,7 @@
 	var removable []Member
 	for _, voter := range n.view.Voters {
 		since, down := n.membership.downSince[voter.Identity]
-		if down && n.now.Sub(since) >= voterDownTimeout && n.view.Place(voter.Identity) < 0 {
+		if down && n.now.Sub(since) >= voterDownTimeout && n.view.ChainIndex(voter.Identity) < 0 {
 			removable = append(removable, voter)
 		}
 	}
@@ -194,7 +194,7 @@
 }
 
 // minVoters returns the number of voters that still have a majority after the losses to tolerate.
-func (n *Node) minVoters() int { return 2*n.options.MinimumChain - 1 }
+func (n *Node) minVoters() int { return 2*n.options.TargetChainLength - 1 }
 
 // readyCandidates returns the candidates that are caught up and available, in a deterministic order.
 func (n *Node) readyCandidates() []*candidate {
@@ -223,7 +223,7 @@
 	var best Member
 	bestRank := 0
 	for _, voter := range n.view.Voters {
-		if n.view.Place(voter.Identity) >= 0 {
+		if n.view.ChainIndex(voter.Identity) >= 0 {
 			continue
 		}
 		if rank := n.replacementRank(voter, learner); rank > bestRank {
--- a/internal/chain/walk_test.go
+++ b/internal/chain/walk_test.go
@@ -59,8 +59,8 @@
 // snapshot; and so little that the log file is rewritten continuously.
 var retentions = []Retention{
 	{},
-	{Entries: 2, EntryBytes: 1 << 20, RewriteFrom: 2 << 10},
-	{Entries: 20, EntryBytes: 60, RewriteFrom: 16 << 10},
+	{Entries: 2, EntryBytes: 1 << 20, MinRewriteBytes: 2 << 10},
+	{Entries: 20, EntryBytes: 60, MinRewriteBytes: 16 << 10},
 }
 
 func newRandomWalk(t *testing.T, seed int64, count, initial int, chooser chooser) *randomWalk {
@@ -106,7 +106,7 @@
 	p.submit(o.command, func(answer Answer) {
 		switch {
 		case o.attempts != attempt:
-		case !answer.Known:
+		case !answer.OutcomeKnown:
 			o.retry(attempt)
 		default:
 			o.handleReply(answer.Reply)
@@ -152,7 +152,7 @@
 	}
 	minCommitted := w.minCommitted
 	p.read(func(answer Answer) {
-		if !answer.Known {
+		if !answer.OutcomeKnown {
 			return
 		}
 		commands := answer.State.(ledger).commands
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -180,7 +180,7 @@
 // orderResponse returns the HTTP status and body that answer an order.
 func orderResponse(answer chain.Answer) (status int, body []byte) {
 	switch {
-	case !answer.Known:
+	case !answer.OutcomeKnown:
 		return http.StatusServiceUnavailable, []byte("the outcome is not known yet")
 	case answer.Reply.Status == http.StatusOK:
 		return http.StatusOK, []byte("{}")
@@ -199,7 +199,7 @@
 
 // readResponse returns the HTTP status and body that answer a read of the configuration.
 func readResponse(answer chain.Answer) (status int, body []byte) {
-	if !answer.Known {
+	if !answer.OutcomeKnown {
 		return http.StatusServiceUnavailable, []byte("no contact with the control processes in charge")
 	}
 	current, ok := answer.State.(replicatedConfig)
--- a/internal/control/build.go
+++ b/internal/control/build.go
@@ -46,15 +46,15 @@
 func (p *Process) build(store openedStore, random *rand.Rand) (chain.Output, error) {
 	cfg, now := p.settings, p.clock()
 	node, initial, err := chain.New(chain.Options{
-		Self:         chain.Member{Name: cfg.Node, Address: cfg.InternalAddress(), Zone: cfg.Zone, Region: cfg.Region},
-		Bootstrap:    cfg.Bootstrap && !store.discarded,
-		Seeds:        cfg.SeedInternalAddresses(),
-		MinimumChain: cfg.Tolerate.Machines + 1,
-		Initial:      replicatedConfig{config.EmptyState()},
-		Decode:       decodeReplicatedConfig,
-		AckBound:     cfg.Bounds.Ack(),
-		Retention:    p.retention,
-		Random:       random,
+		Self:              chain.Member{Name: cfg.Node, Address: cfg.InternalAddress(), Zone: cfg.Zone, Region: cfg.Region},
+		Bootstrap:         cfg.Bootstrap && !store.discarded,
+		Seeds:             cfg.SeedInternalAddresses(),
+		TargetChainLength: cfg.Tolerate.Machines + 1,
+		Initial:           replicatedConfig{config.EmptyState()},
+		Decode:            decodeReplicatedConfig,
+		AckBound:          cfg.Bounds.Ack(),
+		Retention:         p.retention,
+		Random:            random,
 	}, store.records, now)
 	if err != nil {
 		return chain.Output{}, trace.Wrap(err)
--- a/internal/control/isolation_test.go
+++ b/internal/control/isolation_test.go
@@ -69,7 +69,7 @@
 	}
 	for _, c := range sim.controls {
 		identity := c.process.chain.Identity()
-		inChain := view.Place(identity) >= 0
+		inChain := view.ChainIndex(identity) >= 0
 		switch {
 		case role == roleHead && view.Head() == identity, role == roleTail && view.Tail() == identity, role == roleVoter && !inChain:
 			return c
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -17,7 +17,7 @@
 	families := metricFamilies(p.describe(p.clock()), p.counters())
 	if p.mesh != nil {
 		transportCounters := p.mesh.Counters()
-		families = append(families, transportCounters.Families("wallflow_control")...)
+		families = append(families, transportCounters.MetricFamilies("wallflow_control")...)
 	}
 	metrics.Write(w, families)
 }
@@ -44,7 +44,7 @@
 		metrics.Gauge("wallflow_control_configuration_version", "version of the configuration held", float64(status.Generation)),
 		metrics.Gauge("wallflow_control_evacuated_zones", "zones that are evacuated", float64(len(status.Evacuated))),
 		metrics.Gauge("wallflow_control_subscribers", "relays that this process feeds", float64(status.Followers)),
-		metrics.Labelled("wallflow_control_members", "processes of the system by what membership holds of them",
+		metrics.LabelledGauges("wallflow_control_members", "processes of the system by what membership holds of them",
 			"status", countMembers(status.Members)),
 	}
 	families = append(families, serviceFamily(status.Services))
@@ -65,15 +65,15 @@
 }
 
 // countMembers counts members by status, in order of the first occurrence of each status.
-func countMembers(members []operator.Member) []metrics.Count {
-	var counts []metrics.Count
+func countMembers(members []operator.Member) []metrics.LabelCount {
+	var counts []metrics.LabelCount
 	indexes := make(map[string]int)
 	for _, member := range members {
 		index, known := indexes[member.Status]
 		if !known {
 			index = len(counts)
 			indexes[member.Status] = index
-			counts = append(counts, metrics.Count{Value: member.Status})
+			counts = append(counts, metrics.LabelCount{Value: member.Status})
 		}
 		counts[index].Count++
 	}
@@ -84,7 +84,7 @@
 func serviceFamily(services []operator.Service) *dto.MetricFamily {
 	var perState []*dto.Metric
 	for _, service := range services {
-		for _, count := range []metrics.Count{
+		for _, count := range []metrics.LabelCount{
 			{Value: "ready", Count: service.Ready}, {Value: "draining", Count: service.Draining},
 			{Value: "silent", Count: service.Silent}, {Value: "gone", Count: service.Gone},
 		} {
--- a/internal/control/process.go
+++ b/internal/control/process.go
@@ -163,7 +163,7 @@
 		p.setSeeds(p.seeds)
 	}
 	p.sendMembership(p.members.Tick(now))
-	p.applyChainOutput(p.chain.Liveness(now, p.aliveControl()))
+	p.applyChainOutput(p.chain.SetAlive(now, p.aliveControl()))
 	p.applyChainOutput(p.chain.Tick(now))
 	fresh := p.chain.Fresh(now)
 	p.instances.SetMajorityReachable(now, fresh)
--- a/internal/control/receive.go
+++ b/internal/control/receive.go
@@ -16,16 +16,16 @@
 	switch kind {
 	case transport.KindChain:
 		message := new(chainpb.Message)
-		inbox.Take(from, payload, message, func() { p.receiveChain(now, from, message) })
+		inbox.Handle(from, payload, message, func() { p.receiveChain(now, from, message) })
 	case transport.KindSwim:
 		message := new(swimpb.Message)
-		inbox.Take(from, payload, message, func() { p.sendMembership(p.members.Receive(now, from, message)) })
+		inbox.Handle(from, payload, message, func() { p.sendMembership(p.members.Receive(now, from, message)) })
 	case transport.KindRegistry:
 		message := new(feedpb.RegistryMessage)
-		inbox.Take(from, payload, message, func() { p.receiveRegistry(now, from, message) })
+		inbox.Handle(from, payload, message, func() { p.receiveRegistry(now, from, message) })
 	case transport.KindFeed:
 		message := new(feedpb.FeedMessage)
-		inbox.Take(from, payload, message, func() { p.sendFeed(p.feed.Receive(now, from, message)) })
+		inbox.Handle(from, payload, message, func() { p.sendFeed(p.feed.Receive(now, from, message)) })
 	}
 }
 
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -191,8 +191,8 @@
 func (sim *simulation) randomRetention() chain.Retention {
 	retentions := []chain.Retention{
 		{},
-		{Entries: 2, EntryBytes: 1 << 20, RewriteFrom: 4 << 10},
-		{Entries: 20, EntryBytes: 2 << 10, RewriteFrom: 32 << 10},
+		{Entries: 2, EntryBytes: 1 << 20, MinRewriteBytes: 4 << 10},
+		{Entries: 20, EntryBytes: 2 << 10, MinRewriteBytes: 32 << 10},
 	}
 	return retentions[sim.random.Intn(len(retentions))]
 }
--- a/internal/control/socket_test.go
+++ b/internal/control/socket_test.go
@@ -270,7 +270,7 @@
 		identity := identities[m]
 		switch {
 		case role == roleHead && newest.Head() == identity, role == roleTail && newest.Tail() == identity,
-			role == roleVoter && newest.Place(identity) < 0:
+			role == roleVoter && newest.ChainIndex(identity) < 0:
 			return m
 		}
 	}
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -26,7 +26,7 @@
 	families = append(families, prefillRateFamilies(prefillRates)...)
 	families = append(families, loadFamilies(loads)...)
 	transportCounters := p.mesh.Counters()
-	return append(families, transportCounters.Families("wallflow_relay")...)
+	return append(families, transportCounters.MetricFamilies("wallflow_relay")...)
 }
 
 func requestFamilies(stats proxy.Stats) []*dto.MetricFamily {
@@ -54,7 +54,7 @@
 		matched = append(matched, metrics.CounterMetric(rule.Times, metrics.Label("rule", string(rule.Rule))))
 	}
 	families := []*dto.MetricFamily{
-		metrics.Labelled("wallflow_relay_endpoints", "endpoints by how they stand here", "standing", []metrics.Count{
+		metrics.LabelledGauges("wallflow_relay_endpoints", "endpoints by how they stand here", "standing", []metrics.LabelCount{
 			{Value: "warm", Count: counts.Warm}, {Value: "cold", Count: counts.Cold},
 			{Value: "skipped", Count: counts.Skipped}, {Value: "silent", Count: counts.Silent},
 		}),
--- a/internal/dataplane/receive.go
+++ b/internal/dataplane/receive.go
@@ -16,13 +16,13 @@
 	switch kind {
 	case transport.KindSwim:
 		message := new(swimpb.Message)
-		inbox.Take(from, payload, message, func() { p.sendMembership(p.members.Receive(now, from, message)) })
+		inbox.Handle(from, payload, message, func() { p.sendMembership(p.members.Receive(now, from, message)) })
 	case transport.KindFeed:
 		message := new(feedpb.FeedMessage)
-		inbox.Take(from, payload, message, func() { p.receiveFeed(now, from, message) })
+		inbox.Handle(from, payload, message, func() { p.receiveFeed(now, from, message) })
 	case transport.KindWorkload:
 		message := new(workloadpb.Message)
-		inbox.Take(from, payload, message, func() { p.loads.Receive(now, from, message) })
+		inbox.Handle(from, payload, message, func() { p.loads.Receive(now, from, message) })
 	}
 }
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -59,14 +59,14 @@
 	return &dto.LabelPair{Name: proto.String(name), Value: proto.String(value)}
 }
 
-// Count is a metric of a family that Labelled returns.
-type Count struct {
+// LabelCount is a metric of a family that Labelled returns.
+type LabelCount struct {
 	Value string // value of the label
 	Count int    // value of the metric
 }
 
-// Labelled returns a family of gauges, one for each value of the label.
-func Labelled(name, help, label string, counts []Count) *dto.MetricFamily {
+// LabelledGauges returns a family of gauges, one for each value of the label.
+func LabelledGauges(name, help, label string, counts []LabelCount) *dto.MetricFamily {
 	var gauges []*dto.Metric
 	for _, each := range counts {
 		gauges = append(gauges, GaugeMetric(float64(each.Count), Label(label, each.Value)))
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -46,7 +46,7 @@
 	code := ExitOK
 	hangups := notifyHangups()
 	command.Flags = append(command.Flags,
-		&cli.StringFlag{Name: settingsFlag, Usage: "settings file", Value: settings.FromEnvironment()},
+		&cli.StringFlag{Name: settingsFlag, Usage: "settings file", Value: settings.PathFromEnvironment()},
 		&cli.StringFlag{Name: levelFlag, Usage: "debug, info, warn or error", Value: "info"},
 		&cli.BoolFlag{Name: jsonFlag, Usage: "write logs as JSON"},
 	)
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -104,7 +104,7 @@
 		return evs
 	}
 	r.markEnded(m)
-	r.wal.End(m.Message)
+	r.wal.RecordEnd(m.Message)
 	r.forgetIfFinished(m)
 	return append(evs, policy.Event{Kind: policy.Withdrawn, ID: id})
 }
@@ -139,7 +139,7 @@
 	m.inFlight--
 	switch res.outcome {
 	case policy.Full, policy.ConnectFailed, policy.Moot:
-		r.wal.NeverRan(m.Message, a.number)
+		r.wal.RecordNeverRan(m.Message, a.number)
 	}
 	if ok || res.messageEnded {
 		if res.messageEnded {
@@ -148,7 +148,7 @@
 			m.count(delivered)
 		}
 		r.markEnded(m)
-		r.wal.End(m.Message)
+		r.wal.RecordEnd(m.Message)
 	}
 	r.forgetIfFinished(m)
 	return append(evs, policy.Event{
@@ -174,7 +174,7 @@
 
 // forgetIfFinished drops a message that has ended, has no attempt in flight and no notice to deliver.
 func (r *Relay) forgetIfFinished(m *message) {
-	if m.inFlight == 0 && m.ended && !r.wal.Owes(m.Message) {
+	if m.inFlight == 0 && m.ended && !r.wal.IsUnfinished(m.Message) {
 		delete(r.msgs, m.ID)
 		if r.byTrace[m.Trace] == m {
 			delete(r.byTrace, m.Trace)
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -102,7 +102,7 @@
 		case noticesAccepted:
 			for _, id := range e.ids {
 				if m := r.msgs[id]; m != nil {
-					r.wal.End(m.Message)
+					r.wal.RecordEnd(m.Message)
 					r.forgetIfFinished(m)
 				}
 			}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -510,11 +510,11 @@
 		t.Fatal(err)
 	}
 	for _, i := range []int{2, 3} { // long ago: the deduplication window has ended
-		if err := r.wal.Sent(wal.Send{Message: ms[i], Attempt: wal.Attempt{Host: "s-1", At: time.Now().Add(-time.Hour)}}); err != nil {
+		if err := r.wal.RecordSends(wal.Send{Message: ms[i], Attempt: wal.Attempt{Host: "s-1", At: time.Now().Add(-time.Hour)}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r.wal.NeverRan(ms[3], 0)
+	r.wal.RecordNeverRan(ms[3], 0)
 	if err := errors.Join(r.wal.Flush(), r.lock.Release()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -23,8 +23,8 @@
 		known.Full = true
 		evs = append(evs, r.applyList(known))
 	}
-	if len(recovered.Doubts) > 0 {
-		evs = append(evs, r.suspicionsEvent(recovered.Doubts))
+	if len(recovered.Suspicions) > 0 {
+		evs = append(evs, r.suspicionsEvent(recovered.Suspicions))
 	}
 	for _, w := range recovered.Messages {
 		m := r.newMessage(w, r.classOfRecovered(w))
@@ -39,7 +39,7 @@
 			// Attempts may be missing from the log, so the message may have run and is not sent again.
 			m.ended = true
 			m.count(failed)
-			r.wal.Decide(w, wal.Final{})
+			r.wal.RecordFinal(w, wal.Final{})
 			r.queueNotice(m)
 		default:
 			r.held++
@@ -62,19 +62,19 @@
 
 // recordSuspicions writes the hosts that the decision module suspects of an outage to the log, for the next process.
 func (r *Relay) recordSuspicions() {
-	var suspected []wal.Doubt
+	var suspected []wal.Suspicion
 	for _, d := range r.sender.Suspicions() {
-		x := wal.Doubt{Host: d.Route, Slight: d.Weak}
+		x := wal.Suspicion{Host: d.Route, Slight: d.Weak}
 		if d.SinceDelivery > 0 {
 			x.Back = time.Now().Add(-d.SinceDelivery)
 		}
 		suspected = append(suspected, x)
 	}
-	r.wal.Doubt(suspected)
+	r.wal.SetSuspicions(suspected)
 }
 
 // suspicionsEvent returns the event that tells the decision module what the previous process knew of outages.
-func (r *Relay) suspicionsEvent(found []wal.Doubt) policy.Event {
+func (r *Relay) suspicionsEvent(found []wal.Suspicion) policy.Event {
 	e := policy.Event{Kind: policy.SuspicionsRestored}
 	for _, d := range found {
 		x := policy.Suspicion{Route: d.Host, Weak: d.Slight}
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -40,11 +40,11 @@
 				if a.Kind == policy.Fail {
 					answers[a.ID] = answer{status: http.StatusInternalServerError}
 				}
-				r.wal.End(m.Message)
+				r.wal.RecordEnd(m.Message)
 				r.forgetIfFinished(m)
 				continue
 			}
-			r.wal.Decide(m.Message, wal.Final{Deferred: a.Kind == policy.Refuse, Again: a.Delay})
+			r.wal.RecordFinal(m.Message, wal.Final{Deferred: a.Kind == policy.Refuse, Again: a.Delay})
 			ended = append(ended, m)
 		case policy.Wake:
 			r.wakeAt = time.Now().Add(a.Delay) // the module has one wake time; a new one replaces it
@@ -132,7 +132,7 @@
 	if len(sends) == 0 {
 		return r.wal.Flush()
 	}
-	if err := r.wal.Sent(sends...); err != nil {
+	if err := r.wal.RecordSends(sends...); err != nil {
 		return err
 	}
 	for _, a := range attempts {
--- a/internal/relay/settings.go
+++ b/internal/relay/settings.go
@@ -44,7 +44,7 @@
 		n.classes[name] = c
 		terms = append(terms, wal.Terms{Name: name, Rules: rules})
 	}
-	for i, number := range r.wal.Use(terms) {
+	for i, number := range r.wal.SetTerms(terms) {
 		n.classes[cfg.Classes[i]].termsNumber = number
 	}
 	r.names.Store(n)
@@ -54,7 +54,7 @@
 // classOfRecovered returns the class of a message that a previous process accepted, with the terms under which it did so;
 // nil if they are lost.
 func (r *Relay) classOfRecovered(m *wal.Message) *class {
-	t, ok := r.wal.Terms(m)
+	t, ok := r.wal.TermsOf(m)
 	if !ok {
 		// Logs of older versions contain no terms: use those of the current configuration, by the index of the class.
 		if m.Class < 0 || m.Class >= len(r.cfg.Classes) {
--- a/internal/relay/takeover.go
+++ b/internal/relay/takeover.go
@@ -130,7 +130,7 @@
 	}
 	defer func() {
 		if err != nil {
-			err = errors.Join(err, r.wal.Leave(), lock.Release())
+			err = errors.Join(err, r.wal.CloseUnflushed(), lock.Release())
 		}
 	}()
 	if err := r.inherit(pred); err != nil {
@@ -163,13 +163,13 @@
 		}
 		delete(fromLog, x.ID)
 		var c *class
-		if r.wal.Owes(w) {
+		if r.wal.IsUnfinished(w) {
 			c = r.classOfRecovered(w)
 		}
 		m := r.newMessage(w, c)
 		m.sends, m.ended, m.counted, m.resubmitted, m.withdrawn = x.Sends, x.Ended, x.Counted, x.Again, x.Withdrawn
 		r.msgs[m.ID] = m
-		if r.wal.Owes(w) {
+		if r.wal.IsUnfinished(w) {
 			r.byTrace[m.Trace] = m
 		}
 		if !m.ended {
@@ -218,7 +218,7 @@
 func (r *Relay) resumeTakeover() {
 	r.walRecovery = wal.Recovery{}
 	for _, m := range r.msgs {
-		if m.ended && m.Final != nil && r.wal.Owes(m.Message) {
+		if m.ended && m.Final != nil && r.wal.IsUnfinished(m.Message) {
 			r.queueNotice(m)
 		}
 	}
@@ -361,11 +361,11 @@
 		r.lock, err = wal.Acquire(r.cfg.StateDir)
 	}
 	if err == nil {
-		err = r.wal.Untouched()
+		err = r.wal.CheckUnmodified()
 	}
 	if err != nil {
 		r.log.Error("the write-ahead log belongs to another process: starting the relay again", "err", err)
-		r.wal.Leave()
+		r.wal.CloseUnflushed()
 		if r.lock != nil {
 			r.lock.Release()
 			r.lock = nil
@@ -444,7 +444,7 @@
 	r.forwarder = &forwarder{link: l, pending: map[int]*submission{}}
 	r.handedOver.Store(true)
 	r.stopDeciding() // the successor follows discovery and sends notices now
-	r.wal.Leave()
+	r.wal.CloseUnflushed()
 	r.hosts.close()
 	r.msgs, r.byTrace, r.held = map[uint32]*message{}, map[string]*message{}, 0
 	r.metrics.active.Store(0)
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -314,7 +314,7 @@
 
 func TestPathComesFromTheEnvironment(t *testing.T) {
 	t.Setenv(settings.PathVariable, "/somewhere/settings.toml")
-	assert.Equal(t, settings.FromEnvironment(), "/somewhere/settings.toml")
+	assert.Equal(t, settings.PathFromEnvironment(), "/somewhere/settings.toml")
 	t.Setenv(settings.PathVariable, "")
-	assert.Equal(t, settings.FromEnvironment(), settings.DefaultPath)
+	assert.Equal(t, settings.PathFromEnvironment(), settings.DefaultPath)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -77,8 +77,8 @@
 	Regions  int // whole regions
 }
 
-// FromEnvironment returns the path of the settings file: the value of PathVariable, or DefaultPath.
-func FromEnvironment() (path string) {
+// PathFromEnvironment returns the path of the settings file: the value of PathVariable, or DefaultPath.
+func PathFromEnvironment() (path string) {
 	if path, present := os.LookupEnv(PathVariable); present && path != "" {
 		return path
 	}
--- a/internal/transport/inbox.go
+++ b/internal/transport/inbox.go
@@ -13,9 +13,9 @@
 	Log  *slog.Logger
 }
 
-// Take decodes a payload into message and then calls handle with the lock held. If the payload cannot be decoded, it only logs
+// Handle decodes a payload into message and then calls handle with the lock held. If the payload cannot be decoded, it only logs
 // that.
-func (i Inbox) Take(from string, payload []byte, message proto.Message, handle func()) {
+func (i Inbox) Handle(from string, payload []byte, message proto.Message, handle func()) {
 	if err := proto.Unmarshal(payload, message); err != nil {
 		i.Log.Warn("malformed message", "from", from, "error", err)
 		return
--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -6,9 +6,9 @@
 	"wallflow/internal/metrics"
 )
 
-// Families returns the counters as Prometheus metrics: messages and bytes sent by kind, and dropped messages by cause. The
+// MetricFamilies returns the counters as Prometheus metrics: messages and bytes sent by kind, and dropped messages by cause. The
 // metric names begin with the prefix, which identifies the program.
-func (c *Counters) Families(prefix string) []*dto.MetricFamily {
+func (c *Counters) MetricFamilies(prefix string) []*dto.MetricFamily {
 	var messages, bytes []*dto.Metric
 	for kind, sent := range c.Sent {
 		if sent.Messages == 0 {
--- a/internal/transport/metrics_test.go
+++ b/internal/transport/metrics_test.go
@@ -10,7 +10,7 @@
 func TestMetricFamilies(t *testing.T) {
 	counters := Counters{DroppedFull: 3}
 	counters.Sent[KindWorkload] = KindCounter{Messages: 5, Bytes: 700}
-	families := counters.Families("wallflow_relay")
+	families := counters.MetricFamilies("wallflow_relay")
 	values := map[string]float64{}
 	for _, family := range families {
 		for _, metric := range family.Metric {
@@ -22,5 +22,5 @@
 	assert.Equal(t, values["wallflow_relay_dropped_messages_total queue full"], 3.0)
 	_, present := values["wallflow_relay_dropped_messages_total too large"]
 	assert.Assert(t, present)
-	assert.Equal(t, len((&Counters{}).Families("x")), 1)
+	assert.Equal(t, len((&Counters{}).MetricFamilies("x")), 1)
 }
--- a/internal/wal/lock.go
+++ b/internal/wal/lock.go
@@ -37,8 +37,8 @@
 // Release gives up the lock, so that another process can acquire it. The log must not be written afterwards.
 func (l *Lock) Release() error { return l.file.Close() }
 
-// Untouched returns an error if the log file has been replaced or changed in size since this Log last wrote it.
-func (l *Log) Untouched() error {
+// CheckUnmodified returns an error if the log file has been replaced or changed in size since this Log last wrote it.
+func (l *Log) CheckUnmodified() error {
 	opened, err := l.file.Stat()
 	if err != nil {
 		return fmt.Errorf("wal: %w", err)
@@ -53,5 +53,5 @@
 	return nil
 }
 
-// Leave closes the file without writing anything more. It is called once another process owns the log.
-func (l *Log) Leave() error { return l.file.Close() }
+// CloseUnflushed closes the file without writing anything more. It is called once another process owns the log.
+func (l *Log) CloseUnflushed() error { return l.file.Close() }
--- a/internal/wal/lock_test.go
+++ b/internal/wal/lock_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer log.Leave()
+	defer log.CloseUnflushed()
 	if _, err := Acquire(dir); !errors.Is(err, ErrLocked) {
 		t.Errorf("second Acquire: %v, want ErrLocked", err)
 	}
@@ -37,13 +37,13 @@
 		t.Fatal(err)
 	}
 	defer nextLog.Close()
-	if err := log.Untouched(); err != nil {
+	if err := log.CheckUnmodified(); err != nil {
 		t.Errorf("Untouched after another process only read the log: %v", err)
 	}
 	if err := nextLog.Accept(&Message{ID: 2, Deadline: time.Now()}); err != nil {
 		t.Fatal(err)
 	}
-	if log.Untouched() == nil {
+	if log.CheckUnmodified() == nil {
 		t.Error("Untouched does not detect the write of another process")
 	}
 }
--- a/internal/wal/terms_test.go
+++ b/internal/wal/terms_test.go
@@ -30,11 +30,11 @@
 		t.Fatal(err)
 	}
 	term := func(x string) Terms { return Terms{Name: x, Rules: json.RawMessage(`{"Window":1}`)} }
-	first := l.Use([]Terms{term("a"), term("b")})
+	first := l.SetTerms([]Terms{term("a"), term("b")})
 	if err := l.Accept(&Message{ID: 1, Terms: first[0], Trace: "t", Deadline: time.Now()}); err != nil {
 		t.Fatal(err)
 	}
-	second := l.Use([]Terms{term("c"), term("b")})
+	second := l.SetTerms([]Terms{term("c"), term("b")})
 	if second[1] != first[1] || second[0] == first[0] {
 		t.Errorf("numbers %v after %v: known terms must keep theirs, new ones get another", second, first)
 	}
@@ -45,16 +45,16 @@
 	if len(found.Messages) != 1 {
 		t.Fatalf("recovered %+v, want one message", found)
 	}
-	if got, ok := l.Terms(found.Messages[0]); !ok || !got.equal(term("a")) {
+	if got, ok := l.TermsOf(found.Messages[0]); !ok || !got.equal(term("a")) {
 		t.Errorf("terms %+v, %v", got, ok)
 	}
-	l.Use([]Terms{term("c")})
-	l.End(found.Messages[0])
+	l.SetTerms([]Terms{term("c")})
+	l.RecordEnd(found.Messages[0])
 	if err := l.compact(); err != nil {
 		t.Fatal(err)
 	}
 	l, _ = reopen(t, l, dir)
-	if len(l.terms) != 1 || l.Use([]Terms{term("d")})[0] <= second[0] {
+	if len(l.terms) != 1 || l.SetTerms([]Terms{term("d")})[0] <= second[0] {
 		t.Errorf("terms after compaction and reopening: %v", l.terms)
 	}
 }
@@ -68,12 +68,12 @@
 	}
 	defer l.Close()
 	for i := range 5000 {
-		n := l.Use([]Terms{{Name: fmt.Sprint(i), Rules: json.RawMessage(`{}`)}})
+		n := l.SetTerms([]Terms{{Name: fmt.Sprint(i), Rules: json.RawMessage(`{}`)}})
 		m := &Message{ID: uint32(i + 1), Terms: n[0], Deadline: time.Now()}
 		if err := l.Accept(m); err != nil {
 			t.Fatalf("Accept after %d changes: %v", i, err)
 		}
-		l.End(m)
+		l.RecordEnd(m)
 	}
 	info, err := os.Stat(filepath.Join(dir, logFileName))
 	if err != nil || info.Size() > 64<<10 {
@@ -100,7 +100,7 @@
 	if len(found.Messages) != 1 || found.Messages[0].Class != 1 {
 		t.Fatalf("recovered %+v, want one message of class 1", found.Messages)
 	}
-	if _, ok := l.Terms(found.Messages[0]); ok {
+	if _, ok := l.TermsOf(found.Messages[0]); ok {
 		t.Error("Terms returned terms that the log does not hold")
 	}
 }
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -68,9 +68,9 @@
 	Attempt Attempt
 }
 
-// Doubt records that a host is suspected of an outage, or is recovering from one. Traffic to such a host is limited, also
+// Suspicion records that a host is suspected of an outage, or is recovering from one. Traffic to such a host is limited, also
 // after a restart of the relay.
-type Doubt struct {
+type Suspicion struct {
 	Host   string
 	Slight bool      `json:",omitempty"` // the suspicion rests on a single failure
 	Back   time.Time // first delivery after the outage; zero: none yet
@@ -82,15 +82,15 @@
 const recoveryTimeTolerance = time.Second / 2
 
 // equal reports whether both describe the same state of a host.
-func (d Doubt) equal(o Doubt) bool {
+func (d Suspicion) equal(o Suspicion) bool {
 	sameRecovery := d.Back.IsZero() == o.Back.IsZero() && d.Back.Sub(o.Back).Abs() < recoveryTimeTolerance
 	return d.Host == o.Host && d.Slight == o.Slight && sameRecovery
 }
 
 // Recovery is the state that Open read from the log.
 type Recovery struct {
-	Messages []*Message // unfinished messages in the order in which they were accepted
-	Doubts   []Doubt    // sorted by host
+	Messages   []*Message  // unfinished messages in the order in which they were accepted
+	Suspicions []Suspicion // sorted by host
 	// Damaged reports that records before the last one were unreadable: attempts may be missing from the messages.
 	Damaged bool
 	// Unreadable is the number of bytes skipped: damaged records, a torn tail, or the content of a foreign file.
@@ -126,14 +126,14 @@
 
 // record is the JSON part of a log record. The message body follows it as raw bytes.
 type record struct {
-	Kind    byte     // one of the rec constants
-	ID      uint32   // of the message; the number of the terms in a recTerms record
-	Message *Message `json:",omitempty"` // of recAccept
-	Attempt *Attempt `json:",omitempty"` // of recSend
-	N       int      `json:",omitempty"` // of recOutcome: the attempt that had no effect
-	Final   *Final   `json:",omitempty"` // of recFinal
-	Terms   *Terms   `json:",omitempty"` // of recTerms
-	Doubt   *Doubt   `json:",omitempty"` // of recSuspicion
+	Kind    byte       // one of the rec constants
+	ID      uint32     // of the message; the number of the terms in a recTerms record
+	Message *Message   `json:",omitempty"` // of recAccept
+	Attempt *Attempt   `json:",omitempty"` // of recSend
+	N       int        `json:",omitempty"` // of recOutcome: the attempt that had no effect
+	Final   *Final     `json:",omitempty"` // of recFinal
+	Terms   *Terms     `json:",omitempty"` // of recTerms
+	Doubt   *Suspicion `json:",omitempty"` // of recSuspicion
 }
 
 // Log is an open log. It is not safe for concurrent use.
@@ -141,19 +141,19 @@
 	dir             string
 	limit           int64 // disk limit in bytes
 	file            *os.File
-	size            int64               // size of the file in bytes; all of it is readable records
-	live            map[uint32]*Message // unfinished messages by ID
-	terms           map[uint32]Terms    // by number: the current terms and those that a message may refer to
-	currentTerms    []uint32            // numbers of the terms for new messages
-	lastTermsNumber uint32              // highest number assigned so far
-	liveBytes       int64               // estimated size of the live messages in a compacted file
-	unwritten       []byte              // encoded records that are not in the file yet
-	suspicions      map[string]Doubt    // by host
+	size            int64                // size of the file in bytes; all of it is readable records
+	live            map[uint32]*Message  // unfinished messages by ID
+	terms           map[uint32]Terms     // by number: the current terms and those that a message may refer to
+	currentTerms    []uint32             // numbers of the terms for new messages
+	lastTermsNumber uint32               // highest number assigned so far
+	liveBytes       int64                // estimated size of the live messages in a compacted file
+	unwritten       []byte               // encoded records that are not in the file yet
+	suspicions      map[string]Suspicion // by host
 }
 
 // Open reads the log in dir, or creates one. The log uses at most limit bytes of disk space.
 func Open(dir string, limit int64) (*Log, Recovery, error) {
-	l := &Log{dir: dir, limit: limit, live: map[uint32]*Message{}, terms: map[uint32]Terms{}, suspicions: map[string]Doubt{}}
+	l := &Log{dir: dir, limit: limit, live: map[uint32]*Message{}, terms: map[uint32]Terms{}, suspicions: map[string]Suspicion{}}
 	// A crash during compaction leaves the old file complete and the new one partly written.
 	if err := os.Remove(filepath.Join(dir, tempFileName)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, Recovery{}, fmt.Errorf("wal: %w", err)
@@ -174,18 +174,18 @@
 		return nil, Recovery{}, fmt.Errorf("wal: truncate the torn tail: %w", err)
 	}
 	l.size = end
-	return l, Recovery{Messages: l.liveMessages(), Doubts: l.sortedSuspicions(), Damaged: damaged, Unreadable: unreadable}, nil
+	return l, Recovery{Messages: l.liveMessages(), Suspicions: l.sortedSuspicions(), Damaged: damaged, Unreadable: unreadable}, nil
 }
 
 // Close writes the buffered records and closes the file.
 func (l *Log) Close() error { return errors.Join(l.Flush(), l.file.Close()) }
 
-// Owes reports whether m is unfinished.
-func (l *Log) Owes(m *Message) bool { return l.live[m.ID] != nil }
+// IsUnfinished reports whether m is unfinished.
+func (l *Log) IsUnfinished(m *Message) bool { return l.live[m.ID] != nil }
 
-// Use replaces the current terms and returns the numbers of the new ones. Terms that are already known keep their number.
+// SetTerms replaces the current terms and returns the numbers of the new ones. Terms that are already known keep their number.
 // New terms are written to the file before the first message that refers to them.
-func (l *Log) Use(allTerms []Terms) []uint32 {
+func (l *Log) SetTerms(allTerms []Terms) []uint32 {
 	numbers := make([]uint32, 0, len(allTerms))
 	for _, t := range allTerms {
 		n := uint32(0)
@@ -206,8 +206,8 @@
 	return numbers
 }
 
-// Terms returns the terms that apply to a message, or false if the log does not have them.
-func (l *Log) Terms(m *Message) (Terms, bool) {
+// TermsOf returns the terms that apply to a message, or false if the log does not have them.
+func (l *Log) TermsOf(m *Message) (Terms, bool) {
 	t, ok := l.terms[m.Terms]
 	return t, ok
 }
@@ -231,8 +231,8 @@
 	return nil
 }
 
-// Sent records attempts, all or none of them. It must be called before the first byte of any of them is sent.
-func (l *Log) Sent(sends ...Send) error {
+// RecordSends records attempts, all or none of them. It must be called before the first byte of any of them is sent.
+func (l *Log) RecordSends(sends ...Send) error {
 	var buf []byte
 	for _, s := range sends {
 		buf = appendRecord(buf, record{Kind: recSend, ID: s.Message.ID, Attempt: &s.Attempt}, nil)
@@ -248,8 +248,8 @@
 	return nil
 }
 
-// Doubt replaces the recorded suspicions by the current ones. It buffers a record for each change.
-func (l *Log) Doubt(current []Doubt) {
+// SetSuspicions replaces the recorded suspicions by the current ones. It buffers a record for each change.
+func (l *Log) SetSuspicions(current []Suspicion) {
 	suspected := map[string]bool{}
 	for _, d := range current {
 		suspected[d.Host] = true
@@ -261,21 +261,21 @@
 	for _, d := range l.sortedSuspicions() {
 		if !suspected[d.Host] {
 			delete(l.suspicions, d.Host)
-			l.unwritten = appendRecord(l.unwritten, record{Kind: recSuspicion, Doubt: &Doubt{Host: d.Host, Over: true}}, nil)
+			l.unwritten = appendRecord(l.unwritten, record{Kind: recSuspicion, Doubt: &Suspicion{Host: d.Host, Over: true}}, nil)
 		}
 	}
 }
 
 // sortedSuspicions returns the current suspicions sorted by host.
-func (l *Log) sortedSuspicions() []Doubt {
+func (l *Log) sortedSuspicions() []Suspicion {
 	sorted := slices.Collect(maps.Values(l.suspicions))
-	slices.SortFunc(sorted, func(a, b Doubt) int { return strings.Compare(a.Host, b.Host) })
+	slices.SortFunc(sorted, func(a, b Suspicion) int { return strings.Compare(a.Host, b.Host) })
 	return sorted
 }
 
-// NeverRan buffers a record that attempt n is known to have had no effect. Other outcomes need no record: after a restart the
+// RecordNeverRan buffers a record that attempt n is known to have had no effect. Other outcomes need no record: after a restart the
 // attempt is treated as one that may have taken effect.
-func (l *Log) NeverRan(m *Message, n int) {
+func (l *Log) RecordNeverRan(m *Message, n int) {
 	if l.live[m.ID] == nil {
 		return
 	}
@@ -285,8 +285,8 @@
 	l.unwritten = appendRecord(l.unwritten, record{Kind: recOutcome, ID: m.ID, N: n}, nil)
 }
 
-// Decide buffers a record of the notice that will end m.
-func (l *Log) Decide(m *Message, f Final) {
+// RecordFinal buffers a record of the notice that will end m.
+func (l *Log) RecordFinal(m *Message, f Final) {
 	if l.live[m.ID] == nil {
 		return
 	}
@@ -294,8 +294,8 @@
 	l.unwritten = appendRecord(l.unwritten, record{Kind: recFinal, ID: m.ID, Final: &f}, nil)
 }
 
-// End buffers a record that m is finished.
-func (l *Log) End(m *Message) {
+// RecordEnd buffers a record that m is finished.
+func (l *Log) RecordEnd(m *Message) {
 	if l.live[m.ID] == nil {
 		return
 	}
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -68,12 +68,12 @@
 	delivered, refused, pending, accepted := newMessage(1), newMessage(2), newMessage(3), newMessage(4)
 	must(t, l.Accept(delivered, refused, pending, accepted))
 	first := Attempt{N: 0, Host: "s-1", Zone: 1, At: testTime}
-	must(t, l.Sent(Send{delivered, first}, Send{pending, first}))
-	l.NeverRan(pending, 0)
+	must(t, l.RecordSends(Send{delivered, first}, Send{pending, first}))
+	l.RecordNeverRan(pending, 0)
 	second := Attempt{N: 1, Host: "s-2", Zone: 1, At: testTime.Add(time.Second)}
-	must(t, l.Sent(Send{pending, second}))
-	l.End(delivered)
-	l.Decide(refused, Final{Deferred: true, Again: 700 * time.Millisecond})
+	must(t, l.RecordSends(Send{pending, second}))
+	l.RecordEnd(delivered)
+	l.RecordFinal(refused, Final{Deferred: true, Again: 700 * time.Millisecond})
 	must(t, l.Flush())
 
 	// No Close: the process was killed.
@@ -145,7 +145,7 @@
 	l, _ := open(t, source, largeLimit)
 	for i := range uint32(20) {
 		must(t, l.Accept(newMessage(i)))
-		must(t, l.Sent(Send{l.live[i], Attempt{Host: "s-1", At: testTime}}))
+		must(t, l.RecordSends(Send{l.live[i], Attempt{Host: "s-1", At: testTime}}))
 	}
 	data, err := os.ReadFile(filepath.Join(source, logFileName))
 	must(t, err)
@@ -177,9 +177,9 @@
 		m := newMessage(i)
 		sizeBefore := l.size
 		must(t, l.Accept(m))
-		must(t, l.Sent(Send{m, Attempt{Host: "s-5be2a07c", At: testTime}}))
+		must(t, l.RecordSends(Send{m, Attempt{Host: "s-5be2a07c", At: testTime}}))
 		if unfinished = append(unfinished, m); len(unfinished) > 20 {
-			l.End(unfinished[0])
+			l.RecordEnd(unfinished[0])
 			unfinished = unfinished[1:]
 			must(t, l.Flush())
 		}
@@ -235,12 +235,12 @@
 	}
 	for round := range 4 { // accepted messages can still be sent several times and ended
 		for _, m := range unfinished {
-			must(t, l.Sent(Send{m, Attempt{N: round, Host: "s-5be2a07c", At: testTime}}))
-			l.NeverRan(m, round)
+			must(t, l.RecordSends(Send{m, Attempt{N: round, Host: "s-5be2a07c", At: testTime}}))
+			l.RecordNeverRan(m, round)
 		}
 	}
 	for _, m := range unfinished {
-		l.End(m)
+		l.RecordEnd(m)
 		must(t, l.Flush())
 	}
 	must(t, l.Accept(newMessage(9999)))
@@ -265,10 +265,10 @@
 	if err := l.Accept(newMessage(3)); err == nil {
 		t.Error("Accept returned no error although the write failed")
 	}
-	if err := l.Sent(Send{one, Attempt{Host: "s-1", At: testTime}}); err == nil || one.Attempts != 0 {
+	if err := l.RecordSends(Send{one, Attempt{Host: "s-1", At: testTime}}); err == nil || one.Attempts != 0 {
 		t.Errorf("Sent returned no error after a failed write, or counted the attempt: %v", err)
 	}
-	l.End(two)
+	l.RecordEnd(two)
 	if err := l.Flush(); err == nil {
 		t.Error("Flush returned no error although the write failed")
 	}
@@ -297,14 +297,14 @@
 func TestSuspicionsSurviveRestartAndCompaction(t *testing.T) {
 	dir := t.TempDir()
 	l, found := open(t, dir, largeLimit)
-	if len(found.Doubts) > 0 {
-		t.Fatalf("found %+v", found.Doubts)
+	if len(found.Suspicions) > 0 {
+		t.Fatalf("found %+v", found.Suspicions)
 	}
-	suspicions := []Doubt{{Host: "s-1"}, {Host: "s-2", Back: testTime}, {Host: "s-3", Slight: true}}
-	l.Doubt(suspicions)
+	suspicions := []Suspicion{{Host: "s-1"}, {Host: "s-2", Back: testTime}, {Host: "s-3", Slight: true}}
+	l.SetSuspicions(suspicions)
 	must(t, l.Flush())
 	size := l.size
-	l.Doubt([]Doubt{suspicions[0], {Host: "s-2", Back: testTime.Add(3 * time.Millisecond)}, suspicions[2]})
+	l.SetSuspicions([]Suspicion{suspicions[0], {Host: "s-2", Back: testTime.Add(3 * time.Millisecond)}, suspicions[2]})
 	must(t, l.Flush())
 	if l.size != size {
 		t.Errorf("%d bytes written although nothing changed", l.size-size)
@@ -313,7 +313,7 @@
 		t.Helper()
 		_, found := open(t, dir, largeLimit)
 		var got []string
-		for _, d := range found.Doubts {
+		for _, d := range found.Suspicions {
 			got = append(got, fmt.Sprint(d.Host, " ", d.Slight, " ", d.Back.Equal(testTime)))
 		}
 		if fmt.Sprint(got) != fmt.Sprint(want) {
@@ -323,10 +323,10 @@
 	check("after the first write", "s-1 false false", "s-2 false true", "s-3 true false")
 	must(t, l.compact())
 	check("after a compaction", "s-1 false false", "s-2 false true", "s-3 true false")
-	l.Doubt([]Doubt{{Host: "s-1", Back: testTime}})
+	l.SetSuspicions([]Suspicion{{Host: "s-1", Back: testTime}})
 	must(t, l.Flush())
 	check("after a change", "s-1 false true")
-	l.Doubt(nil)
+	l.SetSuspicions(nil)
 	must(t, l.Flush())
 	check("after all suspicions ended")
 }
