--- a/internal/config/state_test.go
+++ b/internal/config/state_test.go
@@ -16,62 +16,62 @@
 	assert.Equal(t, empty.Generation(), uint64(0))
 	assert.Assert(t, empty.Document() == nil)
 	assert.Assert(t, empty.Compiled() == nil)
-	refusedWith(t, empty, put(1, smallDocument(1, "a")), 412)
+	applyWithoutEffect(t, empty, put(1, smallDocument(1, "a")), 412)
 
-	first := taken(t, empty, put(0, smallDocument(4, "a")))
+	first := applyAccepted(t, empty, put(0, smallDocument(4, "a")))
 	assert.Equal(t, first.Generation(), uint64(4))
 	assert.Equal(t, first.Changes(), uint64(1))
 	assert.Equal(t, string(first.Document()), string(smallDocument(4, "a")))
 	_, found := first.Compiled().Route("h", "/a/x")
 	assert.Assert(t, found)
-	assert.Equal(t, empty.Generation(), uint64(0), "a state never changes")
+	assert.Equal(t, empty.Generation(), uint64(0), "states are immutable")
 }
 
-func TestVersions(t *testing.T) {
-	state := taken(t, config.EmptyState(), put(0, smallDocument(4, "a")))
-	refusedWith(t, state, put(4, smallDocument(4, "same")), 400)
-	refusedWith(t, state, put(4, smallDocument(3, "old")), 400)
-	refusedWith(t, state, put(3, smallDocument(5, "stale")), 412)
-	refusedWith(t, state, put(0, smallDocument(5, "again the first")), 412)
-	refusedWith(t, state, put(5, smallDocument(6, "from the future")), 412)
-	refusedWith(t, state, put(3, smallDocument(3, "stale and old")), 412)
-	refusedWith(t, state, put(4, smallDocument(9, "cut")[:40]), 400)
-	state = taken(t, state, put(4, smallDocument(19, "uneven")))
+func TestVersionChecks(t *testing.T) {
+	state := applyAccepted(t, config.EmptyState(), put(0, smallDocument(4, "a")))
+	applyWithoutEffect(t, state, put(4, smallDocument(4, "same")), 400)
+	applyWithoutEffect(t, state, put(4, smallDocument(3, "old")), 400)
+	applyWithoutEffect(t, state, put(3, smallDocument(5, "stale")), 412)
+	applyWithoutEffect(t, state, put(0, smallDocument(5, "again the first")), 412)
+	applyWithoutEffect(t, state, put(5, smallDocument(6, "from the future")), 412)
+	applyWithoutEffect(t, state, put(3, smallDocument(3, "stale and old")), 412)
+	applyWithoutEffect(t, state, put(4, smallDocument(9, "cut")[:40]), 400)
+	state = applyAccepted(t, state, put(4, smallDocument(19, "uneven")))
 	assert.Equal(t, state.Generation(), uint64(19))
 }
 
-// An order without If-Match doesn't say what it builds on. It is refused for good, since any version might be the one.
-func TestIfMatchHasToBeGiven(t *testing.T) {
+// A change without If-Match does not say which version it is based on, so it is refused with a final status.
+func TestIfMatchIsRequired(t *testing.T) {
 	order := config.Order{Kind: config.Put, Body: smallDocument(1, "a")}
-	refusedWith(t, config.EmptyState(), order, 400)
+	applyWithoutEffect(t, config.EmptyState(), order, 400)
 }
 
-func TestOfTwoOnOneVersionOneWins(t *testing.T) {
-	base := taken(t, config.EmptyState(), put(0, smallDocument(1, "a")))
+func TestOneOfTwoConcurrentChangesWins(t *testing.T) {
+	base := applyAccepted(t, config.EmptyState(), put(0, smallDocument(1, "a")))
 	mine, yours := put(1, smallDocument(2, "mine")), put(1, smallDocument(2, "yours"))
-	state := taken(t, base, mine)
-	refusedWith(t, state, yours, 412)
+	state := applyAccepted(t, base, mine)
+	applyWithoutEffect(t, state, yours, 412)
 	again, verdict := state.ApplyOrder(mine)
 	assert.Equal(t, verdict.Status, 200)
 	assert.Assert(t, again == state && !verdict.Accepted)
 }
 
-// The same text on another version, or as another kind of order, is another order.
-func TestAnotherMatchIsAnotherOrder(t *testing.T) {
-	state := taken(t, config.EmptyState(), put(0, smallDocument(1, "a")))
-	refusedWith(t, state, put(1, smallDocument(1, "a")), 400)
-	refusedWith(t, state, config.Order{Kind: config.Put, Body: smallDocument(1, "a")}, 400)
-	refusedWith(t, state, patch(0, string(smallDocument(1, "a"))), 412)
+// The same body with another If-Match, or in another kind of order, is a different order and not a repetition.
+func TestOrderIdentityIncludesKindAndMatch(t *testing.T) {
+	state := applyAccepted(t, config.EmptyState(), put(0, smallDocument(1, "a")))
+	applyWithoutEffect(t, state, put(1, smallDocument(1, "a")), 400)
+	applyWithoutEffect(t, state, config.Order{Kind: config.Put, Body: smallDocument(1, "a")}, 400)
+	applyWithoutEffect(t, state, patch(0, string(smallDocument(1, "a"))), 412)
 }
 
-// An order that was taken is answered 200 whatever came since, for the last 2048 of them, also by a state that came as a snapshot.
-func TestTheSameAgainAfterOthers(t *testing.T) {
+// The last 2048 accepted changes are answered 200 when repeated, whatever was accepted since, also by a decoded state.
+func TestRepeatedOrderIsAcknowledged(t *testing.T) {
 	const remembered = 2048
 	state := config.EmptyState()
 	var orders []config.Order
 	for version := uint64(0); version < remembered+10; version++ {
 		order := put(version, smallDocument(version+1, fmt.Sprint("v", version)))
-		state = taken(t, state, order)
+		state = applyAccepted(t, state, order)
 		orders = append(orders, order)
 	}
 	for _, order := range orders[len(orders)-remembered:] {
@@ -79,41 +79,42 @@
 		assert.Equal(t, verdict.Status, 200)
 		assert.Assert(t, next == state && !verdict.Accepted)
 	}
-	refusedWith(t, state, orders[0], 412)
-	refusedWith(t, state, orders[9], 412) // the newest that is forgotten
+	applyWithoutEffect(t, state, orders[0], 412)
+	applyWithoutEffect(t, state, orders[9], 412) // the newest one that is forgotten
 	copied, err := config.DecodeState(state.Encode())
 	assert.NilError(t, err)
 	_, verdict := copied.ApplyOrder(orders[10])
 	assert.Equal(t, verdict.Status, 200)
-	refusedWith(t, copied, orders[9], 412)
+	applyWithoutEffect(t, copied, orders[9], 412)
 }
 
-// An order about a zone that was taken in before a newer one about it was known there comes late: it must not undo that one.
-func TestLateOrderAboutAZoneChangesNothing(t *testing.T) {
-	about := func(kind config.OrderKind, zone string, known uint64) config.Order {
+// An order about a zone is stale if the process that received it did not know the zone's last change yet. A stale order must not undo
+// that change.
+func TestStaleZoneOrderIsRefused(t *testing.T) {
+	zoneOrder := func(kind config.OrderKind, zone string, known uint64) config.Order {
 		return config.Order{Kind: kind, Zone: zone, HasKnown: true, Known: known}
 	}
-	state := taken(t, config.EmptyState(), about(config.Evacuate, "z", 0))
-	state = taken(t, state, about(config.Restore, "z", 1))
-	refusedWith(t, state, about(config.Evacuate, "z", 1), 503) // of before it was taken back
-	state = taken(t, state, about(config.Evacuate, "z", 2))
-	refusedWith(t, state, about(config.Restore, "z", 2), 503) // the first restoration, once more
+	state := applyAccepted(t, config.EmptyState(), zoneOrder(config.Evacuate, "z", 0))
+	state = applyAccepted(t, state, zoneOrder(config.Restore, "z", 1))
+	applyWithoutEffect(t, state, zoneOrder(config.Evacuate, "z", 1), 503) // sent before the zone was restored
+	state = applyAccepted(t, state, zoneOrder(config.Evacuate, "z", 2))
+	applyWithoutEffect(t, state, zoneOrder(config.Restore, "z", 2), 503) // a delayed copy of the first restoration
 	for _, known := range []uint64{0, 3} {
-		next, verdict := state.ApplyOrder(about(config.Evacuate, "z", known)) // what it asks for holds already
+		next, verdict := state.ApplyOrder(zoneOrder(config.Evacuate, "z", known)) // the zone is evacuated already
 		assert.Assert(t, next == state && verdict.Status == 200)
 	}
 	copied, err := config.DecodeState(state.Encode())
 	assert.NilError(t, err)
-	refusedWith(t, copied, about(config.Restore, "z", 2), 503)
-	state = taken(t, state, about(config.Evacuate, "other", 0)) // other zones have no say
-	taken(t, copied, about(config.Restore, "z", 3))
-	taken(t, state, about(config.Restore, "other", 4))
+	applyWithoutEffect(t, copied, zoneOrder(config.Restore, "z", 2), 503)
+	state = applyAccepted(t, state, zoneOrder(config.Evacuate, "other", 0)) // changes of other zones don't make an order stale
+	applyAccepted(t, copied, zoneOrder(config.Restore, "z", 3))
+	applyAccepted(t, state, zoneOrder(config.Restore, "other", 4))
 }
 
 func TestPatchOrders(t *testing.T) {
-	state := taken(t, config.EmptyState(), put(0, []byte(sampleDocument)))
+	state := applyAccepted(t, config.EmptyState(), put(0, []byte(sampleDocument)))
 	add := patch(7, `{"generation":9,"upsert":{"routes":[{"name":"r-3","host":"new.example","pathPrefix":"/","kind":"safe","timeoutMs":9,"backend":"wuno96b"}]},"delete":{"routes":["r-1"]}}`)
-	state = taken(t, state, add)
+	state = applyAccepted(t, state, add)
 	assert.Equal(t, state.Generation(), uint64(9))
 	route, found := state.Compiled().Route("new.example", "/x")
 	assert.Assert(t, found)
@@ -123,21 +124,21 @@
 
 	again, verdict := state.ApplyOrder(add)
 	assert.Assert(t, again == state && verdict.Status == 200)
-	refusedWith(t, state, patch(7, `{"generation":10}`), 412)
-	refusedWith(t, state, patch(9, `{"generation":9}`), 400)
-	refusedWith(t, state, patch(9, `{"generation":8}`), 400)
-	refusedWith(t, state, patch(9, `{"upsert":{}}`), 400)
-	refusedWith(t, state, patch(9, `{"generation":10,"delete":{"backends":["huvo11a"]}}`), 400)
-	refusedWith(t, state, patch(9, `{"generation":10,"upsert":{"routes":[{"name":"r-4"}]}}`), 400)
-	refusedWith(t, state, patch(9, `{"generation":"10"}`), 400)
+	applyWithoutEffect(t, state, patch(7, `{"generation":10}`), 412)
+	applyWithoutEffect(t, state, patch(9, `{"generation":9}`), 400)
+	applyWithoutEffect(t, state, patch(9, `{"generation":8}`), 400)
+	applyWithoutEffect(t, state, patch(9, `{"upsert":{}}`), 400)
+	applyWithoutEffect(t, state, patch(9, `{"generation":10,"delete":{"backends":["huvo11a"]}}`), 400)
+	applyWithoutEffect(t, state, patch(9, `{"generation":10,"upsert":{"routes":[{"name":"r-4"}]}}`), 400)
+	applyWithoutEffect(t, state, patch(9, `{"generation":"10"}`), 400)
 }
 
-// Before the first configuration a change applies to an empty one.
+// A patch before the first configuration applies to an empty document.
 func TestPatchBeforeTheFirstConfiguration(t *testing.T) {
 	empty := config.EmptyState()
-	refusedWith(t, empty, patch(3, `{"generation":4}`), 412)
-	refusedWith(t, empty, patch(0, `{"generation":0}`), 400)
-	state := taken(t, empty, patch(0, `{"generation":4,"upsert":{"backends":[{"name":"b"}]}}`))
+	applyWithoutEffect(t, empty, patch(3, `{"generation":4}`), 412)
+	applyWithoutEffect(t, empty, patch(0, `{"generation":0}`), 400)
+	state := applyAccepted(t, empty, patch(0, `{"generation":4,"upsert":{"backends":[{"name":"b"}]}}`))
 	assert.Equal(t, string(state.Document()), `{"generation":4,"routes":[],"backends":[{"name":"b"}]}`)
 }
 
@@ -145,35 +146,35 @@
 	evacuate := config.Order{Kind: config.Evacuate, Zone: "z-b"}
 	restore := config.Order{Kind: config.Restore, Zone: "z-b"}
 	empty := config.EmptyState()
-	refusedWith(t, empty, restore, 200)
+	applyWithoutEffect(t, empty, restore, 200)
 
-	state := taken(t, empty, evacuate)
-	refusedWith(t, state, evacuate, 200)
-	state = taken(t, state, config.Order{Kind: config.Evacuate, Zone: "z-a"})
+	state := applyAccepted(t, empty, evacuate)
+	applyWithoutEffect(t, state, evacuate, 200)
+	state = applyAccepted(t, state, config.Order{Kind: config.Evacuate, Zone: "z-a"})
 	assert.DeepEqual(t, state.Evacuated(), []string{"z-a", "z-b"})
 	assert.Assert(t, state.IsEvacuated("z-b") && !state.IsEvacuated("z-c"))
 
-	state = taken(t, state, restore)
-	refusedWith(t, state, restore, 200)
+	state = applyAccepted(t, state, restore)
+	applyWithoutEffect(t, state, restore, 200)
 	assert.DeepEqual(t, state.Evacuated(), []string{"z-a"})
 	assert.DeepEqual(t, state.Restored(), []config.Restoration{{Zone: "z-b", Revision: 3}})
 
-	// Unlike a configuration, the same evacuation counts anew after it was taken back.
-	state = taken(t, state, evacuate)
+	// Unlike a repeated configuration change, a repeated evacuation takes effect again after the zone was restored.
+	state = applyAccepted(t, state, evacuate)
 	assert.DeepEqual(t, state.Evacuated(), []string{"z-a", "z-b"})
 	assert.Equal(t, len(state.Restored()), 0)
 	assert.Equal(t, state.Changes(), uint64(4))
 }
 
 func TestEvacuationKeepsTheConfiguration(t *testing.T) {
-	state := taken(t, config.EmptyState(), put(0, smallDocument(1, "a")))
+	state := applyAccepted(t, config.EmptyState(), put(0, smallDocument(1, "a")))
 	compiled := state.Compiled()
-	state = taken(t, state, config.Order{Kind: config.Evacuate, Zone: "z"})
+	state = applyAccepted(t, state, config.Order{Kind: config.Evacuate, Zone: "z"})
 	assert.Assert(t, state.Compiled() == compiled, "the same document is compiled once")
 	assert.Equal(t, state.Generation(), uint64(1))
 }
 
-func TestOrdersThatNameNoZoneOrKind(t *testing.T) {
+func TestOrderWithoutValidZoneOrKindIsRefused(t *testing.T) {
 	for _, order := range []config.Order{
 		{Kind: config.Evacuate},
 		{Kind: config.Evacuate, Zone: "z\xff"},
@@ -181,7 +182,7 @@
 		{Kind: 0},
 		{Kind: 9, Zone: "z"},
 	} {
-		refusedWith(t, config.EmptyState(), order, 400)
+		applyWithoutEffect(t, config.EmptyState(), order, 400)
 	}
 }
 
@@ -198,27 +199,27 @@
 	}
 }
 
-func TestDecodeRefusesWhatIsNone(t *testing.T) {
+func TestDecodeRefusesInvalidText(t *testing.T) {
 	for _, text := range []string{"", "\xff", "\x08\x09", "\x08\x81\x02", "x"} {
 		_, err := config.DecodeOrder([]byte(text))
 		assert.Assert(t, err != nil, "order %q", text)
 	}
-	state := taken(t, config.EmptyState(), put(0, smallDocument(1, "a")))
+	state := applyAccepted(t, config.EmptyState(), put(0, smallDocument(1, "a")))
 	text := state.Encode()
 	for length := 1; length < len(text); length++ {
 		cut, err := config.DecodeState(text[:length])
 		if err == nil {
-			// Between two fields the rest is a message of its own; it must not pass for the state.
+			// A message that is cut between two fields is valid, but must not decode to the same state.
 			assert.Assert(t, string(cut.Encode()) != string(text), "cut at %d", length)
 		}
 	}
 }
 
-// A state that a build wrote before it noted when zones were evacuated is read as one in which that is not known.
-func TestStateOfAnEarlierBuildIsRead(t *testing.T) {
-	state := taken(t, config.EmptyState(), put(0, smallDocument(1, "a")))
+// States written by older builds lack the revisions of evacuations. They are decoded without them.
+func TestStateWithoutEvacuationRevisionsIsRead(t *testing.T) {
+	state := applyAccepted(t, config.EmptyState(), put(0, smallDocument(1, "a")))
 	for _, zone := range []string{"hall-a", "hall-b"} {
-		state = taken(t, state, config.Order{Kind: config.Evacuate, Zone: zone})
+		state = applyAccepted(t, state, config.Order{Kind: config.Evacuate, Zone: zone})
 	}
 	var message configpb.State
 	assert.NilError(t, proto.Unmarshal(state.Encode(), &message))
--- a/internal/mutation/listed.go
+++ b/internal/mutation/listed.go
@@ -176,20 +176,20 @@
 }
 
 func configMistakes() []mistake {
-	const apply, code = "internal/config/apply.go", "internal/config/statecode.go"
+	const apply, code = "internal/config/apply.go", "internal/config/state_encoding.go"
 	return []mistake{
-		{"orders: a taken order is forgotten", apply, "\tnext.taken = remember(s.taken, sum)\n", "\t_ = remember\n", configTests},
+		{"orders: a taken order is forgotten", apply, "\tnext.acceptedDigests = appendDigest(s.acceptedDigests, sum)\n", "\t_ = appendDigest\n", configTests},
 		{"orders: the memory of taken orders is not in the snapshot", code,
-			"\t\tmessage.Taken = append(message.Taken, s.taken[index][:])\n", "\t\t_ = index\n", configTests},
+			"\t\tmessage.Taken = append(message.Taken, s.acceptedDigests[index][:])\n", "\t\t_ = index\n", configTests},
 		{"orders: the memory is one order short", apply,
-			"len(taken)+1-rememberedOrders", "len(taken)+2-rememberedOrders", configTests},
+			"len(digests)+1-maxRememberedOrders", "len(digests)+2-maxRememberedOrders", configTests},
 		{"orders: the version that an order builds on is not looked at", apply,
 			"if order.Match != s.generation {", "if false {", configTests},
-		{"fencing: a late order about a zone is taken", apply, "order.Known >= changed {", "true {", configTests},
+		{"fencing: a late order about a zone is taken", apply, "order.Known >= lastChange {", "true {", configTests},
 		{"fencing: a snapshot forgets when a zone was evacuated", code,
 			"\t\tmessage.EvacuatedAt = append(message.EvacuatedAt, evacuation.Revision)\n", "", configTests},
 		{"orders: two orders on other versions are taken for one", "internal/config/order.go",
-			"\tbinary.BigEndian.PutUint64(head[2:], o.Match)\n", "\t_ = binary.BigEndian\n", configTests},
+			"\tbinary.BigEndian.PutUint64(header[2:], o.Match)\n", "\t_ = binary.BigEndian\n", configTests},
 		{"orders: a version that is not higher is taken", apply, "generation <= s.generation {", "generation < s.generation {", configTests},
 	}
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -16,45 +16,46 @@
 )
 
 const (
-	tryWithin      = time.Second           // for one answer
-	largeTryWithin = 3 * time.Second       // where the body is large
-	largeBody      = 64 << 10              // from this size on
-	firstPause     = 50 * time.Millisecond // before the second round over all processes
-	longestPause   = time.Second
-	redirectsMost  = 2
-	answerMost     = 64 << 20
+	requestTimeout      = time.Second           // for one request
+	largeRequestTimeout = 3 * time.Second       // for a request with a large body
+	largeBodyBytes      = 64 << 10              // a larger body counts as large
+	initialBackoff      = 50 * time.Millisecond // after the first round over all processes; it doubles after each round
+	maxBackoff          = time.Second
+	maxRedirects        = 2
+	maxResponseBytes    = 64 << 20
 )
 
-// Client sends orders and questions to the control processes, to one after the other until one gives a clear answer. An order that is
-// sent again is the same order: the control processes take it once.
+// Client sends orders and queries to the control processes, one after the other until one gives a conclusive answer. An order may be
+// sent several times: configuration changes are recognized by their content, and evacuations are idempotent.
 type Client struct {
 	addresses []string
 	http      *http.Client
-	note      func(note string)
+	onFailure func(message string)
 }
 
-// New returns a client for the control processes at addresses ("ip:port"). Each try that fails is told to note, if that is given.
-func New(addresses []string, note func(note string)) (*Client, error) {
-	var given []string
+// New returns a client for the control processes at addresses ("ip:port"). If onFailure is not nil, it is called with a message after
+// each failed request that is retried.
+func New(addresses []string, onFailure func(message string)) (*Client, error) {
+	var nonEmpty []string
 	for _, address := range addresses {
 		if address != "" {
-			given = append(given, address)
+			nonEmpty = append(nonEmpty, address)
 		}
 	}
-	if len(given) == 0 {
+	if len(nonEmpty) == 0 {
 		return nil, ErrNoAddress
 	}
-	if note == nil {
-		note = func(string) {}
+	if onFailure == nil {
+		onFailure = func(string) {}
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}
-	client := &http.Client{Transport: transport, CheckRedirect: followFew}
-	return &Client{addresses: given, http: client, note: note}, nil
+	client := &http.Client{Transport: transport, CheckRedirect: limitRedirects}
+	return &Client{addresses: nonEmpty, http: client, onFailure: onFailure}, nil
 }
 
-func followFew(_ *http.Request, via []*http.Request) error {
-	if len(via) > redirectsMost {
-		return errRedirects
+func limitRedirects(_ *http.Request, via []*http.Request) error {
+	if len(via) > maxRedirects {
+		return errTooManyRedirects
 	}
 	return nil
 }
@@ -62,85 +63,85 @@
 // Close ends the client's connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Config returns the configuration that is in force, as it was sent.
+// Config returns the current configuration, as the operator sent it.
 func (c *Client) Config(ctx context.Context) ([]byte, error) {
-	return c.persist(ctx, call{method: http.MethodGet, path: "/config"})
+	return c.sendUntilAnswered(ctx, call{method: http.MethodGet, path: "/config"})
 }
 
-// PutConfig puts a whole configuration in the place of the version match; 0: the first.
+// PutConfig replaces the configuration of version match; 0 means that there is none yet.
 func (c *Client) PutConfig(ctx context.Context, document []byte, match uint64) error {
-	_, err := c.persist(ctx, call{method: http.MethodPut, path: "/config", body: document, match: &match})
+	_, err := c.sendUntilAnswered(ctx, call{method: http.MethodPut, path: "/config", body: document, match: &match})
 	return err
 }
 
-// PatchConfig changes items of the version match.
+// PatchConfig applies a patch to the configuration of version match.
 func (c *Client) PatchConfig(ctx context.Context, patch []byte, match uint64) error {
-	_, err := c.persist(ctx, call{method: http.MethodPatch, path: "/config", body: patch, match: &match})
+	_, err := c.sendUntilAnswered(ctx, call{method: http.MethodPatch, path: "/config", body: patch, match: &match})
 	return err
 }
 
-// Evacuate has nothing more sent to the endpoints of a zone.
+// Evacuate stops sending requests to the endpoints of a zone.
 func (c *Client) Evacuate(ctx context.Context, zone string) error {
-	_, err := c.persist(ctx, call{method: http.MethodPost, path: "/drain/" + url.PathEscape(zone)})
+	_, err := c.sendUntilAnswered(ctx, call{method: http.MethodPost, path: "/drain/" + url.PathEscape(zone)})
 	return err
 }
 
-// Restore takes an evacuation back.
+// Restore ends the evacuation of a zone.
 func (c *Client) Restore(ctx context.Context, zone string) error {
-	_, err := c.persist(ctx, call{method: http.MethodDelete, path: "/drain/" + url.PathEscape(zone)})
+	_, err := c.sendUntilAnswered(ctx, call{method: http.MethodDelete, path: "/drain/" + url.PathEscape(zone)})
 	return err
 }
 
-// Status returns what the process at an address says of itself.
+// Status returns the status that the process at an address reports. It is not retried.
 func (c *Client) Status(ctx context.Context, address string) (Status, error) {
-	text, err := c.try(ctx, address, call{method: http.MethodGet, path: "/status"})
+	text, err := c.send(ctx, address, call{method: http.MethodGet, path: "/status"})
 	if err != nil {
 		return Status{}, err
 	}
 	var status Status
 	if err := json.Unmarshal(text, &status); err != nil {
-		return Status{}, trace.Wrap(err, "%s: its status can't be read", address)
+		return Status{}, trace.Wrap(err, "%s: invalid status", address)
 	}
 	return status, nil
 }
 
-// Addresses are those that the client was given.
+// Addresses returns the addresses that were passed to New, without empty ones.
 func (c *Client) Addresses() []string { return c.addresses }
 
-// call is one order or question.
+// call is an API request: an order, or a query (GET).
 type call struct {
 	method string
 	path   string
 	body   []byte
-	match  *uint64
+	match  *uint64 // If-Match; nil: no such header
 }
 
-// persist makes a call until there is a clear answer or the context ends.
-func (c *Client) persist(ctx context.Context, call call) ([]byte, error) {
-	pause := firstPause
+// sendUntilAnswered sends a call to one process after the other until one gives a conclusive answer or the context ends.
+func (c *Client) sendUntilAnswered(ctx context.Context, call call) ([]byte, error) {
+	backoff := initialBackoff
 	for {
-		var failure error
+		var lastErr error
 		for _, address := range c.addresses {
-			text, err := c.try(ctx, address, call)
-			if err == nil || final(err) {
+			text, err := c.send(ctx, address, call)
+			if err == nil || isFinal(err) {
 				return text, err
 			}
-			failure = err
+			lastErr = err
 			if ctx.Err() != nil {
 				break
 			}
-			c.note(err.Error())
+			c.onFailure(err.Error())
 		}
-		if !rest(ctx, pause) {
-			return nil, &UnclearError{Order: call.method != http.MethodGet, Last: failure}
+		if !sleep(ctx, backoff) {
+			return nil, &InconclusiveError{IsOrder: call.method != http.MethodGet, LastErr: lastErr}
 		}
-		pause = min(2*pause, longestPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// rest returns false if the context ends first.
-func rest(ctx context.Context, pause time.Duration) bool {
-	timer := time.NewTimer(pause)
+// sleep waits for the duration. It returns false if the context ends first.
+func sleep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -150,8 +151,8 @@
 	}
 }
 
-// final tells whether an error is an answer that no other process would change.
-func final(err error) bool {
+// isFinal reports whether an error is a refusal that any other process would give as well: a client error other than 408 and 429.
+func isFinal(err error) bool {
 	var refused *RefusedError
 	if !errors.As(err, &refused) {
 		return false
@@ -163,13 +164,13 @@
 	return refused.Status < http.StatusInternalServerError
 }
 
-// try makes a call at one process.
-func (c *Client) try(ctx context.Context, address string, call call) ([]byte, error) {
-	within := tryWithin
-	if len(call.body) > largeBody {
-		within = largeTryWithin
+// send sends a call to one process and returns the body of a 200 response.
+func (c *Client) send(ctx context.Context, address string, call call) ([]byte, error) {
+	timeout := requestTimeout
+	if len(call.body) > largeBodyBytes {
+		timeout = largeRequestTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, call.method, baseURL(address)+call.path, bytes.NewReader(call.body))
 	if err != nil {
@@ -186,12 +187,12 @@
 		return nil, &UnreachableError{Address: address, Cause: err}
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, answerMost))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, &UnreachableError{Address: address, Cause: err}
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, &RefusedError{Address: address, Status: response.StatusCode, Reason: reasonIn(text)}
+		return nil, &RefusedError{Address: address, Status: response.StatusCode, Reason: errorReason(text)}
 	}
 	return text, nil
 }
@@ -203,8 +204,8 @@
 	return "http://" + address
 }
 
-// reasonIn is what an answer gives as its reason.
-func reasonIn(text []byte) string {
+// errorReason returns the reason in the body of an error response.
+func errorReason(text []byte) string {
 	var body struct {
 		Error string `json:"error"`
 	}
@@ -214,25 +215,26 @@
 	return strings.TrimSpace(string(text))
 }
 
-// Generation returns the newest version that a control process in touch with the chain knows of; 0: none has been taken yet.
+// Generation returns the configuration version of the first control process that is up to date with the chain (Status.Fresh), or 0 if
+// there is no configuration yet.
 func (c *Client) Generation(ctx context.Context) (uint64, error) {
-	pause := firstPause
+	backoff := initialBackoff
 	for {
-		var failure error
+		var lastErr error
 		for _, address := range c.addresses {
 			status, err := c.Status(ctx, address)
 			if err == nil && status.Fresh {
 				return status.Generation, nil
 			}
 			if err == nil {
-				err = &UnreachableError{Address: address, Cause: errOutOfTouch}
+				err = &UnreachableError{Address: address, Cause: errChainUnreachable}
 			}
-			failure = err
-			c.note(err.Error())
+			lastErr = err
+			c.onFailure(err.Error())
 		}
-		if !rest(ctx, pause) {
-			return 0, &UnclearError{Last: failure}
+		if !sleep(ctx, backoff) {
+			return 0, &InconclusiveError{LastErr: lastErr}
 		}
-		pause = min(2*pause, longestPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
--- a/internal/operator/doc.go
+++ b/internal/operator/doc.go
@@ -1,3 +1,3 @@
-// Package operator is the operator's side of the control processes' API: a client that finds one which answers, and the forms of what
-// they say.
+// Package operator is a client for the HTTP API of the control processes, which the operator uses. The client tries one process after
+// the other until one answers.
 package operator
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -7,38 +7,38 @@
 	"net/url"
 )
 
-// ErrNoAddress tells that a client was given no control process to ask.
+// ErrNoAddress is returned by New without any address.
 var ErrNoAddress = errors.New("no control process is named")
 
 var (
-	errRedirects  = errors.New("too many redirects")
-	errOutOfTouch = errors.New("it is out of touch with the chain")
+	errTooManyRedirects = errors.New("too many redirects")
+	errChainUnreachable = errors.New("it is out of touch with the chain")
 )
 
-// RefusedError is an answer other than 200.
+// RefusedError is a response with a status other than 200.
 type RefusedError struct {
 	Address string
 	Status  int
 	Reason  string
 }
 
-// Error puts it on one line.
+// Error returns the message on one line.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("%s answers %d %s: %s", e.Address, e.Status, http.StatusText(e.Status), e.Reason)
 }
 
-// UnreachableError tells that a process gave no answer.
+// UnreachableError says that a process did not respond, or has no up-to-date answer.
 type UnreachableError struct {
 	Address string
 	Cause   error
 }
 
-// Error puts it on one line.
+// Error returns the message on one line.
 func (e *UnreachableError) Error() string {
 	cause := e.Cause
-	var inURL *url.Error
-	if errors.As(cause, &inURL) {
-		cause = inURL.Err // the address is named already
+	var urlErr *url.Error
+	if errors.As(cause, &urlErr) {
+		cause = urlErr.Err // without method and URL, as the message begins with the address
 	}
 	return fmt.Sprintf("%s gives no answer: %v", e.Address, cause)
 }
@@ -46,19 +46,19 @@
 // Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// UnclearError tells that no control process gave a clear answer in time.
-type UnclearError struct {
-	Order bool // it was an order, which may have been taken all the same
-	Last  error
+// InconclusiveError says that no control process gave a conclusive answer before the context ended.
+type InconclusiveError struct {
+	IsOrder bool  // the request was an order, which may have been accepted nevertheless
+	LastErr error // of the last request
 }
 
-// Error puts it on one line.
-func (e *UnclearError) Error() string {
-	if e.Order {
-		return fmt.Sprintf("no clear answer in time; the order may have been taken, and can be given again: %v", e.Last)
+// Error returns the message on one line.
+func (e *InconclusiveError) Error() string {
+	if e.IsOrder {
+		return fmt.Sprintf("no conclusive answer in time; the order may have been taken nevertheless and can be repeated: %v", e.LastErr)
 	}
-	return fmt.Sprintf("no clear answer in time: %v", e.Last)
+	return fmt.Sprintf("no conclusive answer in time: %v", e.LastErr)
 }
 
-// Unwrap returns the last failure.
-func (e *UnclearError) Unwrap() error { return e.Last }
+// Unwrap returns the error of the last request.
+func (e *InconclusiveError) Unwrap() error { return e.LastErr }
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -1,31 +1,32 @@
 package operator
 
-// Status is what one control process says of itself and of the system as it sees it: the answer to GET /status.
+// Status is the response to GET /status: the state of one control process and its view of the system.
 type Status struct {
 	Node       string    `json:"node"`
-	Identity   string    `json:"identity"` // of its store
-	Role       string    `json:"role"`     // in the chain
-	Fresh      bool      `json:"fresh"`    // it heard a moment ago that its view is in force
+	Identity   string    `json:"identity"` // ID of its store
+	Role       string    `json:"role"`     // chain role, such as head or tail
+	Fresh      bool      `json:"fresh"`    // its view was confirmed recently, so that its data is up to date
 	View       View      `json:"view"`
-	Position   uint64    `json:"position"`  // of the last entry of its log
-	Committed  uint64    `json:"committed"` // of the last entry that is committed
-	Impaired   bool      `json:"impaired"`  // its disk does not keep up
+	Position   uint64    `json:"position"`  // of the last log entry
+	Committed  uint64    `json:"committed"` // position of the last committed log entry
+	Impaired   bool      `json:"impaired"`  // its disk is too slow
 	Failed     bool      `json:"failed"`    // its last write failed
 	Generation uint64    `json:"generation"`
 	Evacuated  []string  `json:"evacuated"`
 	Members    []Member  `json:"members"`
 	Services   []Service `json:"services"`
-	Followers  int       `json:"followers"` // relays that it feeds
+	Followers  int       `json:"followers"` // number of relays that subscribe to this process
 }
 
-// View is who votes and who forms the chain, by name, in the chain's order.
+// View is a membership of the control processes, by name: those that vote on the next view, and those that form the replication
+// chain, from head to tail.
 type View struct {
 	Epoch  uint64   `json:"epoch"`
 	Voters []string `json:"voters"`
 	Chain  []string `json:"chain"`
 }
 
-// Member is one process of the system.
+// Member is a process of the system: a relay or a control process.
 type Member struct {
 	Name    string `json:"name"`
 	Role    string `json:"role"`
@@ -34,16 +35,16 @@
 	Address string `json:"address"`
 	Status  string `json:"status"`
 	Serving bool   `json:"serving"`
-	Front   string `json:"front,omitempty"`   // where a relay serves clients
-	Control string `json:"control,omitempty"` // where a control process takes orders
+	Front   string `json:"front,omitempty"`   // address where a relay serves clients
+	Control string `json:"control,omitempty"` // address where a control process serves its API
 }
 
-// Service counts the endpoints of one service by their state.
+// Service holds the numbers of endpoints of a service by state.
 type Service struct {
 	Name     string `json:"name"`
 	Ready    int    `json:"ready"`
 	Draining int    `json:"draining"`
 	Silent   int    `json:"silent"`
 	Gone     int    `json:"gone"`
-	Cold     int    `json:"cold"` // of those that are ready
+	Cold     int    `json:"cold"` // included in Ready
 }
