--- a/cmd/wallflow/orders_test.go
+++ b/cmd/wallflow/orders_test.go
@@ -46,7 +46,7 @@
 		Members: []operator.Member{
 			{Name: "core-2", Role: "control", Status: "alive", Serving: true},
 			{Name: "core-1", Role: "control", Status: "alive", Serving: true},
-			{Name: "relay-1", Role: "proxy", Zone: "z", Status: "alive", Serving: true, Front: "10.0.0.1:1"},
+			{Name: "relay-1", Role: "proxy", Zone: "z", Status: "alive", Serving: true, ClientAddress: "10.0.0.1:1"},
 		},
 		Services: []operator.Service{{Name: "b", Ready: 4, Cold: 1, Draining: 2}},
 	}
@@ -213,15 +213,15 @@
 func TestStatusReportsProblems(t *testing.T) {
 	for want, breakStatus := range map[string]func(*operator.Status){
 		"core-1 is out of touch":             func(s *operator.Status) { s.Fresh = false },
-		"can't write to its disk":            func(s *operator.Status) { s.Failed = true },
-		"a disk that does not keep up":       func(s *operator.Status) { s.Impaired = true },
+		"can't write to its disk":            func(s *operator.Status) { s.WriteFailed = true },
+		"a disk that does not keep up":       func(s *operator.Status) { s.DiskTooSlow = true },
 		"the chain has 1 members":            func(s *operator.Status) { s.View.Chain = s.View.Chain[:1] },
 		"no configuration has been taken":    func(s *operator.Status) { s.Generation = 0 },
 		"voter core-3 is gone":               func(s *operator.Status) { s.View.Voters = append(s.View.Voters, "core-3") },
 		"relay-1 is suspect":                 func(s *operator.Status) { s.Members[2].Status = "suspect" },
 		"relay relay-1 is not ready":         func(s *operator.Status) { s.Members[2].Serving = false },
 		"service b has no endpoint":          func(s *operator.Status) { s.Services[0].Ready = 0 },
-		"127.0.0.1:1 does not answer: 127.0": func(s *operator.Status) { s.Members[2].Control = "127.0.0.1:1" },
+		"127.0.0.1:1 does not answer: 127.0": func(s *operator.Status) { s.Members[2].APIAddress = "127.0.0.1:1" },
 	} {
 		api := newFakeControl(t)
 		api.update(func() { breakStatus(&api.status) })
--- a/cmd/wallflow/status.go
+++ b/cmd/wallflow/status.go
@@ -79,8 +79,8 @@
 		answered[status.Node] = true
 		system.Control = append(system.Control, controlStatus{Address: address, Status: &status})
 		for _, member := range status.Members {
-			if member.Control != "" && !answered[member.Name] {
-				queue = append(queue, member.Control)
+			if member.APIAddress != "" && !answered[member.Name] {
+				queue = append(queue, member.APIAddress)
 			}
 		}
 	}
@@ -116,9 +116,9 @@
 			s.addProblem("control process at %s does not answer: %s", control.Address, control.Error)
 		case !status.Fresh:
 			s.addProblem("%s is out of touch with the chain", status.Node)
-		case status.Failed:
+		case status.WriteFailed:
 			s.addProblem("%s can't write to its disk", status.Node)
-		case status.Impaired:
+		case status.DiskTooSlow:
 			s.addProblem("%s has a disk that does not keep up", status.Node)
 		}
 	}
@@ -132,7 +132,7 @@
 		switch {
 		case member.Status != "alive":
 			s.addProblem("%s is %s", member.Name, member.Status)
-		case member.Front != "" && !member.Serving:
+		case member.ClientAddress != "" && !member.Serving:
 			s.addProblem("relay %s is not ready", member.Name)
 		}
 	}
@@ -182,7 +182,7 @@
 			continue
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.8s\n", status.Node, control.Address, status.Role, status.View.Epoch,
-			status.Generation, status.Position, status.Committed, status.Followers, status.Identity)
+			status.Generation, status.Position, status.Committed, status.Subscribers, status.Identity)
 	}
 	table.Flush()
 }
@@ -191,7 +191,7 @@
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(table, "member\trole\tzone\tregion\tstatus\tclients at")
 	for _, member := range members {
-		front := member.Front
+		front := member.ClientAddress
 		if front != "" && !member.Serving {
 			front += " (not ready)"
 		}
--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -135,10 +135,10 @@
 // sends it again. The second result is false if the order is not stale.
 func (s *State) refuseStaleZoneOrder(order Order) (Verdict, bool) {
 	lastChange := s.lastZoneRevision(order.Zone)
-	if !order.HasKnown || order.Known >= lastChange {
+	if !order.HasKnownChanges || order.KnownChanges >= lastChange {
 		return Verdict{}, false
 	}
-	reason := fmt.Sprintf("zone %s was changed by change %d, and this order knew of %d", order.Zone, lastChange, order.Known)
+	reason := fmt.Sprintf("zone %s was changed by change %d, and this order knew of %d", order.Zone, lastChange, order.KnownChanges)
 	return refusedVerdict(http.StatusServiceUnavailable, reason), true
 }
 
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -29,24 +29,24 @@
 // Route maps the requests for a host and path prefix to one service (Backend) or to several with weights (Split). Sticky is part of the
 // schema, but is not evaluated.
 type Route struct {
-	Name        string   `json:"name"`
-	Host        string   `json:"host"`
-	PathPrefix  string   `json:"pathPrefix"`
-	Kind        Kind     `json:"kind"`
-	TimeoutMs   float64  `json:"timeoutMs"` // maximum duration of a request
-	TargetMs    float64  `json:"targetMs"`  // target latency
-	Priority    int      `json:"priority"`  // a lower number is more urgent
-	Backend     string   `json:"backend,omitempty"`
-	Split       []Weight `json:"split,omitempty"`
-	Retries     int      `json:"retries"` // maximum number of runs of an idempotent request
-	Sticky      bool     `json:"sticky"`
-	Resume      bool     `json:"resume"`      // an interrupted stream may be continued at another endpoint
-	GapAimMs    float64  `json:"gap_aim_ms"`  // target for the longest pause between two events of a stream
-	HomeRegions []string `json:"homeRegions"` // regions that requests are bound to; empty: any
+	Name             string            `json:"name"`
+	Host             string            `json:"host"`
+	PathPrefix       string            `json:"pathPrefix"`
+	Kind             Kind              `json:"kind"`
+	TimeoutMs        float64           `json:"timeoutMs"` // maximum duration of a request
+	TargetMs         float64           `json:"targetMs"`  // target latency
+	Priority         int               `json:"priority"`  // a lower number is more urgent
+	Backend          string            `json:"backend,omitempty"`
+	Split            []WeightedBackend `json:"split,omitempty"`
+	Retries          int               `json:"retries"` // maximum number of runs of an idempotent request
+	Sticky           bool              `json:"sticky"`
+	Resume           bool              `json:"resume"`      // an interrupted stream may be continued at another endpoint
+	TargetEventGapMs float64           `json:"gap_aim_ms"`  // target for the longest pause between two events of a stream
+	HomeRegions      []string          `json:"homeRegions"` // regions that requests are bound to; empty: any
 }
 
-// Weight is a service of a split and the relative share of requests that it gets.
-type Weight struct {
+// WeightedBackend is a service of a split and the relative share of requests that it gets.
+type WeightedBackend struct {
 	Backend string  `json:"backend"`
 	Weight  float64 `json:"weight"`
 }
@@ -99,22 +99,22 @@
 // Target returns the target latency. A response within it has its full value.
 func (r *Route) Target() time.Duration { return milliseconds(r.TargetMs) }
 
-// GapAim returns the target for the longest pause between two events of a stream. A stream with a longer pause counts as late. Without
+// TargetEventGap returns the target for the longest pause between two events of a stream. A stream with a longer pause counts as late. Without
 // a target in the configuration it returns the largest duration.
-func (r *Route) GapAim() time.Duration {
-	if r.GapAimMs <= 0 {
+func (r *Route) TargetEventGap() time.Duration {
+	if r.TargetEventGapMs <= 0 {
 		return math.MaxInt64
 	}
-	return milliseconds(r.GapAimMs)
+	return milliseconds(r.TargetEventGapMs)
 }
 
-// Shares returns the services that get requests of the route, in the order of the configuration and each with a weight above 0. A
+// WeightedBackends returns the services that get requests of the route, in the order of the configuration and each with a weight above 0. A
 // route without a split has a single one.
-func (r *Route) Shares() []Weight {
+func (r *Route) WeightedBackends() []WeightedBackend {
 	if len(r.Split) == 0 {
-		return []Weight{{Backend: r.Backend, Weight: 1}}
+		return []WeightedBackend{{Backend: r.Backend, Weight: 1}}
 	}
-	shares := make([]Weight, 0, len(r.Split))
+	shares := make([]WeightedBackend, 0, len(r.Split))
 	for _, share := range r.Split {
 		if share.Weight > 0 {
 			shares = append(shares, share)
--- a/internal/config/helpers_test.go
+++ b/internal/config/helpers_test.go
@@ -49,15 +49,15 @@
 			Kind:       config.KindStreaming,
 			TimeoutMs:  8000,
 			TargetMs:   1500,
-			Split: []config.Weight{
+			Split: []config.WeightedBackend{
 				{Backend: fmt.Sprintf("b-%d", index%10), Weight: 90},
 				{Backend: fmt.Sprintf("b-%d", (index+1)%10), Weight: 10},
 			},
-			Retries:     2,
-			Sticky:      true,
-			Resume:      true,
-			GapAimMs:    800,
-			HomeRegions: []string{"svealand", "gotaland", "norrland"},
+			Retries:          2,
+			Sticky:           true,
+			Resume:           true,
+			TargetEventGapMs: 800,
+			HomeRegions:      []string{"svealand", "gotaland", "norrland"},
 		})
 	}
 	text, err := json.Marshal(document)
--- a/internal/config/order.go
+++ b/internal/config/order.go
@@ -48,9 +48,9 @@
 	Zone     string // zone for Evacuate and Restore
 
 	// Known is State.Changes of the newest state known to the process that received an order about a zone. It reveals an order that was
-	// delayed until after a newer order about the same zone. It is valid only if HasKnown is set.
-	HasKnown bool
-	Known    uint64
+	// delayed until after a newer order about the same zone. It is valid only if HasKnownChanges is set.
+	HasKnownChanges bool
+	KnownChanges    uint64
 }
 
 // Encode returns the order in its replicated encoding.
@@ -61,8 +61,8 @@
 		Match:    o.Match,
 		Body:     o.Body,
 		Zone:     []byte(o.Zone),
-		HasKnown: o.HasKnown,
-		Known:    o.Known,
+		HasKnown: o.HasKnownChanges,
+		Known:    o.KnownChanges,
 	})
 }
 
@@ -76,13 +76,13 @@
 		return Order{}, trace.BadParameter("order of unknown kind %d", message.Kind)
 	}
 	return Order{
-		Kind:     OrderKind(message.Kind),
-		HasMatch: message.HasMatch,
-		Match:    message.Match,
-		Body:     message.Body,
-		Zone:     string(message.Zone),
-		HasKnown: message.HasKnown,
-		Known:    message.Known,
+		Kind:            OrderKind(message.Kind),
+		HasMatch:        message.HasMatch,
+		Match:           message.Match,
+		Body:            message.Body,
+		Zone:            string(message.Zone),
+		HasKnownChanges: message.HasKnown,
+		KnownChanges:    message.Known,
 	}, nil
 }
 
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -20,8 +20,8 @@
 			{
 				Name: "r-1", Host: "ficu95.example", PathPrefix: "/lohu930/", Kind: config.KindStreaming,
 				TimeoutMs: 8000, TargetMs: 1500, Priority: 1,
-				Split:   []config.Weight{{Backend: "huvo11a", Weight: 90}, {Backend: "wuno96b", Weight: 10}},
-				Retries: 2, Sticky: true, Resume: true, GapAimMs: 800, HomeRegions: []string{},
+				Split:   []config.WeightedBackend{{Backend: "huvo11a", Weight: 90}, {Backend: "wuno96b", Weight: 10}},
+				Retries: 2, Sticky: true, Resume: true, TargetEventGapMs: 800, HomeRegions: []string{},
 			},
 			{
 				Name: "r-2", Host: "ficu95.example", PathPrefix: "/pufi791/", Kind: config.KindUnsafe,
--- a/internal/config/state_test.go
+++ b/internal/config/state_test.go
@@ -92,7 +92,7 @@
 // that change.
 func TestStaleZoneOrderIsRefused(t *testing.T) {
 	zoneOrder := func(kind config.OrderKind, zone string, known uint64) config.Order {
-		return config.Order{Kind: kind, Zone: zone, HasKnown: true, Known: known}
+		return config.Order{Kind: kind, Zone: zone, HasKnownChanges: true, KnownChanges: known}
 	}
 	state := applyAccepted(t, config.EmptyState(), zoneOrder(config.Evacuate, "z", 0))
 	state = applyAccepted(t, state, zoneOrder(config.Restore, "z", 1))
--- a/internal/config/validate_test.go
+++ b/internal/config/validate_test.go
@@ -72,10 +72,10 @@
 }
 
 func TestSharesOmitZeroWeights(t *testing.T) {
-	route := config.Route{Split: []config.Weight{{Backend: "a", Weight: 0}, {Backend: "b", Weight: 2}}}
-	assert.DeepEqual(t, route.Shares(), []config.Weight{{Backend: "b", Weight: 2}})
+	route := config.Route{Split: []config.WeightedBackend{{Backend: "a", Weight: 0}, {Backend: "b", Weight: 2}}}
+	assert.DeepEqual(t, route.WeightedBackends(), []config.WeightedBackend{{Backend: "b", Weight: 2}})
 	single := config.Route{Backend: "a"}
-	assert.DeepEqual(t, single.Shares(), []config.Weight{{Backend: "a", Weight: 1}})
+	assert.DeepEqual(t, single.WeightedBackends(), []config.WeightedBackend{{Backend: "a", Weight: 1}})
 }
 
 // A document with several faults is refused with the same message each time, although the schema library reports them in random order.
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -142,9 +142,9 @@
 func (p *Process) zoneOrder(kind config.OrderKind, zone string) config.Order {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	order := config.Order{Kind: kind, Zone: zone, HasKnown: true}
+	order := config.Order{Kind: kind, Zone: zone, HasKnownChanges: true}
 	if state := p.published.state; state != nil {
-		order.Known = state.Changes()
+		order.KnownChanges = state.Changes()
 	}
 	return order
 }
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -33,8 +33,8 @@
 	families := []*dto.MetricFamily{
 		metrics.Gauge("wallflow_control_fresh", "1 while a majority confirmed the view a moment ago; only then reads are answered",
 			metrics.Bool(status.Fresh)),
-		metrics.Gauge("wallflow_control_impaired", "1 while the disk does not keep up", metrics.Bool(status.Impaired)),
-		metrics.Gauge("wallflow_control_write_failed", "1 while the last write to the disk failed", metrics.Bool(status.Failed)),
+		metrics.Gauge("wallflow_control_impaired", "1 while the disk does not keep up", metrics.Bool(status.DiskTooSlow)),
+		metrics.Gauge("wallflow_control_write_failed", "1 while the last write to the disk failed", metrics.Bool(status.WriteFailed)),
 		metrics.Gauge("wallflow_control_epoch", "number of the view", float64(status.View.Epoch)),
 		metrics.Gauge("wallflow_control_voters", "processes that vote on the next view", float64(len(status.View.Voters))),
 		metrics.Gauge("wallflow_control_chain_length", "processes that hold each change before it is acknowledged",
@@ -43,7 +43,7 @@
 		metrics.Gauge("wallflow_control_committed_position", "position of the last change that is committed", float64(status.Committed)),
 		metrics.Gauge("wallflow_control_configuration_version", "version of the configuration held", float64(status.Generation)),
 		metrics.Gauge("wallflow_control_evacuated_zones", "zones that are evacuated", float64(len(status.Evacuated))),
-		metrics.Gauge("wallflow_control_subscribers", "relays that this process feeds", float64(status.Followers)),
+		metrics.Gauge("wallflow_control_subscribers", "relays that this process feeds", float64(status.Subscribers)),
 		metrics.LabelledGauges("wallflow_control_members", "processes of the system by what membership holds of them",
 			"status", countMembers(status.Members)),
 	}
--- a/internal/control/metrics_test.go
+++ b/internal/control/metrics_test.go
@@ -44,16 +44,16 @@
 
 func TestMetricsExposeStatusAndCounters(t *testing.T) {
 	families := metricFamilies(operator.Status{
-		Fresh:      true,
-		View:       operator.View{Epoch: 7, Voters: []string{"a", "b", "c"}, Chain: []string{"b", "a"}},
-		Position:   12,
-		Committed:  11,
-		Failed:     true,
-		Generation: 5,
-		Evacuated:  []string{"z"},
-		Followers:  4,
-		Members:    []operator.Member{{Status: "alive"}, {Status: "suspect"}, {Status: "alive"}},
-		Services:   []operator.Service{{Name: "chat", Ready: 3, Draining: 1}, {Name: "odd \"name\"\n", Silent: 2, Gone: 1}},
+		Fresh:       true,
+		View:        operator.View{Epoch: 7, Voters: []string{"a", "b", "c"}, Chain: []string{"b", "a"}},
+		Position:    12,
+		Committed:   11,
+		WriteFailed: true,
+		Generation:  5,
+		Evacuated:   []string{"z"},
+		Subscribers: 4,
+		Members:     []operator.Member{{Status: "alive"}, {Status: "suspect"}, {Status: "alive"}},
+		Services:    []operator.Service{{Name: "chat", Ready: 3, Draining: 1}, {Name: "odd \"name\"\n", Silent: 2, Gone: 1}},
 	}, chain.Counters{ViewsDecided: 9, Snapshots: 2, BrokenViewValue: 1, BrokenCommitLog: 2})
 	var text bytes.Buffer
 	encoder := expfmt.NewEncoder(&text, expfmt.NewFormat(expfmt.TypeTextPlain))
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -25,18 +25,18 @@
 	defer p.mu.Unlock()
 	chainStatus := p.chain.Status()
 	status := operator.Status{
-		Node:      p.settings.Node,
-		Identity:  string(chainStatus.Identity),
-		Role:      string(chainStatus.Role),
-		Fresh:     p.chain.Fresh(now),
-		View:      describeView(p.chain.View()),
-		Position:  chainStatus.Position,
-		Committed: chainStatus.Committed,
-		Impaired:  chainStatus.Impaired,
-		Failed:    chainStatus.Failed,
-		Members:   describeMembers(p.members.Members()),
-		Services:  countServices(now, p.instances.Instances()),
-		Followers: p.feed.Subscribers(),
+		Node:        p.settings.Node,
+		Identity:    string(chainStatus.Identity),
+		Role:        string(chainStatus.Role),
+		Fresh:       p.chain.Fresh(now),
+		View:        describeView(p.chain.View()),
+		Position:    chainStatus.Position,
+		Committed:   chainStatus.Committed,
+		DiskTooSlow: chainStatus.Impaired,
+		WriteFailed: chainStatus.Failed,
+		Members:     describeMembers(p.members.Members()),
+		Services:    countServices(now, p.instances.Instances()),
+		Subscribers: p.feed.Subscribers(),
 	}
 	state, _ := p.chain.Committed()
 	if current, ok := state.(replicatedConfig); ok {
@@ -66,15 +66,15 @@
 	described := make([]operator.Member, 0, len(members))
 	for _, member := range members {
 		described = append(described, operator.Member{
-			Name:    member.Name,
-			Role:    member.Meta.Role,
-			Zone:    member.Meta.Zone,
-			Region:  member.Meta.Region,
-			Address: member.Address,
-			Status:  member.Status.String(),
-			Serving: member.Meta.Serving,
-			Front:   member.Meta.Front,
-			Control: member.Meta.Control,
+			Name:          member.Name,
+			Role:          member.Meta.Role,
+			Zone:          member.Meta.Zone,
+			Region:        member.Meta.Region,
+			Address:       member.Address,
+			Status:        member.Status.String(),
+			Serving:       member.Meta.Serving,
+			ClientAddress: member.Meta.Front,
+			APIAddress:    member.Meta.Control,
 		})
 	}
 	slices.SortFunc(described, func(a, b operator.Member) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/control/status_test.go
+++ b/internal/control/status_test.go
@@ -43,7 +43,7 @@
 		{Name: "core", Address: "127.0.0.1:1", Meta: swim.Meta{Control: "127.0.0.1:3"}},
 	})
 	assert.DeepEqual(t, members, []operator.Member{
-		{Name: "core", Address: "127.0.0.1:1", Status: "alive", Control: "127.0.0.1:3"},
-		{Name: "relay", Role: "proxy", Zone: "z", Region: "r", Address: "127.0.0.2:1", Status: "suspect", Serving: true, Front: "127.0.0.2:2"},
+		{Name: "core", Address: "127.0.0.1:1", Status: "alive", APIAddress: "127.0.0.1:3"},
+		{Name: "relay", Role: "proxy", Zone: "z", Region: "r", Address: "127.0.0.2:1", Status: "suspect", Serving: true, ClientAddress: "127.0.0.2:2"},
 	})
 }
--- a/internal/mutation/listed.go
+++ b/internal/mutation/listed.go
@@ -185,7 +185,7 @@
 			"len(digests)+1-maxRememberedOrders", "len(digests)+2-maxRememberedOrders", configTests},
 		{"orders: the version that an order builds on is not looked at", apply,
 			"if order.Match != s.generation {", "if false {", configTests},
-		{"fencing: a late order about a zone is taken", apply, "order.Known >= lastChange {", "true {", configTests},
+		{"fencing: a late order about a zone is taken", apply, "order.KnownChanges >= lastChange {", "true {", configTests},
 		{"fencing: a snapshot forgets when a zone was evacuated", code,
 			"\t\tmessage.EvacuatedAt = append(message.EvacuatedAt, evacuation.Revision)\n", "", configTests},
 		{"orders: two orders on other versions are taken for one", "internal/config/order.go",
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -120,7 +120,7 @@
 	}
 	targetLatency := e.route.Target()
 	if firstByteAt.Sub(e.arrived) <= targetLatency {
-		return CauseEventGap, record.longestGap > e.route.GapAim()
+		return CauseEventGap, record.longestGap > e.route.TargetEventGap()
 	}
 	return e.lateFirstByteCause(targetLatency), true
 }
--- a/internal/selector/admission.go
+++ b/internal/selector/admission.go
@@ -128,7 +128,7 @@
 	}
 	for index := range document.Routes {
 		route := &document.Routes[index]
-		for _, share := range route.Shares() {
+		for _, share := range route.WeightedBackends() {
 			if service := s.services[share.Backend]; service != nil {
 				service.mostUrgentPriority = min(service.mostUrgentPriority, route.Priority)
 			}
--- a/internal/selector/tiers_test.go
+++ b/internal/selector/tiers_test.go
@@ -64,7 +64,7 @@
 	f.plain(homeZone, 1)
 	f.engines(homeZone, 1)
 	f.document.Routes[3].Backend = ""
-	f.document.Routes[3].Split = []config.Weight{{Backend: engines, Weight: 30}, {Backend: plain, Weight: 90}, {Backend: "none", Weight: 0}}
+	f.document.Routes[3].Split = []config.WeightedBackend{{Backend: engines, Weight: 30}, {Backend: plain, Weight: 90}, {Backend: "none", Weight: 0}}
 	f.configure()
 	drawn := map[string]int{}
 	for range 2000 {
@@ -279,7 +279,7 @@
 	f := newFleet(t)
 	assert.Equal(t, f.choose(f.request("gate")).Kind, Refuse)
 	r := f.request("gate")
-	r.Route = &config.Route{Name: "odd", Kind: config.KindSafe, Split: []config.Weight{{Backend: plain, Weight: 0}}, TargetMs: 300}
+	r.Route = &config.Route{Name: "odd", Kind: config.KindSafe, Split: []config.WeightedBackend{{Backend: plain, Weight: 0}}, TargetMs: 300}
 	d := f.choose(r)
 	assert.Equal(t, d.Reason, ReasonNoService)
 }
--- a/internal/smallsystem/configuration.go
+++ b/internal/smallsystem/configuration.go
@@ -41,7 +41,7 @@
 		Routes: []config.Route{
 			{
 				Name: "chat", Host: host, PathPrefix: prefixChat, Kind: config.KindStreaming, Backend: serviceModel,
-				TimeoutMs: chatTimeoutMs, TargetMs: chatTargetMs, GapAimMs: chatGapMs, Priority: chatPriority,
+				TimeoutMs: chatTimeoutMs, TargetMs: chatTargetMs, TargetEventGapMs: chatGapMs, Priority: chatPriority,
 				Retries: 2, Sticky: true, Resume: true, HomeRegions: []string{},
 			},
 			{
--- a/internal/smallsystem/system.go
+++ b/internal/smallsystem/system.go
@@ -173,7 +173,7 @@
 	}
 	ready := 0
 	for _, member := range status.Members {
-		if member.Serving && member.Front != "" {
+		if member.Serving && member.ClientAddress != "" {
 			ready++
 		}
 	}
