--- a/internal/trial/agents.go
+++ b/internal/trial/agents.go
@@ -26,27 +26,27 @@
 	"wallflow/internal/trial/stand"
 )
 
-// agentProc is the real agent beside a relay, over all its processes. The relay reaches it over a link, on which the trial reads
-// along: what the relay was told and what it noticed is put down as it passes.
-type agentProc struct {
-	r    *Relay
-	dir  string
-	link *fault.Link
+// agentProcess is the real agent of a relay, over all its processes. The relay connects to it over a link, on which the
+// harness reads along and records lists that the relay is told and notices that the agent acknowledges.
+type agentProcess struct {
+	relay *Relay
+	dir   string
+	link  *fault.Link
 
-	steps sync.Mutex // what is done to it comes one after the other
+	stepMu sync.Mutex // held during a step, so that steps on the agent run one after the other
 
 	mu      sync.Mutex
 	process *proc.Process
-	lives   int
-	at      string // where its process listens; empty: nowhere
+	starts  int
+	addr    string // address its process listens on; empty: none
 }
 
-func (p *agentProc) name() string { return p.r.Name + check.AgentOf }
+func (p *agentProcess) name() string { return p.relay.Name + check.AgentSuffix }
 
-// buildAgents gives each relay an agent: folder and links; no process is started.
-func (g *Ground) buildAgents() error {
-	for _, r := range g.relays {
-		p := &agentProc{r: r, dir: filepath.Join(r.dir, "agent")}
+// buildAgents creates the folder and links of each relay's agent. It starts no process.
+func (h *Harness) buildAgents() error {
+	for _, r := range h.relays {
+		p := &agentProcess{relay: r, dir: filepath.Join(r.dir, "agent")}
 		if err := os.MkdirAll(p.dir, 0o700); err != nil {
 			return err
 		}
@@ -54,32 +54,33 @@
 		if p.link, err = fault.NewLink(r.Name+">agent", "127.0.0.1", 1, fault.Faults{}, p.dial); err != nil {
 			return err
 		}
-		g.links[p.link.Name] = p.link
-		for _, s := range g.lists.servers {
-			if _, err := g.listLink(r.Name+">"+s.name+".web", s.dial(webOf)); err != nil {
+		h.links[p.link.Name] = p.link
+		for _, s := range h.listService.servers {
+			if _, err := h.listLink(r.Name+">"+s.name+".web", s.dial(httpAddr)); err != nil {
 				return err
 			}
 		}
-		r.real = p
+		r.agentProcess = p
 	}
 	return nil
 }
 
-// endpointAddr is an endpoint's address on the list; each relay's agent has another in its place.
+// endpointAddr returns an endpoint's address on the list. Each relay's agent replaces it by the address of a link.
 func endpointAddr(id string) string { return id + ".endpoint:1" }
 
-func (p *agentProc) configure() (string, error) {
+func (p *agentProcess) configure() (string, error) {
 	via := map[string]string{}
-	for id, addr := range p.r.links {
+	for id, addr := range p.relay.links {
 		via[endpointAddr(id)] = addr
 	}
 	var servers []string
-	for _, s := range p.r.g.lists.servers {
-		servers = append(servers, p.r.g.links[p.r.Name+">"+s.name+".web"].Addr())
+	for _, s := range p.relay.harness.listService.servers {
+		servers = append(servers, p.relay.harness.links[p.relay.Name+">"+s.name+".web"].Addr())
 	}
-	agent := map[string]any{"dir": filepath.Join(p.dir, "state"), "listen": "127.0.0.1:0", "finals": p.r.g.lists.sink.addr(), "via": via}
-	if p.r.g.policy {
-		agent["name"], agent["zone"] = p.r.Name, p.r.Zone
+	agent := map[string]any{"dir": filepath.Join(p.dir, "state"), "listen": "127.0.0.1:0",
+		"finals": p.relay.harness.listService.noticeSink.addr(), "via": via}
+	if p.relay.harness.usesPolicy {
+		agent["name"], agent["zone"] = p.relay.Name, p.relay.Zone
 	}
 	data, err := toml.Marshal(map[string]any{"server": servers, "agent": agent})
 	if err != nil {
@@ -89,23 +90,24 @@
 	return path, os.WriteFile(path, data, 0o600)
 }
 
-func (p *agentProc) start(ctx context.Context) error {
+func (p *agentProcess) start(ctx context.Context) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lives++
+	p.starts++
 	config, err := p.configure()
 	if err != nil {
 		return fmt.Errorf("%s: %w", p.name(), err)
 	}
-	p.process, err = p.r.g.startListening(ctx, p.name(), p.lives, p.dir, filepath.Join(p.dir, "state"), []string{"agent", "--config", config}, func(a listAddresses) { p.at = a.HTTP })
+	p.process, err = p.relay.harness.startListening(ctx, p.name(), p.starts, p.dir, filepath.Join(p.dir, "state"),
+		[]string{"agent", "--config", config}, func(a listAddresses) { p.addr = a.HTTP })
 	return err
 }
 
-// has waits until the agent holds the list from a version on.
-func (p *agentProc) has(ctx context.Context, version int64) error {
-	for end := time.Now().Add(listReadyFor); ; {
+// waitForVersion waits until the agent has the given version of the list or a later one.
+func (p *agentProcess) waitForVersion(ctx context.Context, version int64) error {
+	for end := time.Now().Add(listReadyTimeout); ; {
 		p.mu.Lock()
-		addr := p.at
+		addr := p.addr
 		p.mu.Unlock()
 		var r struct{ Version int64 }
 		res, err := statusClient.Get("http://" + addr + "/agent/status")
@@ -116,30 +118,30 @@
 		if err == nil && r.Version >= version {
 			return nil
 		}
-		if time.Now().After(end) || !sleep(ctx, readyLook) {
-			return fmt.Errorf("%s: it holds version %d, and %d is wanted: %w", p.name(), r.Version, version, errors.Join(err, ctx.Err()))
+		if time.Now().After(end) || !sleep(ctx, readyPollInterval) {
+			return fmt.Errorf("%s: it has version %d of the list, want %d: %w", p.name(), r.Version, version, errors.Join(err, ctx.Err()))
 		}
 	}
 }
 
-func (p *agentProc) signal(sig syscall.Signal, note string) (*proc.Process, error) {
+func (p *agentProcess) signal(sig syscall.Signal, note string) (*proc.Process, error) {
 	p.mu.Lock()
-	q, life := p.process, p.lives
+	process, incarnation := p.process, p.starts
 	p.mu.Unlock()
-	if q == nil || !q.Running() {
+	if process == nil || !process.Running() {
 		return nil, nil
 	}
-	p.r.g.rec.Add(history.Event{Kind: history.Proc, Relay: p.name(), Life: life, Note: note})
-	return q, q.Signal(sig)
+	p.relay.harness.recorder.Add(history.Event{Kind: history.ProcessState, Relay: p.name(), Incarnation: incarnation, Note: note})
+	return process, process.Signal(sig)
 }
 
-func doAgentKill(ctx context.Context, g *Ground, s Step, on string) error {
-	p := g.relay(on).real
+func doAgentKill(ctx context.Context, h *Harness, s Step, on string) error {
+	p := h.relay(on).agentProcess
 	if p == nil {
-		return errors.New("its agent is the platform's: there is no process")
+		return errors.New("the relay has a fake agent, not an agent process")
 	}
-	p.steps.Lock()
-	defer p.steps.Unlock()
+	p.stepMu.Lock()
+	defer p.stepMu.Unlock()
 	q, err := p.signal(syscall.SIGKILL, history.Kill)
 	if err != nil {
 		return err
@@ -148,7 +150,7 @@
 		<-q.Done()
 	}
 	p.mu.Lock()
-	p.at = ""
+	p.addr = ""
 	p.mu.Unlock()
 	p.link.Reset()
 	if !sleep(ctx, s.For.Duration) {
@@ -157,20 +159,20 @@
 	if err := p.start(ctx); err != nil {
 		return err
 	}
-	p.ready()
+	p.recordReady()
 	return nil
 }
 
-// ready puts down that the agent answers.
-func (p *agentProc) ready() {
+// recordReady records that the agent serves.
+func (p *agentProcess) recordReady() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.r.g.rec.Add(history.Event{Kind: history.Proc, Relay: p.name(), Life: p.lives, Note: history.Ready})
+	p.relay.harness.recorder.Add(history.Event{Kind: history.ProcessState, Relay: p.name(), Incarnation: p.starts, Note: history.Ready})
 }
 
-func (p *agentProc) dial(ctx context.Context) (net.Conn, error) {
+func (p *agentProcess) dial(ctx context.Context) (net.Conn, error) {
 	p.mu.Lock()
-	to := p.at
+	to := p.addr
 	p.mu.Unlock()
 	if to == "" {
 		return nil, errors.New("no process")
@@ -179,24 +181,24 @@
 	if err != nil {
 		return nil, err
 	}
-	return overhear(c.(*net.TCPConn), p.r.agent), nil
+	return newRecordingConn(c.(*net.TCPConn), p.relay.agent), nil
 }
 
-// overheard is a connection to an agent on which the trial reads along.
-type overheard struct {
+// recordingConn is a connection to an agent whose requests and responses are also parsed and recorded.
+type recordingConn struct {
 	*net.TCPConn
-	asked, told *io.PipeWriter
+	requests, responses *io.PipeWriter
 }
 
-// overhear reads along: what came before a break is read, what is broken is not.
-func overhear(c *net.TCPConn, book *stand.Agent) *overheard {
-	askedR, askedW := io.Pipe()
-	toldR, toldW := io.Pipe()
-	over := make(chan struct{})    // nobody pairs requests with answers any more
-	asked := make(chan []byte, 16) // bodies of notices, in their order; nil: another request
-	go func() {                    // ends with what the relay says
-		defer close(asked)
-		in := bufio.NewReader(askedR)
+// newRecordingConn starts the parsers. They stop at the first malformed or incomplete request or response.
+func newRecordingConn(c *net.TCPConn, agent *stand.Agent) *recordingConn {
+	requestReader, requestWriter := io.Pipe()
+	responseReader, responseWriter := io.Pipe()
+	responsesEnded := make(chan struct{}) // closed when responses are no longer matched to requests
+	noticeBodies := make(chan []byte, 16) // one for each request, in order; nil unless it carries notices
+	go func() {                           // ends with the relay's side of the stream
+		defer close(noticeBodies)
+		in := bufio.NewReader(requestReader)
 		for {
 			req, err := http.ReadRequest(in)
 			var body []byte
@@ -204,84 +206,84 @@
 				body, err = io.ReadAll(req.Body)
 			}
 			if err != nil {
-				askedR.CloseWithError(err)
+				requestReader.CloseWithError(err)
 				return
 			}
 			if req.Method != http.MethodPost {
 				body = nil
 			}
 			select {
-			case asked <- body:
-			case <-over:
-				askedR.CloseWithError(net.ErrClosed)
+			case noticeBodies <- body:
+			case <-responsesEnded:
+				requestReader.CloseWithError(net.ErrClosed)
 				return
 			}
 		}
 	}()
-	go func() { // ends with what the agent says
-		defer close(over)
-		in := bufio.NewReader(toldR)
+	go func() { // ends with the agent's side of the stream
+		defer close(responsesEnded)
+		in := bufio.NewReader(responseReader)
 		for {
 			res, err := http.ReadResponse(in, nil)
 			if err != nil {
-				toldR.CloseWithError(err)
+				responseReader.CloseWithError(err)
 				return
 			}
-			if body, ok := <-asked; ok && body != nil && res.StatusCode == http.StatusNoContent {
-				book.Overhear(body)
+			if body, ok := <-noticeBodies; ok && body != nil && res.StatusCode == http.StatusNoContent {
+				agent.RecordNotices(body)
 			}
 			lines := bufio.NewScanner(res.Body)
 			lines.Buffer(nil, 1<<20)
 			for lines.Scan() {
 				var l stand.List
 				if line := bytes.TrimSpace(lines.Bytes()); res.StatusCode == http.StatusOK && len(line) > 0 && json.Unmarshal(line, &l) == nil {
-					book.Tell(&l)
+					agent.RecordList(&l)
 				}
 			}
 		}
 	}()
-	return &overheard{c, askedW, toldW}
+	return &recordingConn{c, requestWriter, responseWriter}
 }
 
-// Read is what the agent says.
-func (o *overheard) Read(p []byte) (int, error) {
+// Read reads what the agent sends.
+func (o *recordingConn) Read(p []byte) (int, error) {
 	n, err := o.TCPConn.Read(p)
-	o.told.Write(p[:n]) // one that is not read any more fails at once
+	o.responses.Write(p[:n]) // fails at once if the parser has stopped
 	if err != nil {
-		o.told.CloseWithError(err)
+		o.responses.CloseWithError(err)
 	}
 	return n, err
 }
 
-// Write is what the relay says.
-func (o *overheard) Write(p []byte) (int, error) {
-	o.asked.Write(p)
+// Write writes what the relay sends.
+func (o *recordingConn) Write(p []byte) (int, error) {
+	o.requests.Write(p)
 	return o.TCPConn.Write(p)
 }
 
-// Close ends both.
-func (o *overheard) Close() error {
-	o.asked.CloseWithError(net.ErrClosed)
-	o.told.CloseWithError(net.ErrClosed)
+// Close ends both parsers and closes the connection.
+func (o *recordingConn) Close() error {
+	o.requests.CloseWithError(net.ErrClosed)
+	o.responses.CloseWithError(net.ErrClosed)
 	return o.TCPConn.Close()
 }
 
-// sink takes the notices that agents hand on.
-type sink struct {
-	l      net.Listener
-	server *http.Server
-	wg     sync.WaitGroup
+// noticeSink accepts the notices that agents forward.
+type noticeSink struct {
+	listener net.Listener
+	server   *http.Server
+	wg       sync.WaitGroup
 
-	mu  sync.Mutex
-	got map[string]bool
+	mu       sync.Mutex
+	received map[string]bool
 }
 
-func newSink() (*sink, error) {
+func newNoticeSink() (*noticeSink, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &sink{l: l, got: map[string]bool{}}
+	s := &noticeSink{listener: l, received: map[string]bool{}}
 	s.server = &http.Server{ReadHeaderTimeout: time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -292,7 +294,7 @@
 		for line := range strings.Lines(string(body)) {
 			var v struct{ ID string }
 			if json.Unmarshal([]byte(line), &v) == nil {
-				s.got[v.ID] = true
+				s.received[v.ID] = true
 			}
 		}
 		s.mu.Unlock()
@@ -302,26 +304,26 @@
 	return s, nil
 }
 
-func (s *sink) addr() string { return s.l.Addr().String() }
+func (s *noticeSink) addr() string { return s.listener.Addr().String() }
 
-func (s *sink) has(id string) bool {
+func (s *noticeSink) has(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got[id]
+	return s.received[id]
 }
 
-func (s *sink) close() {
+func (s *noticeSink) close() {
 	s.server.Close()
 	s.wg.Wait()
 }
 
-// passOn waits until every notice that an agent answered for has been handed on, and puts down which were.
-func (g *Ground) passOn(ctx context.Context) {
-	for end := time.Now().Add(listSettle); ; {
+// recordForwardedNotices waits until every notice that an agent acknowledged has been forwarded, and records which were.
+func (h *Harness) recordForwardedNotices(ctx context.Context) {
+	for end := time.Now().Add(listSettleTimeout); ; {
 		missing := 0
-		events := g.rec.Events()
+		events := h.recorder.Events()
 		for _, e := range events {
-			if e.Kind == history.Notice && !g.lists.sink.has(e.ID) {
+			if e.Kind == history.Notice && !h.listService.noticeSink.has(e.ID) {
 				missing++
 			}
 		}
@@ -329,55 +331,55 @@
 			continue
 		}
 		for _, e := range events {
-			if e.Kind == history.Notice && g.lists.sink.has(e.ID) {
-				g.rec.Add(history.Event{Kind: history.Passed, Relay: e.Relay, ID: e.ID})
+			if e.Kind == history.Notice && h.listService.noticeSink.has(e.ID) {
+				h.recorder.Add(history.Event{Kind: history.NoticeForwarded, Relay: e.Relay, ID: e.ID})
 			}
 		}
-		g.rec.Add(history.Event{Kind: history.Passed, Number: len(events)}) // what was noticed since is not judged
+		h.recorder.Add(history.Event{Kind: history.NoticeForwarded, Number: len(events)}) // later notices are not checked
 		return
 	}
 }
 
-// fill writes the world's endpoints to the list, and returns the version that has them all.
-func (g *Ground) fill(ctx context.Context) (int64, error) {
+// writeAllEndpoints writes all endpoints to the list, and returns the version that contains them.
+func (h *Harness) writeAllEndpoints(ctx context.Context) (int64, error) {
 	type change struct {
 		Entry stand.Entry `json:"entry"`
 	}
 	var all struct {
 		Changes []change `json:"changes"`
 	}
-	for _, p := range g.world.Partners {
+	for _, p := range h.environment.Partners {
 		for _, e := range p.Endpoints {
-			all.Changes = append(all.Changes, change{g.entry(e, "ready")})
+			all.Changes = append(all.Changes, change{h.serviceEntry(e, "ready")})
 		}
 	}
 	body, err := json.Marshal(all)
 	if err != nil {
 		return 0, err
 	}
-	return g.lists.users.Do(ctx, http.MethodPost, "/catalog/members", "fill", body)
+	return h.listService.users.WriteUntilAccepted(ctx, http.MethodPost, "/catalog/members", "fill", body)
 }
 
-func (g *Ground) entry(e *stand.Endpoint, state string) stand.Entry {
+func (h *Harness) serviceEntry(e *stand.Endpoint, state string) stand.Entry {
 	return stand.Entry{ID: e.ID, Addr: endpointAddr(e.ID), Zone: e.Zone, Kind: e.Kind.Name, Cell: e.Cell, State: state, Weight: e.Weight()}
 }
 
-// change has the list service take a change of an endpoint on.
-func (g *Ground) change(ctx context.Context, id, state string) error {
+// changeEndpointState changes an endpoint's state through the list service.
+func (h *Harness) changeEndpointState(ctx context.Context, id, state string) error {
 	method, body := http.MethodDelete, []byte(nil)
 	if state != "gone" {
 		var err error
-		if body, err = json.Marshal(g.entry(g.world.Endpoint(id), state)); err != nil {
+		if body, err = json.Marshal(h.serviceEntry(h.environment.Endpoint(id), state)); err != nil {
 			return err
 		}
 		method = http.MethodPut
 	}
-	bound, cancel := context.WithTimeout(ctx, listTakesFor)
+	bound, cancel := context.WithTimeout(ctx, listWriteTimeout)
 	defer cancel()
-	_, err := g.lists.users.Do(bound, method, "/catalog/members/"+id, id+"-"+state, body)
+	_, err := h.listService.users.WriteUntilAccepted(bound, method, "/catalog/members/"+id, id+"-"+state, body)
 	if bound.Err() != nil && ctx.Err() == nil {
-		g.rec.Add(history.Event{Kind: history.Fault, Endpoint: id, Note: "the list service did not take on that it is " + state})
-		return nil // those who follow cannot come to the last version either, and that is judged
+		h.recorder.Add(history.Event{Kind: history.Fault, Endpoint: id, Note: "the list service did not take on that it is " + state})
+		return nil // followers cannot reach the last version then, which an invariant checks
 	}
 	return err
 }
--- a/internal/trial/check/check_test.go
+++ b/internal/trial/check/check_test.go
@@ -11,8 +11,8 @@
 func rules() history.Rules {
 	return history.Rules{
 		Classes: map[string]history.Class{
-			"notice":  {Window: 1500 * ms, Aim: 1000 * ms, GiveUp: 4000 * ms},
-			"payment": {Unsafe: true, Aim: 1000 * ms, GiveUp: 4000 * ms},
+			"notice":  {Window: 1500 * ms, Target: 1000 * ms, GiveUp: 4000 * ms},
+			"payment": {Unsafe: true, Target: 1000 * ms, GiveUp: 4000 * ms},
 		},
 		Cells:     map[string]int{"s-0a": 0, "s-0b": 0, "s-1a": 1},
 		Separate:  map[string]bool{"s-0a": true, "s-0b": true},
@@ -20,52 +20,58 @@
 	}
 }
 
-// sound is a history in which everything happens and nothing is wrong. Times are in milliseconds.
-func sound() []history.Event {
-	told := func(at int64, e string, state string) history.Event {
-		return history.Event{At: at * ms, Kind: history.Told, Relay: "n0", Endpoint: e, State: state, Version: 1}
+// soundHistory returns a history that has all kinds of events and violates no invariant. Times are in milliseconds.
+func soundHistory() []history.Event {
+	listUpdate := func(at int64, e string, state string) history.Event {
+		return history.Event{At: at * ms, Kind: history.ListUpdate, Relay: "n0", Endpoint: e, State: state, Version: 1}
 	}
-	hand := func(at int64, id, class string, dest int) history.Event {
-		return history.Event{At: at * ms, Kind: history.Hand, Relay: "n0", ID: id, First: id, Class: class, Dest: dest, Expires: 4000 * ms}
+	submit := func(at int64, id, class string, dest int) history.Event {
+		return history.Event{At: at * ms, Kind: history.Submit, Relay: "n0", ID: id, FirstID: id, Class: class, Dest: dest, Expires: 4000 * ms}
 	}
-	taken := func(at int64, id string) history.Event {
+	accepted := func(at int64, id string) history.Event {
 		return history.Event{At: at * ms, Kind: history.Answer, Relay: "n0", ID: id, Status: 202}
 	}
 	call := func(at int64, n int, id, e, zone string) history.Event {
-		return history.Event{At: at * ms, Kind: history.Call, Relay: "n0", ID: id, Number: n, Endpoint: e, Zone: zone, Began: at * ms, Sent: at * ms}
+		return history.Event{At: at * ms, Kind: history.Call, Relay: "n0", ID: id, Number: n, Endpoint: e, Zone: zone, Began: at * ms,
+			Sent: at * ms}
 	}
 	reply := func(at int64, n int, id, e, outcome string, wait int64) history.Event {
 		return history.Event{At: at * ms, Kind: history.Reply, Relay: "n0", ID: id, Number: n, Endpoint: e, Outcome: outcome, Wait: wait * ms}
 	}
-	heard := func(at int64, n int, e string, wait int64) history.Event {
-		return history.Event{At: at * ms, Kind: history.Heard, Relay: "n0", Number: n, Endpoint: e, Wait: wait * ms, Took: 5 * ms}
+	waitDelivered := func(at int64, n int, e string, wait int64) history.Event {
+		return history.Event{At: at * ms, Kind: history.WaitDelivered, Relay: "n0", Number: n, Endpoint: e, Wait: wait * ms, Duration: 5 * ms}
 	}
 	proc := func(at int64, note string) history.Event {
-		return history.Event{At: at * ms, Kind: history.Proc, Relay: "n0", Life: 1, Note: note}
+		return history.Event{At: at * ms, Kind: history.ProcessState, Relay: "n0", Incarnation: 1, Note: note}
 	}
 	sample := func(at int64, note string, memory int64) history.Event {
-		return history.Event{At: at * ms, Kind: history.Sample, Relay: "n0", Life: 1, Note: note, Memory: memory, Disk: 4096, Descriptors: 20}
+		return history.Event{At: at * ms, Kind: history.Sample, Relay: "n0", Incarnation: 1, Note: note, Memory: memory, Disk: 4096,
+			Descriptors: 20}
 	}
 	return []history.Event{
-		told(0, "s-0a", "ready"), told(0, "s-0b", "ready"), told(0, "s-1a", "ready"),
+		listUpdate(0, "s-0a", "ready"), listUpdate(0, "s-0b", "ready"), listUpdate(0, "s-1a", "ready"),
 		proc(1, history.Started), proc(50, history.Ready), sample(60, "before", 10_000_000),
-		// Delivered at once.
-		hand(100, "m1", "payment", 0), taken(105, "m1"), call(110, 1, "m1", "s-0a", "north"), reply(150, 1, "m1", "s-0a", history.OK, 0),
-		// Turned away with a wait, which is kept; then delivered elsewhere.
-		hand(200, "m2", "payment", 0), taken(205, "m2"), call(210, 2, "m2", "s-0a", "north"), reply(220, 2, "m2", "s-0a", history.Refused, 500),
-		heard(226, 2, "s-0a", 500),
+		// Delivered at the first attempt.
+		submit(100, "m1", "payment", 0), accepted(105, "m1"), call(110, 1, "m1", "s-0a", "north"), reply(150, 1, "m1", "s-0a", history.OK, 0),
+		// Refused with an advised wait, which is observed; then delivered to another endpoint.
+		submit(200, "m2", "payment", 0), accepted(205, "m2"), call(210, 2, "m2", "s-0a", "north"),
+		reply(220, 2, "m2", "s-0a", history.Refused, 500),
+		waitDelivered(226, 2, "s-0a", 500),
 		call(230, 3, "m2", "s-0b", "gate"), reply(260, 3, "m2", "s-0b", history.OK, 0),
-		// May have run, and is repeated in its group and window.
-		hand(300, "m3", "notice", 0), taken(305, "m3"), call(310, 4, "m3", "s-0b", "gate"), reply(900, 4, "m3", "s-0b", history.Broken, 0),
+		// May have run, and is repeated within its group and deduplication window.
+		submit(300, "m3", "notice", 0), accepted(305, "m3"), call(310, 4, "m3", "s-0b", "gate"),
+		reply(900, 4, "m3", "s-0b", history.ConnectionLost, 0),
 		call(1000, 5, "m3", "s-0b", "gate"), reply(1050, 5, "m3", "s-0b", history.OK, 0),
-		// Refused all the time, and deferred.
-		hand(1100, "m4", "payment", 1), taken(1105, "m4"), call(1110, 6, "m4", "s-1a", "north"), reply(1120, 6, "m4", "s-1a", history.Refused, 0),
-		{At: 2000 * ms, Kind: history.Notice, Relay: "n0", ID: "m4", End: "deferred", Again: 500 * ms},
-		// A drain, kept.
-		told(2100, "s-0b", "draining"),
-		// Taken on by a process that is killed, and made good by the next after the message's time.
-		hand(2500, "m5", "notice", 0), taken(2505, "m5"), call(2510, 7, "m5", "s-0a", "north"), proc(2520, history.Kill), proc(2521, history.Ended),
-		reply(2521, 7, "m5", "s-0a", history.Broken, 0), proc(6600, history.Started), proc(6700, history.Ready),
+		// Refused by every call, and deferred.
+		submit(1100, "m4", "payment", 1), accepted(1105, "m4"), call(1110, 6, "m4", "s-1a", "north"),
+		reply(1120, 6, "m4", "s-1a", history.Refused, 0),
+		{At: 2000 * ms, Kind: history.Notice, Relay: "n0", ID: "m4", End: "deferred", RetryAfter: 500 * ms},
+		// A drain that is observed.
+		listUpdate(2100, "s-0b", "draining"),
+		// Accepted by a process that is killed, and ended by the next process after the message's expiry.
+		submit(2500, "m5", "notice", 0), accepted(2505, "m5"), call(2510, 7, "m5", "s-0a", "north"), proc(2520, history.Kill),
+		proc(2521, history.Ended),
+		reply(2521, 7, "m5", "s-0a", history.ConnectionLost, 0), proc(6600, history.Started), proc(6700, history.Ready),
 		{At: 8100 * ms, Kind: history.Notice, Relay: "n0", ID: "m5", End: "undeliverable"},
 		sample(9000, "after", 12_000_000),
 	}
@@ -80,28 +86,28 @@
 	return i
 }
 
-// undisturbed is a history without its restart and the message that it concerned.
+// undisturbed removes the restart, and the message that it affects, from a history.
 func undisturbed(e []history.Event) []history.Event {
-	return slices.DeleteFunc(e, func(o history.Event) bool { return o.ID == "m5" || (o.Kind == history.Proc && o.At > 100*ms) })
+	return slices.DeleteFunc(e, func(o history.Event) bool { return o.ID == "m5" || (o.Kind == history.ProcessState && o.At > 100*ms) })
 }
 
-func TestASoundHistoryHolds(t *testing.T) {
-	v := Check(rules(), sound())
+func TestSoundHistoryHolds(t *testing.T) {
+	v := Check(rules(), soundHistory())
 	if !v.Held() || len(v.Excused) > 0 {
-		t.Fatalf("broken: %v, excused: %v", v.Violations, v.Excused)
+		t.Fatalf("violations: %v, excused: %v", v.Violations, v.Excused)
 	}
 	for _, name := range Names {
 		if v.Judged[name] == 0 {
-			t.Errorf("%s was judged on nothing", name)
+			t.Errorf("%s was not judged", name)
 		}
 	}
 }
 
-// Each invariant is broken by one fault in the sound history, and by nothing else; the verdict names it, the message or
+// Each fault in the sound history violates exactly one invariant. The violation names the invariant, the message or
 // relay, and the events that show it.
-func TestEachFaultIsFoundAndNamed(t *testing.T) {
+func TestViolationsAreReported(t *testing.T) {
 	type events = []history.Event
-	later := func(e events, i int, by int64) events { // moves one event to where its new time belongs
+	delay := func(e events, i int, by int64) events { // delays one event and keeps the events in order of time
 		x := e[i]
 		x.At += by * ms
 		x.Began += by * ms
@@ -115,7 +121,7 @@
 	}
 	for _, c := range []struct {
 		what, name, id, text string
-		spoil                func(t *testing.T, e events) events
+		inject               func(t *testing.T, e events) events
 	}{
 		{"a notice is lost", TakenIsEnded, "m4", "neither delivered nor ended", func(t *testing.T, e events) events {
 			i := find(t, e, history.Notice, "m4")
@@ -123,10 +129,10 @@
 		}},
 		{"a notice comes late", TakenIsEnded, "m4", "after it was due", func(t *testing.T, e events) events {
 			e = undisturbed(e)
-			return later(e, find(t, e, history.Notice, "m4"), 4000)
+			return delay(e, find(t, e, history.Notice, "m4"), 4000)
 		}},
 		{"a notice comes later than a restart excuses", TakenIsEnded, "m5", "after it was due", func(t *testing.T, e events) events {
-			return later(e, find(t, e, history.Notice, "m5"), 400)
+			return delay(e, find(t, e, history.Notice, "m5"), 400)
 		}},
 		{"a delivery is lost", TakenIsEnded, "m1", "neither delivered nor ended", func(t *testing.T, e events) events {
 			i := find(t, e, history.Call, "m1")
@@ -143,20 +149,21 @@
 			return slices.Insert(e, find(t, e, history.Call, "m5")+1, x)
 		}},
 		{"a connection ends without an answer", TakenIsEnded, "m9", "with no answer", func(t *testing.T, e events) events {
-			x := e[find(t, e, history.Hand, "m1")]
-			x.ID, x.First, x.At = "m9", "m9", 8500*ms // long after the restart
+			x := e[find(t, e, history.Submit, "m1")]
+			x.ID, x.FirstID, x.At = "m9", "m9", 8500*ms // long after the restart
 			y := history.Event{At: 8600 * ms, Kind: history.Answer, Relay: "n0", ID: "m9", Note: "closed"}
 			e = undisturbed(e)
 			return slices.Insert(e, len(e)-1, x, y)
 		}},
 		{"an unsafe message is repeated", NoSecondEffect, "m2", "may not be repeated", func(t *testing.T, e events) events {
-			e[find(t, e, history.Reply, "m2")].Outcome = history.Broken
-			return e
-		}},
-		{"an unsafe message that may have run is deferred", NoSecondEffect, "m4", "deferred, though it may have run", func(t *testing.T, e events) events {
-			e[find(t, e, history.Reply, "m4")].Outcome = history.Broken
+			e[find(t, e, history.Reply, "m2")].Outcome = history.ConnectionLost
 			return e
 		}},
+		{"an unsafe message that may have run is deferred", NoSecondEffect, "m4", "deferred, though it may have run",
+			func(t *testing.T, e events) events {
+				e[find(t, e, history.Reply, "m4")].Outcome = history.ConnectionLost
+				return e
+			}},
 		{"a repeat outside its group", NoSecondEffect, "m3", "and was sent again to s-0a, in north", func(t *testing.T, e events) events {
 			for i := range e {
 				if e[i].Number == 5 {
@@ -167,11 +174,11 @@
 		}},
 		{"a repeat outside its window", NoSecondEffect, "m3", "repeats are dropped for 1500 ms", func(t *testing.T, e events) events {
 			i := slices.IndexFunc(e, func(x history.Event) bool { return x.Kind == history.Call && x.Number == 5 })
-			e = later(e, i, 900)
-			return later(e, slices.IndexFunc(e, func(x history.Event) bool { return x.Kind == history.Reply && x.Number == 5 }), 900)
+			e = delay(e, i, 900)
+			return delay(e, slices.IndexFunc(e, func(x history.Event) bool { return x.Kind == history.Reply && x.Number == 5 }), 900)
 		}},
 		{"two calls side by side", NoSecondEffect, "m3", "was still out", func(t *testing.T, e events) events {
-			return later(e, find(t, e, history.Reply, "m3"), 250)
+			return delay(e, find(t, e, history.Reply, "m3"), 250)
 		}},
 		{"a call to another destination", OwnEndpoints, "m1", "which is one of destination 1", func(t *testing.T, e events) events {
 			for i := range e {
@@ -182,11 +189,11 @@
 			return e
 		}},
 		{"a call to an endpoint nobody named", OwnEndpoints, "m1", "had not been told of", func(t *testing.T, e events) events {
-			i := find(t, e, history.Told, "s-0a")
+			i := find(t, e, history.ListUpdate, "s-0a")
 			x := e[i]
 			x.At = 190 * ms
 			e = slices.Delete(e, i, i+1)
-			return slices.Insert(e, find(t, e, history.Hand, "m2"), x)
+			return slices.Insert(e, find(t, e, history.Submit, "m2"), x)
 		}},
 		{"a call that no client asked for", OwnEndpoints, "m8", "no client of n0 has handed it in", func(t *testing.T, e events) events {
 			x := e[find(t, e, history.Call, "m1")]
@@ -194,7 +201,7 @@
 			return slices.Insert(e, find(t, e, history.Call, "m1"), x)
 		}},
 		{"a call to a draining endpoint", DrainKept, "m5", "was told that s-0a is draining", func(t *testing.T, e events) events {
-			e[find(t, e, history.Told, "s-0a")].At = 0
+			e[find(t, e, history.ListUpdate, "s-0a")].At = 0
 			e = slices.Clone(e)
 			i := slices.IndexFunc(e, func(x history.Event) bool { return x.State == "draining" })
 			e[i].Endpoint = "s-0a"
@@ -205,7 +212,7 @@
 			e[i].Wait = 2000 * ms
 			e[i].At = 800 * ms
 			heard := e[i]
-			heard.Kind = history.Heard
+			heard.Kind = history.WaitDelivered
 			return slices.Insert(e, i+1, heard)
 		}},
 		{"memory that stays", MemoryFlat, "n0", "bytes of memory before the load", func(t *testing.T, e events) events {
@@ -222,18 +229,18 @@
 			return e
 		}},
 		{"a process that ends by itself", StaysUp, "n0", "ended by itself, code 2", func(t *testing.T, e events) events {
-			return append(e, history.Event{At: 9100 * ms, Kind: history.Proc, Relay: "n0", Life: 2, Note: history.Ended, Status: 2})
+			return append(e, history.Event{At: 9100 * ms, Kind: history.ProcessState, Relay: "n0", Incarnation: 2, Note: history.Ended, Status: 2})
 		}},
 		{"a process that ends badly when asked to", StaysUp, "n0", "ended by itself, code 1", func(t *testing.T, e events) events {
-			return append(e, history.Event{At: 9050 * ms, Kind: history.Proc, Relay: "n0", Life: 2, Note: history.Term},
-				history.Event{At: 9100 * ms, Kind: history.Proc, Relay: "n0", Life: 2, Note: history.Ended, Status: 1})
+			return append(e, history.Event{At: 9050 * ms, Kind: history.ProcessState, Relay: "n0", Incarnation: 2, Note: history.Term},
+				history.Event{At: 9100 * ms, Kind: history.ProcessState, Relay: "n0", Incarnation: 2, Note: history.Ended, Status: 1})
 		}},
 		{"descriptors that stay", NoLeak, "n0", "descriptors before the load", func(t *testing.T, e events) events {
 			e[find(t, e, history.Sample, "after")].Descriptors = 29
 			return e
 		}},
 	} {
-		v := Check(rules(), c.spoil(t, sound()))
+		v := Check(rules(), c.inject(t, soundHistory()))
 		if len(v.Violations) != 1 {
 			t.Errorf("%s: violations %v, want one", c.what, v.Violations)
 			continue
@@ -245,40 +252,40 @@
 	}
 }
 
-// What was late by no more than the ground itself was at the time says nothing, and what is no matter of time is not
-// excused by it.
-func TestAGroundThatWasLateIsNoEvidence(t *testing.T) {
-	late := func(note, at, by int64) []history.Event {
-		e := undisturbed(sound())
+// A time limit that was exceeded by no more than the harness itself was late is excused. Violations that are not about
+// time are not.
+func TestHarnessLagExcusesTimeLimits(t *testing.T) {
+	delayNotice := func(late, at, lag int64) []history.Event {
+		e := undisturbed(soundHistory())
 		i := find(t, e, history.Notice, "m4")
 		x := e[i]
-		x.At = (1100 + 4000 + 350 + note) * ms
+		x.At = (1100 + 4000 + 350 + late) * ms
 		e = slices.Delete(e, i, i+1)
 		k := slices.IndexFunc(e, func(o history.Event) bool { return o.At > x.At })
 		e = slices.Insert(e, k, x)
-		if by > 0 {
+		if lag > 0 {
 			k = slices.IndexFunc(e, func(o history.Event) bool { return o.At > at*ms })
-			e = slices.Insert(e, k, history.Event{At: at * ms, Kind: history.Lag, Took: by * ms})
+			e = slices.Insert(e, k, history.Event{At: at * ms, Kind: history.Lag, Duration: lag * ms})
 		}
 		return e
 	}
-	if v := Check(rules(), late(30, 0, 0)); v.Held() {
-		t.Error("30 ms late, and held")
+	if v := Check(rules(), delayNotice(30, 0, 0)); v.Held() {
+		t.Error("30 ms late, and no violation")
 	}
-	if v := Check(rules(), late(30, 5300, 40)); !v.Held() || len(v.Excused) != 1 {
-		t.Errorf("30 ms late while the ground lost 40: %+v", v)
+	if v := Check(rules(), delayNotice(30, 5300, 40)); !v.Held() || len(v.Excused) != 1 {
+		t.Errorf("30 ms late with a lag of 40 ms: %+v", v)
 	}
-	if v := Check(rules(), late(30, 5300, 20)); v.Held() {
-		t.Error("30 ms late while the ground lost 20, and held")
+	if v := Check(rules(), delayNotice(30, 5300, 20)); v.Held() {
+		t.Error("30 ms late with a lag of 20 ms, and no violation")
 	}
-	if v := Check(rules(), late(30, 1050, 40)); v.Held() {
-		t.Error("excused by a lag before the message was there")
+	if v := Check(rules(), delayNotice(30, 1050, 40)); v.Held() {
+		t.Error("excused by a lag before the message was submitted")
 	}
 }
 
-// A history that ends before a message is due says nothing of it.
-func TestAnEndBeforeItsTimeIsNotJudged(t *testing.T) {
-	e := sound()
+// If a history ends before a message's deadline, the message is not judged.
+func TestEndOfHistoryBeforeDeadlineIsNotJudged(t *testing.T) {
+	e := soundHistory()
 	e = e[:find(t, e, history.Notice, "m4")]
 	v := Check(rules(), e)
 	if !v.Held() || v.Judged[TakenIsEnded] != 3 {
@@ -286,9 +293,9 @@
 	}
 }
 
-// A wait that was told in an answer which the relay had given up on binds nobody.
-func TestAWaitThatWasNotHeardIsNotJudged(t *testing.T) {
-	e := sound()
+// An advised wait in an answer that the relay did not receive does not bind it.
+func TestWaitNotReceivedIsNotJudged(t *testing.T) {
+	e := soundHistory()
 	i := slices.IndexFunc(e, func(x history.Event) bool { return x.Kind == history.Reply && x.Number == 4 })
 	e[i].Wait, e[i].At = 2000*ms, 800*ms
 	v := Check(rules(), e)
@@ -297,50 +304,50 @@
 	}
 }
 
-// A message that a frozen relay holds is due again once the relay goes on, and not before.
-func TestAFreezeIsLikeARestart(t *testing.T) {
-	freeze := func(noticeAt int64) []history.Event {
-		e := sound()
+// A message that a frozen relay holds becomes due after the relay continues, not before.
+func TestFrozenRelayGetsRecoveryTime(t *testing.T) {
+	freezeHistory := func(noticeAt int64) []history.Event {
+		e := soundHistory()
 		i := find(t, e, history.Notice, "m4")
 		x := e[i]
 		x.At = noticeAt * ms
 		e = slices.Delete(e, i, i+1)
 		e = slices.DeleteFunc(undisturbed(e), func(o history.Event) bool { return o.Kind == history.Sample })
-		return append(e, history.Event{At: 2200 * ms, Kind: history.Proc, Relay: "n0", Life: 1, Note: history.Stop},
-			history.Event{At: 8000 * ms, Kind: history.Proc, Relay: "n0", Life: 1, Note: history.Cont}, x,
+		return append(e, history.Event{At: 2200 * ms, Kind: history.ProcessState, Relay: "n0", Incarnation: 1, Note: history.Stop},
+			history.Event{At: 8000 * ms, Kind: history.ProcessState, Relay: "n0", Incarnation: 1, Note: history.Cont}, x,
 			history.Event{At: 12000 * ms, Kind: history.Fault, Note: "over"})
 	}
-	if v := Check(rules(), freeze(9400)); !v.Held() {
-		t.Errorf("1.4 s after it went on: %v", v.Violations)
+	if v := Check(rules(), freezeHistory(9400)); !v.Held() {
+		t.Errorf("1.4 s after it continued: %v", v.Violations)
 	}
-	if v := Check(rules(), freeze(9700)); v.Held() {
-		t.Error("1.7 s after it went on, and held")
+	if v := Check(rules(), freezeHistory(9700)); v.Held() {
+		t.Error("1.7 s after it continued, and no violation")
 	}
 }
 
-// What came while its relay was stopped has its time from when the relay went on.
-func TestAMessageThatLayBeforeAFrozenRelay(t *testing.T) {
-	frozen := func(noticeAt int64) Verdict {
-		e := slices.DeleteFunc(undisturbed(sound()), func(o history.Event) bool { return o.Kind == history.Sample })
+// The time of a message that arrived while its relay was stopped counts from when the relay continues.
+func TestMessageTimeStartsWhenFrozenRelayContinues(t *testing.T) {
+	checkNoticeAt := func(noticeAt int64) Verdict {
+		e := slices.DeleteFunc(undisturbed(soundHistory()), func(o history.Event) bool { return o.Kind == history.Sample })
 		i := find(t, e, history.Notice, "m4")
 		x := e[i]
 		x.At = noticeAt * ms
 		e = slices.Delete(e, i, i+1)
 		proc := func(at int64, note string) history.Event {
-			return history.Event{At: at * ms, Kind: history.Proc, Relay: "n0", Life: 1, Note: note}
+			return history.Event{At: at * ms, Kind: history.ProcessState, Relay: "n0", Incarnation: 1, Note: note}
 		}
-		e = slices.Insert(e, find(t, e, history.Hand, "m4"), proc(1090, history.Stop))
-		k := find(t, e, history.Hand, "m4") + 1
+		e = slices.Insert(e, find(t, e, history.Submit, "m4"), proc(1090, history.Stop))
+		k := find(t, e, history.Submit, "m4") + 1
 		e = slices.Insert(e, k, proc(1450, history.Cont))
-		for i := k + 1; i < len(e); i++ { // what it did with the message came later
+		for i := k + 1; i < len(e); i++ { // the relay handled the message after it continued
 			e[i].At = max(e[i].At, 1460*ms)
 		}
 		return Check(rules(), append(e, x, history.Event{At: 9000 * ms, Kind: history.Fault, Note: "over"}))
 	}
-	if v := frozen(1450 + 4000 + 300); !v.Held() {
-		t.Errorf("in its time: %v", v.Violations)
+	if v := checkNoticeAt(1450 + 4000 + 300); !v.Held() {
+		t.Errorf("before the deadline: %v", v.Violations)
 	}
-	if v := frozen(1450 + 4000 + 400); v.Held() {
-		t.Error("50 ms after its time, and held")
+	if v := checkNoticeAt(1450 + 4000 + 400); v.Held() {
+		t.Error("50 ms after the deadline, and no violation")
 	}
 }
--- a/internal/trial/fault/group.go
+++ b/internal/trial/fault/group.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// Net knows the links between named parties, and cuts the parties into groups.
-type Net struct {
+// Network knows the links between named parties and can partition the parties into groups.
+type Network struct {
 	mu     sync.Mutex
-	links  []between
-	groups map[string]int // nil: all are together
+	links  []namedLink
+	groups map[string]int // nil: not partitioned
 	oneWay bool
 }
 
-type between struct {
+type namedLink struct {
 	from, to string
 	link     interface {
 		Faults() Faults
@@ -18,21 +18,21 @@
 	}
 }
 
-// Add tells of a link by which from reaches to. While the parties are cut apart it is cut from the start.
-func (n *Net) Add(from, to string, link interface {
+// Add registers a link by which from connects to to. If the two are partitioned now, the link is cut at once.
+func (n *Network) Add(from, to string, link interface {
 	Faults() Faults
 	Set(Faults)
 }) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	b := between{from, to, link}
+	b := namedLink{from, to, link}
 	n.links = append(n.links, b)
 	n.apply(b)
 }
 
-// Partition cuts the parties into groups: what is in none of them is a group of its own, with all others that are in
-// none. Where oneWay is set, only what goes to the later group is lost, what comes from it is not.
-func (n *Net) Partition(oneWay bool, groups ...[]string) {
+// Partition cuts all links between parties of different groups. Parties that are in no group form one more group, the
+// first in order. If oneWay is set, only traffic to the later group is lost.
+func (n *Network) Partition(oneWay bool, groups ...[]string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.groups, n.oneWay = map[string]int{}, oneWay
@@ -46,8 +46,8 @@
 	}
 }
 
-// Heal puts all parties together again.
-func (n *Net) Heal() {
+// Heal ends the partition.
+func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.groups = nil
@@ -56,8 +56,8 @@
 	}
 }
 
-// apply makes a link as the groups have it, and leaves its other faults.
-func (n *Net) apply(b between) {
+// apply cuts or heals a link according to the groups and leaves its other faults unchanged.
+func (n *Network) apply(b namedLink) {
 	f := b.link.Faults()
 	from, to := n.groups[b.from], n.groups[b.to]
 	f.To.Cut = from != to && (!n.oneWay || to > from)
@@ -67,7 +67,7 @@
 	}
 }
 
-// Faults returns what the link does now.
+// Faults returns the present faults of the link.
 func (k *PacketLink) Faults() Faults {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/trial/fault/link.go
+++ b/internal/trial/fault/link.go
@@ -1,9 +1,9 @@
-// Package fault holds the links of a trial: everything that two parties say to each other goes through one, and what
-// happens to a network is done to it there. A link is told its faults and draws what is left to chance (jitter, loss)
-// from a seed of its own, so that two trials with one seed meet the same network.
+// Package fault holds the network links of a trial. All traffic between two parties goes through a link, which injects
+// network faults. A link draws jitter and loss from a seed of its own, so that two trials with the same seed see the
+// same network.
 //
-// A network that vanishes says nothing: a cut link swallows what is written, its open connections stay open and silent,
-// and new ones never come up. Only a process that has died resets its connections, and that is Reset.
+// A link that is cut behaves as a network that drops everything: data is lost silently, open connections stay open, and
+// new ones are not established. Connections are reset only when a process dies, which Link.Reset simulates.
 package fault
 
 import (
@@ -22,89 +22,90 @@
 )
 
 const (
-	chunkMost  = 16 << 10
-	queueMost  = 64 // chunks under way in one direction
-	dialFor    = time.Second
-	resendTime = 200 * time.Millisecond // what a lost segment costs a TCP stream, at the least
-	fillFor    = 20 * time.Millisecond
-	fillMost   = 16
-
-	handshakeMost = 10 * time.Millisecond // see stale
+	maxChunkBytes   = 16 << 10
+	maxQueuedChunks = 64 // in transit in one direction
+	dialTimeout     = time.Second
+	retransmitDelay = 200 * time.Millisecond // minimum delay that a lost segment causes in a TCP stream
+	fillDialTimeout = 20 * time.Millisecond
+	maxFillers      = 16
+
+	maxHandshakeRTT = 10 * time.Millisecond // see establishedDuringCut
 )
 
-// Way is one direction of a link.
-type Way struct {
+// Direction holds the faults of one direction of a link.
+type Direction struct {
 	Delay  time.Duration // one way
-	Jitter float64       // of Delay, up to so much more or less
-	Rate   float64       // bytes a second; 0: no bound
-	Loss   float64       // share of chunks (TCP: sent again later) or packets (UDP: gone)
-	Cut    bool          // nothing comes through
+	Jitter float64       // relative to Delay: up to so much more or less
+	Rate   float64       // bytes per second; 0: unlimited
+	Loss   float64       // share of chunks (TCP: delayed by retransmission) or packets (UDP: dropped)
+	Cut    bool          // nothing passes
 }
 
-// Faults are what a link does to what goes over it.
+// Faults are the faults of a link.
 type Faults struct {
-	To, From Way  // from the side that connects to the other one, and back
-	Refuse   bool // new connections are reset at once, as where no process listens
+	To, From Direction // from the connecting side to the other one, and back
+	Refuse   bool      // reset new connections at once, as if no process listened
 }
 
-// Cut tells whether a new connection cannot come up.
+// cut reports whether new connections cannot be established.
 func (f *Faults) cut() bool { return f.To.Cut || f.From.Cut }
 
-// DialFunc opens the far side of a connection.
+// DialFunc connects to the far side of a link.
 type DialFunc func(ctx context.Context) (net.Conn, error)
 
-// Link forwards TCP connections that come to its own address.
+// Link forwards TCP connections that are made to its own address.
 type Link struct {
 	Name string
 
-	dial DialFunc
-	l    *net.TCPListener
+	dial     DialFunc
+	listener *net.TCPListener
 
 	ctx  context.Context
 	stop context.CancelFunc
 	wg   sync.WaitGroup
 
-	setting sync.Mutex // held by Set: the queue of connections is its alone
+	setMu sync.Mutex // held by Set, which alone changes the accept queue
 
 	mu      sync.Mutex
 	faults  Faults
-	changed chan struct{} // closed and replaced with each change of faults
+	changed chan struct{} // closed and replaced when the faults change
 	conns   map[*conn]struct{}
-	fillers []net.Conn // they keep the queue of connections full while the link is cut
+	fillers []net.Conn // connections that keep the accept queue full while the link is cut
 	rng     *rand.Rand
 	closed  bool
-	err     error // the first cut or healing that could not be made
+	err     error // the first cut or healing that failed
 
 	opened atomic.Int64
 }
 
-// NewLink listens on host, on a port of the system's choosing, and forwards to what dial opens.
+// NewLink listens on host, on a port that the system chooses, and forwards to the connections that dial returns.
 func NewLink(name, host string, seed uint64, faults Faults, dial DialFunc) (*Link, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, fmt.Errorf("link %s: %w", name, err)
 	}
-	k := &Link{Name: name, dial: dial, l: l.(*net.TCPListener), faults: faults, changed: make(chan struct{}), conns: map[*conn]struct{}{},
-		rng: rand.New(rand.NewPCG(seed, 0x6c696e6b))}
+	k := &Link{Name: name, dial: dial, listener: l.(*net.TCPListener), faults: faults, changed: make(chan struct{}),
+		conns: map[*conn]struct{}{},
+		rng:   rand.New(rand.NewPCG(seed, 0x6c696e6b))}
 	k.ctx, k.stop = context.WithCancel(context.Background())
 	k.wg.Go(k.accept)
 	return k, nil
 }
 
-// Addr is where to connect.
-func (k *Link) Addr() string { return k.l.Addr().String() }
+// Addr returns the address to connect to.
+func (k *Link) Addr() string { return k.listener.Addr().String() }
 
-// Opened is how many connections have come so far.
+// Opened returns the number of connections accepted so far.
 func (k *Link) Opened() int64 { return k.opened.Load() }
 
-// Err tells that a cut or a healing could not be made as it was asked for: what went over the link since proves nothing.
+// Err returns an error if a cut or a healing failed. Traffic over the link then proves nothing.
 func (k *Link) Err() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.err
 }
 
-func (k *Link) fail(what string, err error) {
+func (k *Link) setErr(what string, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.err == nil {
@@ -112,31 +113,31 @@
 	}
 }
 
-// Open is how many connections there are now.
+// Open returns the number of open connections.
 func (k *Link) Open() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.conns)
 }
 
-// Faults returns what the link does now.
+// Faults returns the present faults of the link.
 func (k *Link) Faults() Faults {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.faults
 }
 
-// Set changes what the link does, for open connections too. A link that was cut and is no more goes on where it was,
-// as TCP sends again what got lost.
+// Set changes the faults of the link, for open connections too. Data held back by a cut is delivered when the cut ends,
+// as TCP retransmits it.
 func (k *Link) Set(f Faults) {
-	k.setting.Lock()
-	defer k.setting.Unlock()
+	k.setMu.Lock()
+	defer k.setMu.Unlock()
 	k.mu.Lock()
-	was, closed := k.faults.cut(), k.closed
+	wasCut, closed := k.faults.cut(), k.closed
 	k.mu.Unlock()
-	if was && !f.cut() && !closed {
-		if err := k.unshut(); err != nil { // while nobody accepts yet
-			k.fail("heal", err)
+	if wasCut && !f.cut() && !closed {
+		if err := k.allowNewConnections(); err != nil { // no goroutine accepts connections yet
+			k.setErr("heal", err)
 		}
 	}
 	k.mu.Lock()
@@ -144,21 +145,21 @@
 	close(k.changed)
 	k.changed = make(chan struct{})
 	k.mu.Unlock()
-	if !was && f.cut() && !closed {
-		if err := k.shut(); err != nil {
-			k.fail("cut", err)
+	if !wasCut && f.cut() && !closed {
+		if err := k.blockNewConnections(); err != nil {
+			k.setErr("cut", err)
 		}
 	}
 }
 
-// Change edits what the link does.
+// Change edits the faults of the link.
 func (k *Link) Change(edit func(*Faults)) {
 	f := k.Faults()
 	edit(&f)
 	k.Set(f)
 }
 
-// Reset ends all open connections as the death of a process does.
+// Reset resets all open connections, as the death of a process does.
 func (k *Link) Reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -167,20 +168,20 @@
 	}
 }
 
-// shut keeps new connections from coming up: the queue of those not accepted is made short and filled, and the system
-// drops what comes on top, without a word.
-func (k *Link) shut() error {
-	raw, err := k.l.SyscallConn()
+// blockNewConnections keeps new connections from being established. It shortens the accept queue and fills it, so that
+// the system silently drops further handshakes.
+func (k *Link) blockNewConnections() error {
+	raw, err := k.listener.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var listen error
-	if err := raw.Control(func(fd uintptr) { listen = syscall.Listen(int(fd), 0) }); err != nil || listen != nil {
-		return errors.Join(err, listen)
+	var listenErr error
+	if err := raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), 0) }); err != nil || listenErr != nil {
+		return errors.Join(err, listenErr)
 	}
-	k.l.SetDeadline(time.Unix(1, 0)) // the goroutine that accepts goes to wait for a change
-	for range fillMost {
-		c, err := net.DialTimeout("tcp", k.Addr(), fillFor)
+	k.listener.SetDeadline(time.Unix(1, 0)) // accept returns, and its loop waits until the faults change
+	for range maxFillers {
+		c, err := net.DialTimeout("tcp", k.Addr(), fillDialTimeout)
 		var full net.Error
 		if errors.As(err, &full) && full.Timeout() {
 			return nil
@@ -191,13 +192,14 @@
 		k.fillers = append(k.fillers, c)
 		k.mu.Unlock()
 	}
-	return fmt.Errorf("%d connections came up, and there is still room", fillMost)
+	return fmt.Errorf("%d connections were established and the accept queue is still not full", maxFillers)
 }
 
-// unshut lets connections come up again. One that found a place in the queue before it was full came up for its client
-// alone: what the client has written to it since, and perhaps given up, must not come out now as if it were new.
-func (k *Link) unshut() error {
-	raw, err := k.l.SyscallConn()
+// allowNewConnections lets connections be established again. It discards connections left in the accept queue. Their
+// clients consider them established, may have written to them and have perhaps given up, and that data must not be
+// delivered now as if it were new.
+func (k *Link) allowNewConnections() error {
+	raw, err := k.listener.SyscallConn()
 	if err == nil {
 		err = raw.Control(func(fd uintptr) {
 			for {
@@ -224,11 +226,11 @@
 		err = raw.Control(func(fd uintptr) { listen = syscall.Listen(int(fd), syscall.SOMAXCONN) })
 		err = errors.Join(err, listen)
 	}
-	k.l.SetDeadline(time.Time{})
+	k.listener.SetDeadline(time.Time{})
 	return err
 }
 
-// Close ends the link and all that goes over it.
+// Close closes the link and all its connections.
 func (k *Link) Close() {
 	k.mu.Lock()
 	k.closed = true
@@ -238,7 +240,7 @@
 	k.fillers = nil
 	k.mu.Unlock()
 	k.stop()
-	k.l.Close()
+	k.listener.Close()
 	k.Reset()
 	k.wg.Wait()
 }
@@ -259,11 +261,11 @@
 			}
 			continue
 		}
-		near, err := k.l.AcceptTCP()
+		near, err := k.listener.AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // the deadline of a cut, or out of descriptors
+		if err != nil { // the deadline set by blockNewConnections, or out of descriptors
 			select {
 			case <-time.After(time.Millisecond):
 			case <-k.ctx.Done():
@@ -272,7 +274,7 @@
 			continue
 		}
 		f := k.Faults()
-		if f.Refuse || stale(near) {
+		if f.Refuse || establishedDuringCut(near) {
 			near.SetLinger(0)
 			near.Close()
 			continue
@@ -282,20 +284,20 @@
 	}
 }
 
-// stale tells of a connection that came up for its client while the link was cut: the system dropped the last step of its
-// handshake for want of room, and it was made up for by what the client's side sent again much later. Handshakes on
-// loopback take microseconds, and processes have no part in them.
-func stale(c *net.TCPConn) bool {
+// establishedDuringCut reports whether a client considered its connection established while the link was cut: the system
+// dropped the last step of the handshake because the accept queue was full, and a later retransmission by the client
+// completed it. Otherwise handshakes over loopback take microseconds, as no process takes part in them.
+func establishedDuringCut(c *net.TCPConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
 	}
-	again := false
+	stale := false
 	raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		again = err == nil && (info.Total_retrans > 0 || time.Duration(info.Rtt)*time.Microsecond > handshakeMost)
+		stale = err == nil && (info.Total_retrans > 0 || time.Duration(info.Rtt)*time.Microsecond > maxHandshakeRTT)
 	})
-	return again
+	return stale
 }
 
 // conn is one connection over a link.
@@ -305,7 +307,7 @@
 	once sync.Once
 }
 
-// reset ends both sides at once.
+// reset resets both sides.
 func (c *conn) reset() {
 	c.once.Do(func() {
 		c.near.SetLinger(0)
@@ -316,7 +318,7 @@
 	})
 }
 
-// close ends both sides; what was written still arrives.
+// close closes both sides. Data that was written still arrives.
 func (c *conn) close() {
 	c.once.Do(func() {
 		c.near.Close()
@@ -324,17 +326,17 @@
 	})
 }
 
-// Resetter is a far side that can tell that its connection ended by a reset.
+// Resetter is a far side that can report that it ended the connection by a reset.
 type Resetter interface{ WasReset() bool }
 
-// Througher is a far side that wants to know when bytes of its own have come out at the near one.
-type Througher interface{ Through(bytes int, at time.Time) }
+// DeliveryObserver is a far side that is told when bytes that it sent have been written to the near side.
+type DeliveryObserver interface{ OnDeliver(bytes int, at time.Time) }
 
-// Marker is a far side that wants to know when bytes came in at the near one, before any delay.
-type Marker interface{ Mark(at time.Time) }
+// ReceiveObserver is a far side that is told when bytes arrive from the near side, before any delay.
+type ReceiveObserver interface{ OnReceive(at time.Time) }
 
 func (k *Link) serve(near *net.TCPConn) {
-	ctx, cancel := context.WithTimeout(k.ctx, dialFor)
+	ctx, cancel := context.WithTimeout(k.ctx, dialTimeout)
 	far, err := k.dial(ctx)
 	cancel()
 	c := &conn{near: near, far: far}
@@ -362,12 +364,12 @@
 			c.close()
 		}
 	}()
-	mark, _ := far.(Marker)
-	through, _ := far.(Througher)
-	type end struct{ over, broken bool } // over: the other way as well
+	received, _ := far.(ReceiveObserver)
+	delivered, _ := far.(DeliveryObserver)
+	type end struct{ closeAll, broken bool } // closeAll: end the other direction as well
 	done := make(chan end, 2)
 	k.wg.Go(func() {
-		err := k.carry(far, near, mark, nil, func(f *Faults) *Way { return &f.To })
+		err := k.forward(far, near, received, nil, func(f *Faults) *Direction { return &f.To })
 		half, ok := far.(interface{ CloseWrite() error })
 		if err != nil || !ok {
 			done <- end{true, err != nil}
@@ -377,7 +379,7 @@
 		done <- end{}
 	})
 	k.wg.Go(func() {
-		err := k.carry(near, far, nil, through, func(f *Faults) *Way { return &f.From })
+		err := k.forward(near, far, nil, delivered, func(f *Faults) *Direction { return &f.From })
 		if r, ok := far.(Resetter); err != nil || (ok && r.WasReset()) {
 			done <- end{true, true}
 			return
@@ -388,7 +390,7 @@
 	for range 2 {
 		select {
 		case e := <-done:
-			if e.over {
+			if e.closeAll {
 				broken = e.broken
 				return
 			}
@@ -399,40 +401,41 @@
 	broken = false
 }
 
-// parcel is what is under way.
-type parcel struct {
+// chunk is a piece of a stream in transit.
+type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// carry moves bytes one way until src ends, with the link's faults at each moment.
-func (k *Link) carry(dst io.Writer, src io.Reader, mark Marker, through Througher, way func(*Faults) *Way) error {
-	under := make(chan parcel, queueMost)
+// forward copies one direction until src ends, subject to the faults of the link.
+func (k *Link) forward(dst io.Writer, src io.Reader, received ReceiveObserver, delivered DeliveryObserver,
+	direction func(*Faults) *Direction) error {
+	inTransit := make(chan chunk, maxQueuedChunks)
 	result := make(chan error, 1)
-	gone, ended := make(chan struct{}), make(chan struct{})
-	go func() { // ends with under, or where dst takes nothing more
-		defer close(gone)
-		result <- k.deliver(dst, through, under, ended, way)
+	deliveryEnded, sourceEnded := make(chan struct{}), make(chan struct{})
+	go func() { // ends when inTransit is closed or dst fails
+		defer close(deliveryEnded)
+		result <- k.deliver(dst, delivered, inTransit, sourceEnded, direction)
 	}()
 	var err error
 	var last time.Time
 loop:
 	for {
-		buf := make([]byte, chunkMost)
+		buf := make([]byte, maxChunkBytes)
 		n, e := src.Read(buf)
 		if n > 0 {
 			now := time.Now()
-			if mark != nil {
-				mark.Mark(now)
+			if received != nil {
+				received.OnReceive(now)
 			}
-			due := now.Add(k.hold(way, n))
+			due := now.Add(k.drawDelay(direction, n))
 			if due.Before(last) { // a stream keeps its order
 				due = last
 			}
 			last = due
 			select {
-			case under <- parcel{buf[:n], due}:
-			case <-gone:
+			case inTransit <- chunk{buf[:n], due}:
+			case <-deliveryEnded:
 				break loop
 			}
 		}
@@ -443,37 +446,38 @@
 			break
 		}
 	}
-	close(ended)
-	close(under)
+	close(sourceEnded)
+	close(inTransit)
 	return errors.Join(err, <-result)
 }
 
-// hold draws how long a chunk is under way.
-func (k *Link) hold(way func(*Faults) *Way, n int) time.Duration {
+// drawDelay draws how long a chunk is in transit.
+func (k *Link) drawDelay(direction func(*Faults) *Direction, n int) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	w := way(&k.faults)
-	d := w.Delay
-	if w.Jitter > 0 {
-		d += time.Duration(float64(d) * w.Jitter * (2*k.rng.Float64() - 1))
+	faults := direction(&k.faults)
+	d := faults.Delay
+	if faults.Jitter > 0 {
+		d += time.Duration(float64(d) * faults.Jitter * (2*k.rng.Float64() - 1))
 	}
-	if w.Rate > 0 {
-		d += time.Duration(float64(n) / w.Rate * float64(time.Second))
+	if faults.Rate > 0 {
+		d += time.Duration(float64(n) / faults.Rate * float64(time.Second))
 	}
-	for w.Loss > 0 && k.rng.Float64() < w.Loss && d < 10*time.Second {
-		d += resendTime + d // the stream stands still until the piece has come again
+	for faults.Loss > 0 && k.rng.Float64() < faults.Loss && d < 10*time.Second {
+		d += retransmitDelay + d // later chunks wait for the retransmission
 	}
 	return d
 }
 
-// errLost ends a connection whose sender has gone while the link was cut.
-var errLost = errors.New("lost on a cut link")
+// errSenderGone ends a connection whose sender has disconnected while the link was cut.
+var errSenderGone = errors.New("the sender disconnected while the link was cut")
 
-// deliver writes what is under way when it is due; while the way is cut it holds it. What is held when its sender goes
-// is lost.
-func (k *Link) deliver(dst io.Writer, through Througher, under <-chan parcel, ended <-chan struct{}, way func(*Faults) *Way) error {
+// deliver writes chunks when they are due. While the direction is cut, it holds them back; they are lost if their sender
+// disconnects.
+func (k *Link) deliver(dst io.Writer, delivered DeliveryObserver, inTransit <-chan chunk, sourceEnded <-chan struct{},
+	direction func(*Faults) *Direction) error {
 	var err error
-	for p := range under {
+	for p := range inTransit {
 		if err != nil {
 			return err
 		}
@@ -486,21 +490,21 @@
 		}
 		for {
 			k.mu.Lock()
-			cut, changed := way(&k.faults).Cut, k.changed
+			cut, changed := direction(&k.faults).Cut, k.changed
 			k.mu.Unlock()
 			if !cut {
 				break
 			}
 			select {
 			case <-changed:
-			case <-ended:
-				return errLost
+			case <-sourceEnded:
+				return errSenderGone
 			case <-k.ctx.Done():
 				return k.ctx.Err()
 			}
 		}
-		if _, err = dst.Write(p.data); err == nil && through != nil {
-			through.Through(len(p.data), time.Now())
+		if _, err = dst.Write(p.data); err == nil && delivered != nil {
+			delivered.OnDeliver(len(p.data), time.Now())
 		}
 	}
 	return err
--- a/internal/trial/fault/link_test.go
+++ b/internal/trial/fault/link_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// echo answers each connection with what comes on it, and returns how to reach it.
+// echo starts a server that sends back what it receives, and returns a function that connects to it.
 func echo(t *testing.T) DialFunc {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -56,14 +56,14 @@
 	return c
 }
 
-func say(t *testing.T, c net.Conn, text string) {
+func send(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func hear(t *testing.T, c net.Conn, n int) string {
+func receive(t *testing.T, c net.Conn, n int) string {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	buf := make([]byte, n)
@@ -73,7 +73,7 @@
 	return string(buf)
 }
 
-// silent tells that nothing is heard for a while; the connection is open.
+// silent checks that nothing arrives for a while and the connection stays open.
 func silent(t *testing.T, c net.Conn) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestALinkCarriesBothWaysAndItsEnd(t *testing.T) {
+func TestLinkForwardsBothDirectionsAndEOF(t *testing.T) {
 	k := newLink(t, Faults{}, echo(t))
 	c := connect(t, k)
 	big := bytes.Repeat([]byte("0123456789"), 50_000)
@@ -92,54 +92,54 @@
 		c.(*net.TCPConn).CloseWrite()
 	}()
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
-	back, err := io.ReadAll(c)
-	if err != nil || !bytes.Equal(back, big) {
-		t.Fatalf("%d bytes came back of %d, err %v", len(back), len(big), err)
+	received, err := io.ReadAll(c)
+	if err != nil || !bytes.Equal(received, big) {
+		t.Fatalf("received %d bytes of %d, err %v", len(received), len(big), err)
 	}
 }
 
-func TestDelayAndLossOnlyDelayAStream(t *testing.T) {
+func TestDelayAndLossKeepStreamIntact(t *testing.T) {
 	const delay = 30 * time.Millisecond
-	k := newLink(t, Faults{To: Way{Delay: delay, Jitter: 0.2, Loss: 0.5}, From: Way{Delay: delay}}, echo(t))
+	k := newLink(t, Faults{To: Direction{Delay: delay, Jitter: 0.2, Loss: 0.5}, From: Direction{Delay: delay}}, echo(t))
 	c := connect(t, k)
 	began := time.Now()
 	for i := range 5 {
-		say(t, c, string(rune('a'+i)))
+		send(t, c, string(rune('a'+i)))
 	}
-	if got := hear(t, c, 5); got != "abcde" {
-		t.Errorf("heard %q", got)
+	if got := receive(t, c, 5); got != "abcde" {
+		t.Errorf("received %q", got)
 	}
 	if took := time.Since(began); took < 2*delay*8/10 {
 		t.Errorf("took %v over a link of %v each way", took, delay)
 	}
 }
 
-// A cut link says nothing, and goes on where it was.
-func TestACutLinkIsSilentAndNoNewConnectionComesUp(t *testing.T) {
+// A cut link delivers nothing, and delivers what was held back once it is healed.
+func TestCutLinkIsSilentForOldAndNewConnections(t *testing.T) {
 	k := newLink(t, Faults{}, echo(t))
 	c := connect(t, k)
-	say(t, c, "a")
-	hear(t, c, 1)
+	send(t, c, "a")
+	receive(t, c, 1)
 	k.Change(func(f *Faults) { f.To.Cut, f.From.Cut = true, true })
-	say(t, c, "b")
+	send(t, c, "b")
 	silent(t, c)
 	if n, err := net.DialTimeout("tcp", k.Addr(), 150*time.Millisecond); err == nil {
 		n.Close()
-		t.Error("a connection came up over a cut link")
+		t.Error("a connection was established over a cut link")
 	}
 	k.Change(func(f *Faults) { f.To.Cut, f.From.Cut = false, false })
-	if got := hear(t, c, 1); got != "b" {
-		t.Errorf("heard %q once the link was whole", got)
+	if got := receive(t, c, 1); got != "b" {
+		t.Errorf("received %q after the link was healed", got)
 	}
 	n := connect(t, k)
-	say(t, n, "c")
-	hear(t, n, 1)
+	send(t, n, "c")
+	receive(t, n, 1)
 }
 
-// Whoever connected just as the link was cut, wrote and gave up: none of it comes out once the link is whole, where it
-// would be taken for something that was sent only then.
-func TestNothingOldComesOutOfACutLink(t *testing.T) {
-	heard := make(chan string, 64)
+// A client may connect just as the link is cut, write and give up. None of its data may be delivered after the link is
+// healed, where it would look like new data.
+func TestHealedLinkDeliversNoStaleData(t *testing.T) {
+	received := make(chan string, 64)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -155,7 +155,7 @@
 				defer c.Close()
 				data, _ := io.ReadAll(c)
 				if len(data) > 0 {
-					heard <- string(data)
+					received <- string(data)
 				}
 			}()
 		}
@@ -164,9 +164,9 @@
 		return new(net.Dialer).DialContext(ctx, "tcp", l.Addr().String())
 	})
 	var wg sync.WaitGroup
-	var ending atomic.Bool // the cut is: whoever writes late must not be taken for one who wrote during it
+	var ending atomic.Bool // the cut ends soon: writes from now on may be delivered rightly
 	stop := make(chan struct{})
-	for range 8 { // some of them meet the moment of the cut
+	for range 8 { // some of them connect at the moment of the cut
 		wg.Go(func() {
 			for {
 				select {
@@ -195,17 +195,17 @@
 	close(stop)
 	wg.Wait()
 	c := connect(t, k)
-	say(t, c, "new")
+	send(t, c, "new")
 	c.(*net.TCPConn).CloseWrite()
 	for {
 		select {
-		case text := <-heard:
+		case text := <-received:
 			if text == "new" {
 				return
 			}
-			t.Errorf("%q came out of a link that was cut when it was written", text)
+			t.Errorf("%q was delivered although the link was cut when it was written", text)
 		case <-time.After(10 * time.Second):
-			t.Fatal("nothing goes over the link")
+			t.Fatal("nothing is delivered over the link")
 		}
 	}
 }
@@ -213,22 +213,22 @@
 func TestOneWayCut(t *testing.T) {
 	k := newLink(t, Faults{}, echo(t))
 	c := connect(t, k)
-	say(t, c, "a")
-	hear(t, c, 1)
+	send(t, c, "a")
+	receive(t, c, 1)
 	k.Change(func(f *Faults) { f.From.Cut = true })
-	say(t, c, "b") // it comes there, and the answer does not come back
+	send(t, c, "b") // it is delivered, and the reply is held back
 	silent(t, c)
 	k.Change(func(f *Faults) { f.From.Cut = false })
-	if got := hear(t, c, 1); got != "b" {
-		t.Errorf("heard %q", got)
+	if got := receive(t, c, 1); got != "b" {
+		t.Errorf("received %q", got)
 	}
 }
 
 func TestResetAndRefuse(t *testing.T) {
 	k := newLink(t, Faults{}, echo(t))
 	c := connect(t, k)
-	say(t, c, "a")
-	hear(t, c, 1)
+	send(t, c, "a")
+	receive(t, c, 1)
 	k.Reset()
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
@@ -238,8 +238,8 @@
 	refused(t, k)
 }
 
-// refused tells that a new connection is reset. The system's queue takes it first, so that the reset may come to a
-// side that has connected already.
+// refused checks that a new connection is reset. The accept queue takes the connection first, so the reset may arrive
+// after connecting.
 func refused(t *testing.T, k *Link) {
 	t.Helper()
 	c, err := net.Dial("tcp", k.Addr())
@@ -253,12 +253,12 @@
 	}
 }
 
-func TestAFarSideThatCannotBeReachedIsAReset(t *testing.T) {
-	k := newLink(t, Faults{}, func(context.Context) (net.Conn, error) { return nil, errors.New("nobody") })
+func TestUnreachableFarSideResetsConnection(t *testing.T) {
+	k := newLink(t, Faults{}, func(context.Context) (net.Conn, error) { return nil, errors.New("no process") })
 	refused(t, k)
 }
 
-func TestPacketsAreLostAndTurnedBack(t *testing.T) {
+func TestPacketLossAndReplies(t *testing.T) {
 	far, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -274,7 +274,7 @@
 			far.WriteToUDP(buf[:n], from)
 		}
 	}()
-	k, err := NewPacketLink("a>b", "127.0.0.1", far.LocalAddr().String(), 1, Faults{To: Way{Loss: 0.3}})
+	k, err := NewPacketLink("a>b", "127.0.0.1", far.LocalAddr().String(), 1, Faults{To: Direction{Loss: 0.3}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -285,35 +285,35 @@
 	}
 	defer c.Close()
 	const sent = 200
-	came := 0
+	replies := 0
 	for range sent {
 		c.Write([]byte("x"))
 		c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 		if _, err := c.Read(make([]byte, 10)); err == nil {
-			came++
+			replies++
 		}
 	}
-	if lost := k.Dropped(); lost < sent/5 || lost > sent/2 || came > sent-int(lost) {
-		t.Errorf("%d of %d lost at a loss of 30%%, %d came back", lost, sent, came)
+	if lost := k.Dropped(); lost < sent/5 || lost > sent/2 || replies > sent-int(lost) {
+		t.Errorf("%d of %d packets lost at a loss of 30%%, %d replies", lost, sent, replies)
 	}
-	k.Set(Faults{From: Way{Cut: true}})
+	k.Set(Faults{From: Direction{Cut: true}})
 	c.Write([]byte("x"))
 	c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := c.Read(make([]byte, 10)); err == nil {
-		t.Error("an answer came over a cut link")
+		t.Error("a reply arrived over a cut link")
 	}
 }
 
-// Parties in one group reach each other, those in two do not, and whoever is in none is with the rest.
+// Parties of the same group reach each other, those of different groups do not, and parties in no group form one group.
 func TestPartition(t *testing.T) {
-	var n Net
+	var n Network
 	links := map[string]*Link{}
 	for _, pair := range [][2]string{{"a", "b"}, {"a", "c"}, {"c", "d"}} {
-		k := newLink(t, Faults{To: Way{Delay: time.Millisecond}}, echo(t))
+		k := newLink(t, Faults{To: Direction{Delay: time.Millisecond}}, echo(t))
 		links[pair[0]+pair[1]] = k
 		n.Add(pair[0], pair[1], k)
 	}
-	want := func(when string, ab, ac, cd bool) {
+	expectCut := func(when string, ab, ac, cd bool) {
 		t.Helper()
 		for name, cut := range map[string]bool{"ab": ab, "ac": ac, "cd": cd} {
 			f := links[name].Faults()
@@ -323,34 +323,34 @@
 		}
 	}
 	n.Partition(false, []string{"a", "b"})
-	want("a and b apart", false, true, false)
-	late := newLink(t, Faults{}, echo(t))
-	n.Add("b", "c", late)
-	if !late.Faults().To.Cut {
-		t.Error("a link that came during the partition is whole")
+	expectCut("a and b apart", false, true, false)
+	addedLink := newLink(t, Faults{}, echo(t))
+	n.Add("b", "c", addedLink)
+	if !addedLink.Faults().To.Cut {
+		t.Error("a link that was added during the partition is not cut")
 	}
 	n.Partition(true, []string{"a"}, []string{"c"})
 	if f := links["ac"].Faults(); !f.To.Cut || f.From.Cut {
 		t.Errorf("one way: %+v", f)
 	}
 	n.Heal()
-	want("healed", false, false, false)
+	expectCut("healed", false, false, false)
 }
 
-// A cut that could not be made is told: a trial that went on as if there were one would prove nothing.
-func TestACutThatFailsIsTold(t *testing.T) {
-	k, err := NewLink("a>b", "127.0.0.1", 1, Faults{}, func(context.Context) (net.Conn, error) { return nil, errors.New("nobody") })
+// A cut that fails is reported: a trial that goes on without the cut would prove nothing.
+func TestFailedCutIsReported(t *testing.T) {
+	k, err := NewLink("a>b", "127.0.0.1", 1, Faults{}, func(context.Context) (net.Conn, error) { return nil, errors.New("no process") })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer k.Close()
-	k.Set(Faults{To: Way{Cut: true}})
+	k.Set(Faults{To: Direction{Cut: true}})
 	k.Set(Faults{})
 	if err := k.Err(); err != nil {
 		t.Fatalf("a cut and a healing: %v", err)
 	}
-	k.l.Close()
-	k.Set(Faults{To: Way{Cut: true}})
+	k.listener.Close()
+	k.Set(Faults{To: Direction{Cut: true}})
 	if err := k.Err(); err == nil || !strings.Contains(err.Error(), "link a>b: cut: ") {
 		t.Errorf("%v", err)
 	}
--- a/internal/trial/fault/packet.go
+++ b/internal/trial/fault/packet.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	packetMost  = 64 << 10
-	sendersMost = 1024 // that a packet link remembers
-	packetsMost = 4096 // under way
+	maxPacketBytes     = 64 << 10
+	maxSenders         = 1024 // whose sockets a packet link keeps
+	maxPacketsInFlight = 4096 // in one packet link
 )
 
-// PacketLink forwards UDP packets that come to its own address to another, and what comes back to who sent. Loss is
-// loss here: a packet is gone.
+// PacketLink forwards UDP packets from its own address to a target, and replies back to their senders. Lost packets are
+// not sent again.
 type PacketLink struct {
 	Name string
 
 	target *net.UDPAddr
-	in     *net.UDPConn
+	conn   *net.UDPConn
 	wg     sync.WaitGroup
 
-	mu      sync.Mutex
-	faults  Faults
-	rng     *rand.Rand
-	senders map[string]*net.UDPConn // by who sent
-	flying  int
-	closed  bool
-	dropped int64
+	mu       sync.Mutex
+	faults   Faults
+	rng      *rand.Rand
+	senders  map[string]*net.UDPConn // socket towards the target, by the sender's address
+	inFlight int
+	closed   bool
+	dropped  int64
 }
 
-// NewPacketLink listens on host, on a port of the system's choosing, and forwards to target.
+// NewPacketLink listens on host, on a port that the system chooses, and forwards to target.
 func NewPacketLink(name, host, target string, seed uint64, faults Faults) (*PacketLink, error) {
 	to, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
@@ -43,30 +43,30 @@
 	if err != nil {
 		return nil, fmt.Errorf("link %s: %w", name, err)
 	}
-	k := &PacketLink{Name: name, target: to, in: in, faults: faults, rng: rand.New(rand.NewPCG(seed, 0x756470)),
+	k := &PacketLink{Name: name, target: to, conn: in, faults: faults, rng: rand.New(rand.NewPCG(seed, 0x756470)),
 		senders: map[string]*net.UDPConn{}}
 	k.wg.Go(k.receive)
 	return k, nil
 }
 
-// Addr is where to send.
-func (k *PacketLink) Addr() string { return k.in.LocalAddr().String() }
+// Addr returns the address to send to.
+func (k *PacketLink) Addr() string { return k.conn.LocalAddr().String() }
 
-// Set changes what the link does.
+// Set changes the faults of the link.
 func (k *PacketLink) Set(f Faults) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.faults = f
 }
 
-// Dropped is how many packets the link has lost.
+// Dropped returns the number of packets lost so far.
 func (k *PacketLink) Dropped() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.dropped
 }
 
-// Close ends the link.
+// Close closes the link.
 func (k *PacketLink) Close() {
 	k.mu.Lock()
 	k.closed = true
@@ -74,33 +74,33 @@
 		c.Close()
 	}
 	k.mu.Unlock()
-	k.in.Close()
+	k.conn.Close()
 	k.wg.Wait()
 }
 
 func (k *PacketLink) receive() {
-	buf := make([]byte, packetMost)
+	buf := make([]byte, maxPacketBytes)
 	for {
-		n, from, err := k.in.ReadFromUDP(buf)
+		n, from, err := k.conn.ReadFromUDP(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // a refusal that the system tells of an earlier packet
+			continue // for example a connection refused that an earlier packet caused
 		}
-		out := k.sender(from)
-		if out == nil {
+		socket := k.sender(from)
+		if socket == nil {
 			continue
 		}
-		k.fly(func(f *Faults) *Way { return &f.To }, append([]byte(nil), buf[:n]...), func(p []byte) { out.Write(p) })
+		k.schedule(func(f *Faults) *Direction { return &f.To }, append([]byte(nil), buf[:n]...), func(p []byte) { socket.Write(p) })
 	}
 }
 
-// sender is the socket by which the target sees packets of one sender; nil if there are too many.
+// sender returns the socket for packets of one sender; nil if there are too many senders.
 func (k *PacketLink) sender(from *net.UDPAddr) *net.UDPConn {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if c := k.senders[from.String()]; c != nil || k.closed || len(k.senders) >= sendersMost {
+	if c := k.senders[from.String()]; c != nil || k.closed || len(k.senders) >= maxSenders {
 		return c
 	}
 	c, err := net.DialUDP("udp", nil, k.target)
@@ -108,12 +108,12 @@
 		return nil
 	}
 	k.senders[from.String()] = c
-	k.wg.Go(func() { k.back(c, from) })
+	k.wg.Go(func() { k.receiveReplies(c, from) })
 	return c
 }
 
-func (k *PacketLink) back(c *net.UDPConn, to *net.UDPAddr) {
-	buf := make([]byte, packetMost)
+func (k *PacketLink) receiveReplies(c *net.UDPConn, to *net.UDPAddr) {
+	buf := make([]byte, maxPacketBytes)
 	for {
 		n, err := c.Read(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -122,31 +122,31 @@
 		if err != nil {
 			continue
 		}
-		k.fly(func(f *Faults) *Way { return &f.From }, append([]byte(nil), buf[:n]...), func(p []byte) { k.in.WriteToUDP(p, to) })
+		k.schedule(func(f *Faults) *Direction { return &f.From }, append([]byte(nil), buf[:n]...), func(p []byte) { k.conn.WriteToUDP(p, to) })
 	}
 }
 
-// fly delivers a packet when it is due, or loses it.
-func (k *PacketLink) fly(way func(*Faults) *Way, p []byte, deliver func([]byte)) {
+// schedule delivers a packet after its delay, or drops it.
+func (k *PacketLink) schedule(direction func(*Faults) *Direction, p []byte, deliver func([]byte)) {
 	k.mu.Lock()
-	w := way(&k.faults)
-	if k.closed || w.Cut || k.flying >= packetsMost || (w.Loss > 0 && k.rng.Float64() < w.Loss) {
+	faults := direction(&k.faults)
+	if k.closed || faults.Cut || k.inFlight >= maxPacketsInFlight || (faults.Loss > 0 && k.rng.Float64() < faults.Loss) {
 		k.dropped++
 		k.mu.Unlock()
 		return
 	}
-	d := w.Delay
-	if w.Jitter > 0 {
-		d += time.Duration(float64(d) * w.Jitter * (2*k.rng.Float64() - 1))
+	d := faults.Delay
+	if faults.Jitter > 0 {
+		d += time.Duration(float64(d) * faults.Jitter * (2*k.rng.Float64() - 1))
 	}
-	if w.Rate > 0 {
-		d += time.Duration(float64(len(p)) / w.Rate * float64(time.Second))
+	if faults.Rate > 0 {
+		d += time.Duration(float64(len(p)) / faults.Rate * float64(time.Second))
 	}
-	k.flying++
+	k.inFlight++
 	k.mu.Unlock()
-	time.AfterFunc(d, func() { // one that lands after Close meets a closed socket
+	time.AfterFunc(d, func() { // after Close, the write fails on a closed socket
 		k.mu.Lock()
-		k.flying--
+		k.inFlight--
 		k.mu.Unlock()
 		deliver(p)
 	})
--- a/internal/trial/history/history.go
+++ b/internal/trial/history/history.go
@@ -1,8 +1,8 @@
-// Package history is what all parties of a trial saw, in the order in which they saw it, on one clock.
+// Package history records what all parties of a trial saw, in order and on one clock.
 //
-// One process, the trial ground, plays every party but the relays and sits on every link of theirs, so that one
-// monotonic clock stamps all events; an invariant can then be judged from the events alone, after the trial or again
-// from their file.
+// The trial process plays every party except the relays and list servers, and all connections of these go through it.
+// One monotonic clock therefore stamps all events, and invariants can be checked from the events alone, after the trial
+// or later from the file.
 package history
 
 import (
@@ -15,43 +15,47 @@
 	"time"
 )
 
-// Kind names what an event tells.
+// Kind is the kind of an event.
 type Kind string
 
-// The kinds of event.
+// Kinds of events.
 const (
-	Want      Kind = "want"      // a client wants a message delivered, whether or not its relay is there
-	Hand      Kind = "hand"      // a client has sent a message's last byte to its relay
-	Answer    Kind = "answer"    // and has its answer; status 0: none came, Note tells why
-	Call      Kind = "call"      // a call's last byte has come from a relay; one event a message in it
-	Reply     Kind = "reply"     // how the call ended for that message
-	Heard     Kind = "heard"     // an answer that tells to wait came through to its relay, Took before, which did not hang up on it
-	Notice    Kind = "notice"    // a relay ended a message by a notice, and was answered 204
-	Told      Kind = "told"      // a relay was told an entry of the list
-	Proc      Kind = "proc"      // a process was started, was ready, was sent a signal, or ended
-	Fault     Kind = "fault"     // the trial did something to somebody
-	Put       Kind = "put"       // somebody wrote an entry of the list, from Began on: ID, Value (0: removed), Outcome OK, Refused or Broken
-	Confirmed Kind = "confirmed" // somebody read the list, confirmed, from Began on: Values, Version
-	Seen      Kind = "seen"      // somebody who follows the list holds Version now: State whose, Note its digest
-	Settle    Kind = "settle"    // somebody who follows has, at the end, what Seen has; Status 0: it never came so far
-	Passed    Kind = "passed"    // a notice that a relay's agent had answered for was handed on; Number, without an ID: events that were looked at for it
-	Agreed    Kind = "agreed"    // at the end: what came of change Number of the policy, OK or Refused; Relay set: the policy that its session follows, Status 1 if it is the one in force
-	Sample    Kind = "sample"    // what a process holds
-	Lag       Kind = "lag"       // the ground itself was late by Took
+	Want   Kind = "want"   // a client wants a message delivered, whether or not its relay is up
+	Submit Kind = "hand"   // a client has sent the last byte of a message to its relay
+	Answer Kind = "answer" // the client has the answer, or none: then Status is 0 and Note says why
+	Call   Kind = "call"   // the last byte of a call has arrived from a relay; one event for each message in it
+	Reply  Kind = "reply"  // outcome of the call for that message
+	// An answer with an advised wait reached its relay, Duration before this event, and the relay kept the connection
+	WaitDelivered Kind = "heard"
+	Notice        Kind = "notice" // a relay ended a message by a notice, which was answered 204
+	ListUpdate    Kind = "told"   // a relay was told the state of an endpoint
+	ProcessState  Kind = "proc"   // a process was started, became ready, was sent a signal, or ended
+	Fault         Kind = "fault"  // the trial injected a fault
+	// A write of a list entry that started at Began: ID, Value (0: removed), Outcome OK, Refused or ConnectionLost
+	ListWrite      Kind = "put"
+	ListRead       Kind = "confirmed" // a consistent read of the list that started at Began: Values, Version
+	FollowerUpdate Kind = "seen"      // a follower of the list has Version now: State is the cluster, Note the digest
+	FollowerFinal  Kind = "settle"    // as FollowerUpdate, at the end; Status 0: it did not reach the last version
+	// An agent forwarded a notice that it had acknowledged; without ID: the first Number events were examined
+	NoticeForwarded Kind = "passed"
+	// Without Relay: outcome of policy change Number; with Relay: the policy that it follows at the end, Status 1 if in force
+	PolicyOutcome Kind = "agreed"
+	Sample        Kind = "sample" // resources in use by a process
+	Lag           Kind = "lag"    // the harness itself was late by Duration
 )
 
-// Outcomes of a call, as Reply has them.
+// Outcomes of a call, in events of kind Reply.
 const (
-	OK      = "ok"      // ran
-	Error   = "error"   // may have run
-	Refused = "refused" // never ran; Wait may be set: what the endpoint told, whether it was heard or not
-	Later   = "later"   // never ran, told for one message of several
-	Gone    = "gone"    // the message is over
-	Spent   = "spent"   // it has had all its attempts
-	Broken  = "broken"  // the connection ended first: it may have run, or may yet
+	OK                = "ok"      // processed
+	Error             = "error"   // may have been processed
+	Refused           = "refused" // not processed; Wait: the wait that the endpoint advised, whether or not the answer was received
+	Deferred          = "later"   // not processed; reported for one message of several
+	Finished          = "gone"    // the message has ended
+	AttemptsExhausted = "spent"   // the message has used all its attempts
+	ConnectionLost    = "broken"  // no answer: it may have been processed, or may still be
 )
 
-// What processes do, as Proc has it in Note.
+// States of processes, in the Note of events of kind ProcessState.
 const (
 	Started   = "started"
 	Ready     = "ready"
@@ -63,73 +67,73 @@
 	Ended     = "ended"
 	Successor = "successor started"
 	TookOver  = "took over"
-	PortTaken = "its port was taken by others" // a start that is tried again
+	PortTaken = "its port was taken by others" // the start is repeated with another port
 )
 
-// Event is one thing that somebody saw. Times are in microseconds since the trial began.
+// Event is one thing that a party saw. Times are in microseconds since the start of the trial.
 type Event struct {
-	At    int64  `json:"at"`
-	Kind  Kind   `json:"kind"`
-	Relay string `json:"relay,omitempty"`
-	Life  int    `json:"life,omitempty"` // Proc, Sample: which of the relay's processes, from 1
-	ID    string `json:"id,omitempty"`   // of the message
+	At          int64  `json:"at"`
+	Kind        Kind   `json:"kind"`
+	Relay       string `json:"relay,omitempty"`
+	Incarnation int    `json:"life,omitempty"` // ProcessState, Sample: number of the relay's process, from 1
+	ID          string `json:"id,omitempty"`   // of the message
 
-	// Hand
-	First    string `json:"first,omitempty"` // id under which the message was handed in the first time
-	Try      string `json:"try,omitempty"`   // X-Second-Try
+	// Submit
+	FirstID  string `json:"first,omitempty"` // id of the message's first submission
+	Try      string `json:"try,omitempty"`   // value of X-Second-Try
 	Class    string `json:"class,omitempty"`
 	Customer string `json:"customer,omitempty"`
-	Dest     int    `json:"dest,omitempty"` // also Told: the entry's cell
+	Dest     int    `json:"dest,omitempty"` // destination; in ListUpdate: the entry's cell
 	Expires  int64  `json:"expires,omitempty"`
 
 	// Answer, Notice
-	Status int    `json:"status,omitempty"`
-	End    string `json:"end,omitempty"`    // undeliverable, deferred
-	Again  int64  `json:"again,omitempty"`  // advice
-	Policy int64  `json:"policy,omitempty"` // Answer: under which the message was taken on
+	Status     int    `json:"status,omitempty"`
+	End        string `json:"end,omitempty"`    // undeliverable or deferred
+	RetryAfter int64  `json:"again,omitempty"`  // advised wait
+	Policy     int64  `json:"policy,omitempty"` // Answer: policy under which the message was accepted
 
-	// Call, Reply, Heard
+	// Call, Reply, WaitDelivered
 	Number   int    `json:"number,omitempty"` // of the call, from 1
 	Endpoint string `json:"endpoint,omitempty"`
 	Zone     string `json:"zone,omitempty"`
-	Began    int64  `json:"began,omitempty"` // when the call's first byte came from the relay
-	Sent     int64  `json:"sent,omitempty"`  // and its last, before any delay of the link
+	Began    int64  `json:"began,omitempty"` // when the call's first byte arrived from the relay
+	Sent     int64  `json:"sent,omitempty"`  // when its last byte arrived, before any delay of the link
 	Outcome  string `json:"outcome,omitempty"`
 	Wait     int64  `json:"wait,omitempty"`
 
-	// Told
+	// ListUpdate
 	State   string `json:"state,omitempty"`
 	Version int64  `json:"version,omitempty"`
 
-	// Put, Confirmed: of the entries that are written to, by their ids
+	// ListWrite, ListRead: values of the entries, by id
 	Value  int64            `json:"value,omitempty"`
 	Values map[string]int64 `json:"values,omitempty"`
 
-	// Sample, in bytes and a count; CPU in microseconds
+	// Sample: bytes, number of descriptors, microseconds of CPU
 	Memory      int64 `json:"memory,omitempty"`
 	Disk        int64 `json:"disk,omitempty"`
 	Descriptors int   `json:"descriptors,omitempty"`
 	CPU         int64 `json:"cpu,omitempty"`
 
-	Took int64  `json:"took,omitempty"`
-	Note string `json:"note,omitempty"`
+	Duration int64  `json:"took,omitempty"`
+	Note     string `json:"note,omitempty"`
 }
 
-// Header is a history's first line: what it has to be read with.
+// Header is the first line of a history: the facts needed to interpret it.
 type Header struct {
 	Format   string   `json:"format"`
 	Scenario string   `json:"scenario"`
 	Load     string   `json:"load"`
 	Seed     uint64   `json:"seed"`
-	Began    string   `json:"began"` // wall clock, for people alone
+	Began    string   `json:"began"` // wall clock, informational only
 	Rules    Rules    `json:"rules"`
 	Relays   []string `json:"relays"`
 }
 
-// Rules are those of the fleet's terms that invariants go by.
+// Rules are the settings of the fleet that the invariants depend on.
 type Rules struct {
 	Classes      map[string]Class `json:"classes"`
-	Cells        map[string]int   `json:"cells"` // of each endpoint
+	Cells        map[string]int   `json:"cells"` // destination by endpoint
 	Separate     map[string]bool  `json:"separate"`
 	MayDuplicate bool             `json:"may_duplicate"`
 	DiskLimit    int64            `json:"disk_limit"`
@@ -137,62 +141,62 @@
 	Descriptors  int              `json:"descriptors"`
 }
 
-// Class is what repeating a message of a class may do. Window is in microseconds, Aim and GiveUp as well.
+// Class holds the delivery rules of a message class. Window, Target and GiveUp are in microseconds.
 type Class struct {
 	Unsafe    bool    `json:"unsafe"`
 	GroupAll  bool    `json:"group_all"`
 	Window    int64   `json:"window"`
-	Aim       int64   `json:"aim"`
+	Target    int64   `json:"aim"`
 	GiveUp    int64   `json:"give_up"`
-	Worth     float64 `json:"worth"`
-	LateWorth float64 `json:"late_worth"`
+	Value     float64 `json:"worth"`
+	LateValue float64 `json:"late_worth"`
 }
 
-// Format is the form of history that this package writes and reads.
+// Format identifies the format of histories that this package writes and reads.
 const Format = "wallflow history 1"
 
-// Recorder keeps the events of a trial that is on, and writes them to a file as they come. Its methods may be called
-// from any goroutine.
+// Recorder collects the events of a running trial and writes them to a file as they come. Its methods may be called from
+// any goroutine.
 type Recorder struct {
 	began time.Time
 
-	mu     sync.Mutex
-	out    *bufio.Writer // nil: nowhere
-	enc    *json.Encoder
-	err    error // the first that came of writing
-	events []Event
+	mu      sync.Mutex
+	buffer  *bufio.Writer // nil: no file
+	encoder *json.Encoder
+	err     error // first error of writing
+	events  []Event
 }
 
-// NewRecorder begins the clock and writes the header to w, which may be nil.
+// NewRecorder starts the clock and writes the header to w, which may be nil.
 func NewRecorder(w io.Writer, h Header) *Recorder {
 	r := &Recorder{began: time.Now()}
 	if w != nil {
-		r.out = bufio.NewWriterSize(w, 1<<16)
-		r.enc = json.NewEncoder(r.out)
+		r.buffer = bufio.NewWriterSize(w, 1<<16)
+		r.encoder = json.NewEncoder(r.buffer)
 		h.Format = Format
 		h.Began = r.began.UTC().Format(time.RFC3339)
-		r.err = r.enc.Encode(h)
+		r.err = r.encoder.Encode(h)
 	}
 	return r
 }
 
-// Began is when the clock began.
+// Began returns the start of the clock.
 func (r *Recorder) Began() time.Time { return r.began }
 
-// Now is the trial's time.
+// Now returns the time since the start, in microseconds.
 func (r *Recorder) Now() int64 { return time.Since(r.began).Microseconds() }
 
-// Stamp is the trial's time at t.
+// Stamp returns t as microseconds since the start.
 func (r *Recorder) Stamp(t time.Time) int64 { return t.Sub(r.began).Microseconds() }
 
-// Add records an event now. The stamp is taken under the lock: order and time agree.
+// Add records an event now. The time is taken under the lock, so that events are in order of time.
 func (r *Recorder) Add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.add(e)
 }
 
-// AddAll records several at one moment.
+// AddAll records several events with nothing in between.
 func (r *Recorder) AddAll(all []Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -204,26 +208,26 @@
 func (r *Recorder) add(e Event) {
 	e.At = time.Since(r.began).Microseconds()
 	r.events = append(r.events, e)
-	if r.out != nil && r.err == nil {
-		r.err = r.enc.Encode(e)
+	if r.buffer != nil && r.err == nil {
+		r.err = r.encoder.Encode(e)
 	}
 }
 
-// Events returns what there is so far, to be read alone.
+// Events returns the events so far. The caller must not change them.
 func (r *Recorder) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.events[:len(r.events):len(r.events)]
 }
 
-// Flush writes out what is buffered, and returns the first error that writing met.
+// Flush writes buffered events and returns the first error of writing.
 func (r *Recorder) Flush() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.out == nil {
+	if r.buffer == nil {
 		return nil
 	}
-	if err := r.out.Flush(); r.err == nil {
+	if err := r.buffer.Flush(); r.err == nil {
 		r.err = err
 	}
 	if r.err != nil {
@@ -232,7 +236,7 @@
 	return nil
 }
 
-// Read reads a history that a Recorder wrote. name stands for its file in errors.
+// Read reads a history that a Recorder wrote. name is used in errors.
 func Read(name string, in io.Reader) (h Header, events []Event, err error) {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, 1<<20)
--- a/internal/trial/history/history_test.go
+++ b/internal/trial/history/history_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-func TestAHistoryIsReadBackAsItWasWritten(t *testing.T) {
+func TestReadReturnsWrittenHistory(t *testing.T) {
 	var b bytes.Buffer
 	h := Header{Scenario: "calm", Load: "small", Seed: 7, Relays: []string{"n0"}, Rules: Rules{Cells: map[string]int{"s-1": 3}, DiskLimit: 9}}
 	r := NewRecorder(&b, h)
-	r.Add(Event{Kind: Hand, Relay: "n0", ID: "m1", First: "m1", Class: "c", Expires: 4})
+	r.Add(Event{Kind: Submit, Relay: "n0", ID: "m1", FirstID: "m1", Class: "c", Expires: 4})
 	r.AddAll([]Event{{Kind: Call, ID: "m1", Number: 1}, {Kind: Reply, ID: "m1", Number: 1, Outcome: OK, Wait: 5}})
 	if err := r.Flush(); err != nil {
 		t.Fatal(err)
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestASpoiltHistoryIsNamedByItsLine(t *testing.T) {
+func TestMalformedHistoryIsReportedByLine(t *testing.T) {
 	head := `{"format":"wallflow history 1"}` + "\n"
 	for text, want := range map[string]string{
 		"":                                    "x: empty",
@@ -41,7 +41,7 @@
 	}
 }
 
-// Whatever bytes come, reading does not panic, and what it takes is in order.
+// Reading arbitrary bytes does not panic, and accepted events are in order.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"format":"wallflow history 1"}` + "\n" + `{"at":1,"kind":"hand"}` + "\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/trial/watchdir.go
+++ b/internal/trial/inotify.go
@@ -9,11 +9,11 @@
 	"unsafe"
 )
 
-const inotifyRoom = 4096
+const inotifyBufferBytes = 4096
 
-// created waits until a file is made in dir. Compacting a journal takes a fraction of a millisecond: to do something to
-// a process while it does so, one has to be told, not look.
-func created(ctx context.Context, dir string, most time.Duration) (name string, err error) {
+// waitForCreate waits until a file is created in dir. Compacting a journal takes a fraction of a millisecond, too short
+// for polling to hit.
+func waitForCreate(ctx context.Context, dir string, timeout time.Duration) (name string, err error) {
 	fd, err := syscall.InotifyInit1(syscall.IN_CLOEXEC | syscall.IN_NONBLOCK)
 	if err != nil {
 		return "", fmt.Errorf("watch %s: %w", dir, err)
@@ -22,8 +22,8 @@
 	if _, err := syscall.InotifyAddWatch(fd, dir, syscall.IN_CREATE); err != nil {
 		return "", fmt.Errorf("watch %s: %w", dir, err)
 	}
-	buf := make([]byte, inotifyRoom)
-	end := time.Now().Add(most)
+	buf := make([]byte, inotifyBufferBytes)
+	end := time.Now().Add(timeout)
 	for ctx.Err() == nil && time.Now().Before(end) {
 		n, err := syscall.Read(fd, buf)
 		if errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR) {
--- a/internal/trial/lag.go
+++ b/internal/trial/lag.go
@@ -11,62 +11,63 @@
 	"wallflow/internal/trial/history"
 )
 
-// Lag is how late the ground itself was: a timer of its own, asked for every 2 ms.
+// Lag describes how late the harness itself was, measured by a timer every 2 ms.
 type Lag struct {
 	P99, Max time.Duration
-	Share    float64 // of the time that it was late by more than 15 ms
+	Share    float64 // share of the time in delays over 15 ms
 }
 
-// tooMuch tells why what the ground saw is no evidence; empty: it is.
-func (l Lag) tooMuch() string {
+// excess explains why the harness was too late for a verdict; empty if it was not.
+func (l Lag) excess() string {
 	switch {
-	case l.Max > lagTooMuch:
-		return fmt.Sprintf("the ground was late by %v once, %v is the most", l.Max.Round(time.Millisecond), lagTooMuch)
-	case l.Share > lagShareMost:
-		return fmt.Sprintf("the ground was late by over %v in %.0f%% of the time, %.0f%% is the most", lagNoted, 100*l.Share, 100*lagShareMost)
+	case l.Max > maxLag:
+		return fmt.Sprintf("the test process was late by %v once, the limit is %v", l.Max.Round(time.Millisecond), maxLag)
+	case l.Share > maxLagShare:
+		return fmt.Sprintf("the test process was late by over %v in %.0f%% of the time, the limit is %.0f%%", lagThreshold, 100*l.Share,
+			100*maxLagShare)
 	}
 	return ""
 }
 
-// lagWatch measures it.
-type lagWatch struct {
-	mu   sync.Mutex
-	hist *hdrhistogram.Histogram // in microseconds
-	late time.Duration
-	from time.Time
+// lagMeter measures the lag of the harness.
+type lagMeter struct {
+	mu        sync.Mutex
+	hist      *hdrhistogram.Histogram // in microseconds
+	lateTime  time.Duration
+	startedAt time.Time
 }
 
-// watchLag measures until ctx ends. Times that matter to the history are put down in it.
-func (g *Ground) watchLag(ctx context.Context) *lagWatch {
-	w := &lagWatch{hist: hdrhistogram.New(1, (time.Minute).Microseconds(), 3), from: time.Now()}
-	g.parts.Go(func() {
+// measureLag measures until ctx ends. Delays over lagThreshold are recorded in the history.
+func (h *Harness) measureLag(ctx context.Context) *lagMeter {
+	w := &lagMeter{hist: hdrhistogram.New(1, (time.Minute).Microseconds(), 3), startedAt: time.Now()}
+	h.background.Go(func() {
 		for {
 			asked := time.Now()
-			if !sleep(ctx, lagEach) {
+			if !sleep(ctx, lagInterval) {
 				return
 			}
-			w.note(g.rec, time.Since(asked)-lagEach)
+			w.record(h.recorder, time.Since(asked)-lagInterval)
 		}
 	})
 	return w
 }
 
-func (w *lagWatch) note(rec *history.Recorder, by time.Duration) {
-	by = max(by, 0)
+func (w *lagMeter) record(recorder *history.Recorder, late time.Duration) {
+	late = max(late, 0)
 	w.mu.Lock()
-	w.hist.RecordValue(min(by, time.Minute).Microseconds())
-	if by > lagNoted {
-		w.late += by
+	w.hist.RecordValue(min(late, time.Minute).Microseconds())
+	if late > lagThreshold {
+		w.lateTime += late
 	}
 	w.mu.Unlock()
-	if by > lagNoted {
-		rec.Add(history.Event{Kind: history.Lag, Took: by.Microseconds()})
+	if late > lagThreshold {
+		recorder.Add(history.Event{Kind: history.Lag, Duration: late.Microseconds()})
 	}
 }
 
-func (w *lagWatch) done() Lag {
+func (w *lagMeter) result() Lag {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
-	return Lag{P99: us(w.hist.ValueAtQuantile(99)), Max: us(w.hist.Max()), Share: w.late.Seconds() / time.Since(w.from).Seconds()}
+	return Lag{P99: us(w.hist.ValueAtQuantile(99)), Max: us(w.hist.Max()), Share: w.lateTime.Seconds() / time.Since(w.startedAt).Seconds()}
 }
--- a/internal/trial/load/load_test.go
+++ b/internal/trial/load/load_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-func TestShippedLoadsAreSound(t *testing.T) {
+func TestEmbeddedLoadsAreValid(t *testing.T) {
 	relays := map[string]int{"small": 3, "berth": 12, "crowd": 60}
 	if len(Names()) != len(relays) {
-		t.Errorf("shipped: %v", Names())
+		t.Errorf("embedded: %v", Names())
 	}
 	for _, name := range Names() {
 		l, err := Open(name)
@@ -20,15 +20,15 @@
 		if l.Name != name || l.Relays != relays[name] || l.About == "" {
 			t.Errorf("%s: name %q, %d relays, %q", name, l.Name, l.Relays, l.About)
 		}
-		if l.Longest().Seconds() > 4.5 {
-			t.Errorf("%s: messages have %v; a trial has to end within 5 s after its load", name, l.Longest())
+		if l.LongestGiveUp().Seconds() > 4.5 {
+			t.Errorf("%s: messages have %v; a trial must end within 5 s after its load", name, l.LongestGiveUp())
 		}
 	}
 }
 
-// Each fault in a load is told with its key, before anything is started.
-func TestWhatIsWrongInALoadIsNamed(t *testing.T) {
-	sound, err := shipped.ReadFile("loads/small.toml")
+// Each fault in a load is reported with its key.
+func TestInvalidLoadIsReportedByKey(t *testing.T) {
+	sound, err := embedded.ReadFile("loads/small.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/trial/main_test.go
+++ b/internal/trial/main_test.go
@@ -17,7 +17,7 @@
 	"wallflow/internal/trial/proc"
 )
 
-// The test's own binary stands for the keeper.
+// The test binary also serves as the keeper process.
 func TestMain(m *testing.M) {
 	if os.Getenv("TRIAL_TEST_KEEPER") != "" {
 		if err := proc.Keep(os.Stdin); err != nil {
@@ -27,8 +27,8 @@
 		return
 	}
 	code := m.Run()
-	if built.dir != "" {
-		os.RemoveAll(built.dir)
+	if builtPrograms.dir != "" {
+		os.RemoveAll(builtPrograms.dir)
 	}
 	os.Exit(code)
 }
@@ -39,45 +39,45 @@
 	return c
 }
 
-// built holds the relays of this test process.
-var built struct {
+// builtPrograms holds the programs built by this test process.
+var builtPrograms struct {
 	sync.Mutex
 	dir   string
 	paths map[string]string
 }
 
-// change is one text put in the place of another in a source file, in a build of the test alone.
-type change struct{ file, old, new string }
+// sourceChange replaces one text in a source file, only in a build for a test.
+type sourceChange struct{ file, old, new string }
 
-// machine is shared by builds and by first plays, which run side by side. A play is repeated only because the machine was too slow for
-// it, so that the repeat has it for itself.
-var machine sync.RWMutex
+// machineMu is held shared by builds and by the first run of each trial, which may run in parallel. A trial is repeated
+// only if the machine was too slow, and then holds it exclusively.
+var machineMu sync.RWMutex
 
-// relayProgram builds the relay, with changes to its text that are nowhere but in this build.
-func relayProgram(t *testing.T, name string, changes ...change) string {
+// relayProgram builds the relay with changes to its source.
+func relayProgram(t *testing.T, name string, changes ...sourceChange) string {
 	t.Helper()
 	return program(t, "./cmd/cherrytrestle", name, changes...)
 }
 
-// listProgram builds the product's command, which list servers run, in the same way.
-func listProgram(t *testing.T, name string, changes ...change) string {
+// listServerProgram builds the wallflow command, which runs list servers and agents, with changes to its source.
+func listServerProgram(t *testing.T, name string, changes ...sourceChange) string {
 	t.Helper()
 	return program(t, "./cmd/wallflow", name, changes...)
 }
 
-func program(t *testing.T, source, name string, changes ...change) string {
+func program(t *testing.T, source, name string, changes ...sourceChange) string {
 	t.Helper()
-	built.Lock()
-	defer built.Unlock()
-	if path := built.paths[name]; path != "" {
+	builtPrograms.Lock()
+	defer builtPrograms.Unlock()
+	if path := builtPrograms.paths[name]; path != "" {
 		return path
 	}
-	if built.dir == "" {
+	if builtPrograms.dir == "" {
 		dir, err := os.MkdirTemp("", "wallflow-test-")
 		if err != nil {
 			t.Fatal(err)
 		}
-		built.dir, built.paths = dir, map[string]string{}
+		builtPrograms.dir, builtPrograms.paths = dir, map[string]string{}
 	}
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -95,54 +95,54 @@
 			t.Fatal(err)
 		}
 		if strings.Count(string(text), c.old) != 1 {
-			t.Fatalf("%s: the text to break is there %d times, wanted is once: %q", c.file, strings.Count(string(text), c.old), c.old)
+			t.Fatalf("%s: the text to replace occurs %d times, want once: %q", c.file, strings.Count(string(text), c.old), c.old)
 		}
-		spoilt := filepath.Join(built.dir, fmt.Sprintf("%s-%d.go", name, i))
-		if err := os.WriteFile(spoilt, []byte(strings.Replace(string(text), c.old, c.new, 1)), 0o600); err != nil {
+		changedFile := filepath.Join(builtPrograms.dir, fmt.Sprintf("%s-%d.go", name, i))
+		if err := os.WriteFile(changedFile, []byte(strings.Replace(string(text), c.old, c.new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		replace[source] = spoilt
+		replace[source] = changedFile
 	}
 	overlay, err := json.Marshal(map[string]any{"Replace": replace})
 	if err != nil {
 		t.Fatal(err)
 	}
-	file := filepath.Join(built.dir, name+".json")
+	file := filepath.Join(builtPrograms.dir, name+".json")
 	if err := os.WriteFile(file, overlay, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	path := filepath.Join(built.dir, name)
+	path := filepath.Join(builtPrograms.dir, name)
 	build := exec.Command("go", "build", "-buildvcs=false", "-overlay", file, "-o", path, source)
 	build.Dir = root
-	machine.RLock()
+	machineMu.RLock()
 	out, err := build.CombinedOutput()
-	machine.RUnlock()
+	machineMu.RUnlock()
 	if err != nil {
 		t.Fatalf("build %s: %v\n%s", name, err, out)
 	}
-	built.paths[name] = path
+	builtPrograms.paths[name] = path
 	return path
 }
 
-// playsMost is how often a trial is played that the machine was too slow for. It says nothing then, either way.
-const playsMost = 6
+// maxRuns limits the runs of a trial for which the machine is too slow. Such a run has no verdict.
+const maxRuns = 6
 
-// playShared plays a trial beside others and beside builds.
-func playShared(sc *Scenario, opts Options) (*Result, error) {
-	machine.RLock()
-	defer machine.RUnlock()
+// runShared runs a trial in parallel with others and with builds.
+func runShared(sc *Scenario, opts Options) (*Result, error) {
+	machineMu.RLock()
+	defer machineMu.RUnlock()
 	return Run(context.Background(), sc, opts)
 }
 
-// playAlone plays a trial once all others of this process have ended, and holds back those that have not begun.
-func playAlone(sc *Scenario, opts Options) (*Result, error) {
-	machine.Lock()
-	defer machine.Unlock()
+// runAlone runs a trial while no other trial or build of this process runs.
+func runAlone(sc *Scenario, opts Options) (*Result, error) {
+	machineMu.Lock()
+	defer machineMu.Unlock()
 	return Run(context.Background(), sc, opts)
 }
 
-// mustPlay plays until a trial counts.
-func mustPlay(t *testing.T, scenario string, opts Options) *Result {
+// mustRun runs a trial until it has a verdict.
+func mustRun(t *testing.T, scenario string, opts Options) *Result {
 	t.Helper()
 	sc, err := Find(scenario)
 	if err != nil {
@@ -150,30 +150,30 @@
 	}
 	opts.Keeper = keeper
 	if sc.Lists > 0 && opts.Program == "" {
-		opts.Program = listProgram(t, "lists")
+		opts.Program = listServerProgram(t, "lists")
 	}
-	play := playShared
-	for range playsMost {
+	play := runShared
+	for range maxRuns {
 		res, err := play(sc, opts)
 		if err == nil {
 			return res
 		}
-		if !errors.Is(err, ErrNotPlayed) || res == nil || res.Lag.tooMuch() == "" {
+		if !errors.Is(err, ErrNotPlayed) || res == nil || res.Lag.excess() == "" {
 			t.Fatal(err)
 		}
 		t.Log(err)
-		opts.Dir = t.TempDir() // a trial begins with nothing
-		play = playAlone
+		opts.Dir = t.TempDir() // a trial needs an empty folder
+		play = runAlone
 	}
-	t.Fatalf("this machine was too slow for it %d times", playsMost)
+	t.Fatalf("this machine was too slow for it %d times", maxRuns)
 	return nil
 }
 
-func options(t *testing.T, relay, name string, seed uint64, lasting time.Duration) Options {
+func options(t *testing.T, relay, name string, seed uint64, length time.Duration) Options {
 	t.Helper()
 	l, err := load.Open(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{Load: l, Seed: seed, For: lasting, Relay: relay, Dir: t.TempDir()}
+	return Options{Load: l, Seed: seed, For: length, Relay: relay, Dir: t.TempDir()}
 }
--- a/internal/trial/policies.go
+++ b/internal/trial/policies.go
@@ -19,40 +19,40 @@
 	"wallflow/internal/trial/history"
 )
 
-// endsOnBreach has a process end where one of the checks in its code fails.
-const endsOnBreach = "WALLFLOW_INVARIANTS=panic"
+// panicOnInvariantEnv is a setting of the environment that ends a process when an invariant check in its code fails.
+const panicOnInvariantEnv = "WALLFLOW_INVARIANTS=panic"
 
 const (
-	fleetName    = "fleet"
-	fleetLease   = 2 * time.Second
-	policyHold   = time.Second
-	policyWithin = 2 * time.Second
-	phaseLook    = 3 * time.Millisecond
-	phaseFor     = 3 * time.Second // for a change to come to a phase; it may be over before anybody looked
-	policySettle = 8 * time.Second // for all to follow the policy in force: a change that is in flight, and a hold
+	fleetTarget         = "fleet"
+	fleetLease          = 2 * time.Second
+	policyHold          = time.Second
+	policyDeadline      = 2 * time.Second
+	phasePollInterval   = 3 * time.Millisecond
+	phaseTimeout        = 3 * time.Second // for a change to reach a phase; it may have passed unobserved
+	policySettleTimeout = 8 * time.Second // for all relays to follow the policy in force: a change in flight and a hold
 )
 
-// phases are the moments of a change at which something can be done.
+// phases are the phases of a change at which faults can be injected.
 var phases = []string{string(accord.Proposed), string(accord.Armed), "sealed"}
 
-// promised is the moment at which a relay's promise is known, and what comes of it is not.
+// promised is the phase in which a relay's promise is known to the service and the outcome is not.
 const promised = "promised"
 
-var moments = append(slices.Clone(phases), promised)
+var phasesAndPromised = append(slices.Clone(phases), promised)
 
-// hasPromised tells whether a relay has promised the change in flight; somebody, where on is no relay.
+// hasPromised reports whether the relay has promised the change in flight; whether any relay has, if on is not a relay.
 func hasPromised(r listsvc.FleetReport, on string) bool {
 	return slices.ContainsFunc(r.Sessions, func(s accord.Session) bool {
-		return s.Promised == r.Change.Number && (s.Name == on || relayOf(on) == "")
+		return s.Promised == r.Change.Number && (s.Name == on || relayOfTarget(on) == "")
 	})
 }
 
-// fleetState is what a list server says that the fleet has agreed on; false: none was asked that knows.
-func (g *Ground) fleetState(addr string) (r listsvc.FleetReport, ok bool) {
+// policyState returns the policy state that a list server reports; false if it does not answer.
+func (h *Harness) policyState(addr string) (r listsvc.FleetReport, ok bool) {
 	if addr == "" {
 		return r, false
 	}
-	res, err := statusClient.Get("http://" + addr + "/fleet/policy") // not over a link: it is the trial that asks
+	res, err := statusClient.Get("http://" + addr + "/fleet/policy") // direct, not over a link
 	if err != nil {
 		return r, false
 	}
@@ -60,22 +60,23 @@
 	return r, res.StatusCode == http.StatusOK && json.NewDecoder(res.Body).Decode(&r) == nil
 }
 
-// newest is the newest state that any list server has.
-func (g *Ground) newest() (best listsvc.FleetReport, ok bool) {
-	for _, s := range g.lists.servers {
+// newestPolicyState returns the newest state that any list server reports.
+func (h *Harness) newestPolicyState() (best listsvc.FleetReport, ok bool) {
+	for _, s := range h.listService.servers {
 		s.mu.Lock()
-		addr := s.at.HTTP
+		addr := s.addrs.HTTP
 		s.mu.Unlock()
-		r, there := g.fleetState(addr)
-		if there && (!ok || last(r) > last(best) || last(r) == last(best) && len(r.Outcomes) > len(best.Outcomes)) {
+		r, answered := h.policyState(addr)
+		if answered && (!ok || lastChangeNumber(r) > lastChangeNumber(best) || lastChangeNumber(r) == lastChangeNumber(best) &&
+			len(r.Outcomes) > len(best.Outcomes)) {
 			best, ok = r, true
 		}
 	}
 	return best, ok
 }
 
-// last is the number of the last change that a server knows of.
-func last(r listsvc.FleetReport) (n int64) {
+// lastChangeNumber returns the number of the last change that a report contains.
+func lastChangeNumber(r listsvc.FleetReport) (n int64) {
 	n = r.InForce.Number
 	if r.Change != nil {
 		n = max(n, r.Change.Number)
@@ -86,46 +87,48 @@
 	return n
 }
 
-// atPhase does something once the next change is at a phase.
-func atPhase(do func(ctx context.Context, g *Ground, s Step, on string) error) func(context.Context, *Ground, Step, string) error {
-	return func(ctx context.Context, g *Ground, s Step, on string) error {
-		before, _ := g.newest()
-		was := before.InForce.Number // one that is in flight already counts as the next
+// atPhase returns an action that waits until the next change reaches the phase in Step.Note.
+func atPhase(do func(ctx context.Context, h *Harness, s Step, on string) error) func(context.Context, *Harness, Step, string) error {
+	return func(ctx context.Context, h *Harness, s Step, on string) error {
+		before, _ := h.newestPolicyState()
+		lastNumber := before.InForce.Number // a change that is already in flight counts as the next one
 		for _, o := range before.Outcomes {
-			was = max(was, o.Number)
+			lastNumber = max(lastNumber, o.Number)
 		}
-		for end := time.Now().Add(phaseFor); ; {
-			r, _ := g.newest()
-			if c := r.Change; c != nil && c.Number > was && s.Note == promised && hasPromised(r, on) {
+		for end := time.Now().Add(phaseTimeout); ; {
+			r, _ := h.newestPolicyState()
+			if c := r.Change; c != nil && c.Number > lastNumber && s.Note == promised && hasPromised(r, on) {
 				break
 			}
-			if c := r.Change; c != nil && c.Number > was && (string(c.Phase) == s.Note || c.Phase == accord.Armed && s.Note == string(accord.Proposed)) {
+			if c := r.Change; c != nil && c.Number > lastNumber &&
+				(string(c.Phase) == s.Note || c.Phase == accord.Armed && s.Note == string(accord.Proposed)) {
 				break
 			}
-			if s.Note == "sealed" && r.InForce.Number > was {
+			if s.Note == "sealed" && r.InForce.Number > lastNumber {
 				break
 			}
 			if time.Now().After(end) {
-				g.rec.Add(history.Event{Kind: history.Fault, Note: "no change came to be " + s.Note})
+				h.recorder.Add(history.Event{Kind: history.Fault, Note: "no change came to be " + s.Note})
 				return nil
 			}
-			if !sleep(ctx, phaseLook) {
+			if !sleep(ctx, phasePollInterval) {
 				return nil
 			}
 		}
-		g.rec.Add(history.Event{Kind: history.Fault, Relay: relayOf(on), Note: s.Do + ": a change is " + s.Note})
-		return do(ctx, g, s, on)
+		h.recorder.Add(history.Event{Kind: history.Fault, Relay: relayOfTarget(on), Note: s.Do + ": a change is " + s.Note})
+		return do(ctx, h, s, on)
 	}
 }
 
-// doPropose proposes a policy that is another one each time: attempts of a class, and the order of a partner's routes.
-func doPropose(ctx context.Context, g *Ground, s Step, _ string) error {
+// doPropose proposes a policy that differs each time, in the attempts of classes and the order of endpoints.
+func doPropose(ctx context.Context, h *Harness, s Step, _ string) error {
 	n := int(s.At.Milliseconds())
-	doc := accord.Document{Form: 1, Title: fmt.Sprintf("proposed at %v", s.At), Classes: map[string]accord.Class{}, Destinations: map[string]accord.Order{}}
-	for i, c := range g.load.Classes {
+	doc := accord.Document{Form: 1, Title: fmt.Sprintf("proposed at %v", s.At), Classes: map[string]accord.Class{},
+		Destinations: map[string]accord.Order{}}
+	for i, c := range h.load.Classes {
 		doc.Classes[c.Name] = accord.Class{Attempts: 3 + (n+i)%5, AdviceMS: int64(300 + n%300)}
 	}
-	for _, p := range g.world.Partners {
+	for _, p := range h.environment.Partners {
 		if len(p.Endpoints) > 1 {
 			var order []string
 			for i := range p.Endpoints {
@@ -138,29 +141,30 @@
 	if err != nil {
 		return err
 	}
-	body, err := json.Marshal(listsvc.Proposal{Document: data, HoldMS: policyHold.Milliseconds(), WithinMS: policyWithin.Milliseconds()})
+	body, err := json.Marshal(listsvc.Proposal{Document: data, HoldMS: policyHold.Milliseconds(), WithinMS: policyDeadline.Milliseconds()})
 	if err != nil {
 		return err
 	}
-	bound, cancel := context.WithTimeout(ctx, listTakesFor)
+	bound, cancel := context.WithTimeout(ctx, listWriteTimeout)
 	defer cancel()
-	if _, err := g.lists.users.Do(bound, http.MethodPost, "/fleet/policy", fmt.Sprintf("policy-%v", s.At), body); err != nil {
-		if ctx.Err() == nil { // another one is in flight, or nobody leads: that is an answer
-			g.rec.Add(history.Event{Kind: history.Fault, Note: "not proposed: " + err.Error()})
+	if _, err := h.listService.users.WriteUntilAccepted(bound, http.MethodPost, "/fleet/policy", fmt.Sprintf("policy-%v", s.At),
+		body); err != nil {
+		if ctx.Err() == nil { // expected if another change is in flight or there is no leader
+			h.recorder.Add(history.Event{Kind: history.Fault, Note: "not proposed: " + err.Error()})
 		}
 		return nil
 	}
-	g.rec.Add(history.Event{Kind: history.Fault, Note: "proposed"})
+	h.recorder.Add(history.Event{Kind: history.Fault, Note: "proposed"})
 	return nil
 }
 
-func doAgentFreeze(ctx context.Context, g *Ground, s Step, on string) error {
-	p := g.relay(on).real
+func doAgentFreeze(ctx context.Context, h *Harness, s Step, on string) error {
+	p := h.relay(on).agentProcess
 	if p == nil {
-		return errors.New("its agent is the platform's: there is no process")
+		return errors.New("the relay has a fake agent, not an agent process")
 	}
-	p.steps.Lock()
-	defer p.steps.Unlock()
+	p.stepMu.Lock()
+	defer p.stepMu.Unlock()
 	if _, err := p.signal(syscall.SIGSTOP, history.Stop); err != nil {
 		return err
 	}
@@ -169,47 +173,48 @@
 	return err
 }
 
-func doAgentCut(ctx context.Context, g *Ground, s Step, on string) error {
-	if g.lists == nil {
-		return errors.New("there are no list servers")
+func doAgentCut(ctx context.Context, h *Harness, s Step, on string) error {
+	if h.listService == nil {
+		return errors.New("the trial has no list servers")
 	}
-	cut := func(is bool) {
-		for _, l := range g.lists.servers {
-			g.links[on+">"+l.name+".web"].Change(func(f *fault.Faults) { f.To.Cut, f.From.Cut = is, is })
+	setCut := func(isCut bool) {
+		for _, l := range h.listService.servers {
+			h.links[on+">"+l.name+".web"].Change(func(f *fault.Faults) { f.To.Cut, f.From.Cut = isCut, isCut })
 		}
 	}
-	cut(true)
+	setCut(true)
 	sleep(ctx, s.For.Duration)
-	cut(false)
+	setCut(false)
 	return nil
 }
 
-// doDrop drops whatever is in flight just then: it may be sealed at the same moment.
-func doDrop(ctx context.Context, g *Ground, _ Step, _ string) error {
-	r, _ := g.newest()
+// doDrop drops the change in flight, which may be sealed at the same moment.
+func doDrop(ctx context.Context, h *Harness, _ Step, _ string) error {
+	r, _ := h.newestPolicyState()
 	if r.Change == nil {
 		return nil
 	}
-	bound, cancel := context.WithTimeout(ctx, listTakesFor)
+	bound, cancel := context.WithTimeout(ctx, listWriteTimeout)
 	defer cancel()
 	note := "dropped"
-	if _, err := g.lists.users.Do(bound, http.MethodDelete, fmt.Sprintf("/fleet/policy/%d", r.Change.Number), "", nil); err != nil {
+	if _, err := h.listService.users.WriteUntilAccepted(bound, http.MethodDelete, fmt.Sprintf("/fleet/policy/%d", r.Change.Number), "",
+		nil); err != nil {
 		note = "not dropped: " + err.Error()
 	}
-	g.rec.Add(history.Event{Kind: history.Fault, Note: note})
+	h.recorder.Add(history.Event{Kind: history.Fault, Note: note})
 	return nil
 }
 
-// doDiskFails has a folder stand where the agent's ledger is to be put.
-func doDiskFails(ctx context.Context, g *Ground, s Step, on string) error {
-	p := g.relay(on).real
+// doDiskFails makes writes of the agent's policy state fail by a folder in place of the file.
+func doDiskFails(ctx context.Context, h *Harness, s Step, on string) error {
+	p := h.relay(on).agentProcess
 	if p == nil {
-		return errors.New("its agent is the platform's: there is no process")
+		return errors.New("the relay has a fake agent, not an agent process")
 	}
-	p.steps.Lock()
-	defer p.steps.Unlock()
+	p.stepMu.Lock()
+	defer p.stepMu.Unlock()
 	path := filepath.Join(p.dir, "state", "fleet")
-	for { // the agent may write a new one in between
+	for { // the agent may write a new file in between
 		if err := os.Rename(path, path+".away"); err != nil {
 			return err
 		}
@@ -225,10 +230,11 @@
 	return errors.Join(os.RemoveAll(path), os.Rename(path+".away", path))
 }
 
-// settlePolicy waits until all follow the policy in force and nothing is in flight, and puts down what stands then.
-func (g *Ground) settlePolicy(ctx context.Context) {
-	for end := time.Now().Add(policySettle); ; {
-		r, ok := g.newest()
+// recordPolicyOutcomes waits until no change is in flight and all relays follow the policy in force, and records the
+// state.
+func (h *Harness) recordPolicyOutcomes(ctx context.Context) {
+	for end := time.Now().Add(policySettleTimeout); ; {
+		r, ok := h.newestPolicyState()
 		settled := ok && r.Change == nil
 		for _, s := range r.Sessions {
 			settled = settled && s.Follows == r.InForce.Number && s.State == accord.Present
@@ -237,14 +243,14 @@
 			continue
 		}
 		for _, o := range r.Outcomes {
-			e := history.Event{Kind: history.Agreed, Number: int(o.Number), Outcome: history.Refused, Note: o.Why}
+			e := history.Event{Kind: history.PolicyOutcome, Number: int(o.Number), Outcome: history.Refused, Note: o.Why}
 			if o.Sealed {
 				e.Outcome = history.OK
 			}
-			g.rec.Add(e)
+			h.recorder.Add(e)
 		}
-		for _, x := range g.relays {
-			e := history.Event{Kind: history.Agreed, Relay: x.Name, Number: -1, Note: "it has no session"}
+		for _, x := range h.relays {
+			e := history.Event{Kind: history.PolicyOutcome, Relay: x.Name, Number: -1, Note: "it has no session"}
 			for _, s := range r.Sessions {
 				if s.Name != x.Name {
 					continue
@@ -254,130 +260,142 @@
 					e.Status = 1
 				}
 			}
-			g.rec.Add(e)
+			h.recorder.Add(e)
 		}
 		return
 	}
 }
 
-// The scenarios of a change of policy. All end by four fifths of the trial, so that what was hurt can mend.
+// Scenarios of policy changes. Their faults end after at most four fifths of the trial, which leaves time to recover.
 
-// proposals are changes at equal distances, and what is done at each.
-func (g *Ground) proposals(lasting time.Duration, each func(i int, when time.Duration) []Step) []Step {
-	n := max(2, min(6, int(lasting/(3*time.Second))))
+// planProposals plans changes at equal intervals, with the steps that stepsFor returns for each.
+func (h *Harness) planProposals(length time.Duration, stepsFor func(i int, when time.Duration) []Step) []Step {
+	n := max(2, min(6, int(length/(3*time.Second))))
 	var steps []Step
 	for i := range n {
-		when := lasting*6/100 + lasting*70/100*time.Duration(i)/time.Duration(n)
-		steps = append(steps, Step{At: span(when), Do: "policy-propose", On: []string{fleetName}})
-		if each != nil {
-			steps = append(steps, each(i, when)...)
+		when := length*6/100 + length*70/100*time.Duration(i)/time.Duration(n)
+		steps = append(steps, Step{At: roundToMillis(when), Do: "policy-propose", On: []string{fleetTarget}})
+		if stepsFor != nil {
+			steps = append(steps, stepsFor(i, when)...)
 		}
 	}
-	return g.withTraffic(lasting, steps)
+	return h.withTraffic(length, steps)
 }
 
-// ahead is a moment before a change is proposed, from when on its phases are looked for.
-func ahead(when time.Duration) time.Duration { return max(0, when-50*time.Millisecond) }
+// watchFrom returns a time shortly before a proposal, from which its phases are watched.
+func watchFrom(when time.Duration) time.Duration { return max(0, when-50*time.Millisecond) }
 
-func policyCalm(_ *rand.Rand, g *Ground, lasting time.Duration) []Step {
-	return g.proposals(lasting, nil)
+func policyCalmSteps(_ *rand.Rand, h *Harness, length time.Duration) []Step {
+	return h.planProposals(length, nil)
 }
 
-func policyRelayDown(rng *rand.Rand, g *Ground, lasting time.Duration) []Step {
-	return g.proposals(lasting, func(i int, when time.Duration) []Step {
+func policyRelayDownSteps(rng *rand.Rand, h *Harness, length time.Duration) []Step {
+	return h.planProposals(length, func(i int, when time.Duration) []Step {
 		return []Step{
-			{At: span(max(0, when-long(rng, 0, 300*time.Millisecond))), Do: "kill", On: g.some(rng, 0.2), For: span(long(rng, 200*time.Millisecond, 1500*time.Millisecond))},
-			{At: span(ahead(when)), Do: "policy-kill", On: g.some(rng, 0.2), For: span(long(rng, 50*time.Millisecond, 1500*time.Millisecond)), Note: phases[i%len(phases)]},
+			{At: roundToMillis(max(0, when-drawDuration(rng, 0, 300*time.Millisecond))), Do: "kill", On: h.drawRelays(rng, 0.2),
+				For: roundToMillis(drawDuration(rng, 200*time.Millisecond, 1500*time.Millisecond))},
+			{At: roundToMillis(watchFrom(when)), Do: "policy-kill", On: h.drawRelays(rng, 0.2),
+				For: roundToMillis(drawDuration(rng, 50*time.Millisecond, 1500*time.Millisecond)), Note: phases[i%len(phases)]},
 		}
 	})
 }
 
-func policyAgentKill(rng *rand.Rand, g *Ground, lasting time.Duration) []Step {
-	return g.proposals(lasting, func(i int, when time.Duration) []Step {
-		on := g.some(rng, 0.2)
-		steps := []Step{{At: span(ahead(when)), Do: "policy-agent-kill", On: on, For: span(long(rng, 20*time.Millisecond, 1200*time.Millisecond)), Note: phases[i%len(phases)]}}
+func policyAgentKillSteps(rng *rand.Rand, h *Harness, length time.Duration) []Step {
+	return h.planProposals(length, func(i int, when time.Duration) []Step {
+		on := h.drawRelays(rng, 0.2)
+		steps := []Step{{At: roundToMillis(watchFrom(when)), Do: "policy-agent-kill", On: on,
+			For: roundToMillis(drawDuration(rng, 20*time.Millisecond, 1200*time.Millisecond)), Note: phases[i%len(phases)]}}
 		if i%2 == 1 {
-			steps = append(steps, Step{At: span(when + long(rng, 50*time.Millisecond, 600*time.Millisecond)), Do: "kill", On: on[:1], For: span(long(rng, 50*time.Millisecond, 300*time.Millisecond))})
+			steps = append(steps, Step{At: roundToMillis(when + drawDuration(rng, 50*time.Millisecond, 600*time.Millisecond)), Do: "kill",
+				On: on[:1], For: roundToMillis(drawDuration(rng, 50*time.Millisecond, 300*time.Millisecond))})
 		}
 		return steps
 	})
 }
 
-func policyLeaderKill(rng *rand.Rand, g *Ground, lasting time.Duration) []Step {
-	return g.proposals(lasting, func(i int, when time.Duration) []Step {
-		do, most := "policy-list-kill", 1200*time.Millisecond
+func policyLeaderKillSteps(rng *rand.Rand, h *Harness, length time.Duration) []Step {
+	return h.planProposals(length, func(i int, when time.Duration) []Step {
+		actionName, longest := "policy-list-kill", 1200*time.Millisecond
 		if rng.IntN(3) == 0 {
-			do, most = "policy-list-freeze", 2*policyHold
+			actionName, longest = "policy-list-freeze", 2*policyHold
 		}
-		return []Step{{At: span(ahead(when)), Do: do, On: []string{leaderName}, For: span(long(rng, 50*time.Millisecond, most)), Note: phases[i%len(phases)]}}
+		return []Step{{At: roundToMillis(watchFrom(when)), Do: actionName, On: []string{leaderTarget},
+			For: roundToMillis(drawDuration(rng, 50*time.Millisecond, longest)), Note: phases[i%len(phases)]}}
 	})
 }
 
-func policyInDoubt(rng *rand.Rand, g *Ground, lasting time.Duration) []Step {
-	return g.proposals(lasting, func(i int, when time.Duration) []Step {
+func policyInDoubtSteps(rng *rand.Rand, h *Harness, length time.Duration) []Step {
+	return h.planProposals(length, func(i int, when time.Duration) []Step {
 		note := promised
 		if i%3 == 2 {
 			note = phases[1+rng.IntN(2)]
 		}
-		return []Step{{At: span(ahead(when)), Do: "policy-cut", On: g.some(rng, 0.3), For: span(long(rng, policyHold/4, 2*policyHold)), Note: note}}
+		return []Step{{At: roundToMillis(watchFrom(when)), Do: "policy-cut", On: h.drawRelays(rng, 0.3),
+			For: roundToMillis(drawDuration(rng, policyHold/4, 2*policyHold)), Note: note}}
 	})
 }
 
-func policyFreeze(rng *rand.Rand, g *Ground, lasting time.Duration) []Step {
-	return g.proposals(lasting, func(i int, when time.Duration) []Step {
-		do := "policy-freeze"
+func policyFreezeSteps(rng *rand.Rand, h *Harness, length time.Duration) []Step {
+	return h.planProposals(length, func(i int, when time.Duration) []Step {
+		actionName := "policy-freeze"
 		if rng.IntN(2) == 0 {
-			do = "policy-agent-freeze"
+			actionName = "policy-agent-freeze"
 		}
-		return []Step{{At: span(ahead(when)), Do: do, On: g.some(rng, 0.2), For: span(long(rng, policyHold/2, 2*policyHold)), Note: phases[i%len(phases)]}}
+		return []Step{{At: roundToMillis(watchFrom(when)), Do: actionName, On: h.drawRelays(rng, 0.2),
+			For: roundToMillis(drawDuration(rng, policyHold/2, 2*policyHold)), Note: phases[i%len(phases)]}}
 	})
 }
 
-func policyAllDead(rng *rand.Rand, g *Ground, lasting time.Duration) []Step {
-	return g.proposals(lasting, func(i int, when time.Duration) []Step {
-		if i%2 == 1 { // the next one finds all back
+func policyAllDeadSteps(rng *rand.Rand, h *Harness, length time.Duration) []Step {
+	return h.planProposals(length, func(i int, when time.Duration) []Step {
+		if i%2 == 1 { // every second change finds all processes running
 			return nil
 		}
 		var all []Step
 		note := phases[(i/2)%len(phases)]
-		for _, s := range g.lists.servers {
-			all = append(all, Step{At: span(ahead(when)), Do: "policy-list-kill", On: []string{s.name}, For: span(long(rng, 100*time.Millisecond, 600*time.Millisecond)), Note: note})
+		for _, s := range h.listService.servers {
+			all = append(all, Step{At: roundToMillis(watchFrom(when)), Do: "policy-list-kill", On: []string{s.name},
+				For: roundToMillis(drawDuration(rng, 100*time.Millisecond, 600*time.Millisecond)), Note: note})
 		}
-		for _, r := range g.relays {
-			all = append(all, Step{At: span(ahead(when)), Do: "policy-agent-kill", On: []string{r.Name}, For: span(long(rng, 50*time.Millisecond, 600*time.Millisecond)), Note: note})
+		for _, r := range h.relays {
+			all = append(all, Step{At: roundToMillis(watchFrom(when)), Do: "policy-agent-kill", On: []string{r.Name},
+				For: roundToMillis(drawDuration(rng, 50*time.Millisecond, 600*time.Millisecond)), Note: note})
 			if rng.IntN(2) == 0 {
-				all = append(all, Step{At: span(when + long(rng, 100*time.Millisecond, 500*time.Millisecond)), Do: "kill", On: []string{r.Name}, For: span(long(rng, 50*time.Millisecond, 600*time.Millisecond))})
+				all = append(all, Step{At: roundToMillis(when + drawDuration(rng, 100*time.Millisecond, 500*time.Millisecond)), Do: "kill",
+					On: []string{r.Name}, For: roundToMillis(drawDuration(rng, 50*time.Millisecond, 600*time.Millisecond))})
 			}
 		}
 		return all
 	})
 }
 
-func policyZoneCut(rng *rand.Rand, g *Ground, lasting time.Duration) []Step {
-	return g.proposals(lasting, func(i int, when time.Duration) []Step {
-		zone := g.relays[rng.IntN(len(g.relays))].Zone
+func policyZoneCutSteps(rng *rand.Rand, h *Harness, length time.Duration) []Step {
+	return h.planProposals(length, func(i int, when time.Duration) []Step {
+		zone := h.relays[rng.IntN(len(h.relays))].Zone
 		var on []string
-		for _, r := range g.relays {
+		for _, r := range h.relays {
 			if r.Zone == zone {
 				on = append(on, r.Name)
 			}
 		}
-		return []Step{{At: span(ahead(when)), Do: "policy-cut", On: on, For: span(long(rng, policyHold/4, 2*policyHold)), Note: phases[(i+1)%len(phases)]}}
+		return []Step{{At: roundToMillis(watchFrom(when)), Do: "policy-cut", On: on,
+			For: roundToMillis(drawDuration(rng, policyHold/4, 2*policyHold)), Note: phases[(i+1)%len(phases)]}}
 	})
 }
 
-func policyTwoAtOnce(rng *rand.Rand, g *Ground, lasting time.Duration) []Step {
-	return g.proposals(lasting, func(i int, when time.Duration) []Step {
-		steps := []Step{{At: span(when + long(rng, 0, 400*time.Millisecond)), Do: "policy-propose", On: []string{fleetName}}}
+func policyTwoAtOnceSteps(rng *rand.Rand, h *Harness, length time.Duration) []Step {
+	return h.planProposals(length, func(i int, when time.Duration) []Step {
+		steps := []Step{{At: roundToMillis(when + drawDuration(rng, 0, 400*time.Millisecond)), Do: "policy-propose", On: []string{fleetTarget}}}
 		if i%2 == 1 {
-			steps = append(steps, Step{At: span(ahead(when)), Do: "policy-drop", On: []string{fleetName}, Note: string(accord.Armed)})
+			steps = append(steps, Step{At: roundToMillis(watchFrom(when)), Do: "policy-drop", On: []string{fleetTarget}, Note: string(accord.Armed)})
 		}
 		return steps
 	})
 }
 
-func policyDiskFails(rng *rand.Rand, g *Ground, lasting time.Duration) []Step {
-	return g.proposals(lasting, func(i int, when time.Duration) []Step {
-		return []Step{{At: span(ahead(when)), Do: "policy-disk", On: g.some(rng, 0.3), For: span(long(rng, 100*time.Millisecond, policyHold)), Note: phases[i%2]}}
+func policyDiskFailsSteps(rng *rand.Rand, h *Harness, length time.Duration) []Step {
+	return h.planProposals(length, func(i int, when time.Duration) []Step {
+		return []Step{{At: roundToMillis(watchFrom(when)), Do: "policy-disk", On: h.drawRelays(rng, 0.3),
+			For: roundToMillis(drawDuration(rng, 100*time.Millisecond, policyHold)), Note: phases[i%2]}}
 	})
 }
--- a/internal/trial/proc/keeper.go
+++ b/internal/trial/proc/keeper.go
@@ -14,75 +14,76 @@
 	"syscall"
 )
 
-// Keeper is a trial's hold on the process that ends what the trial leaves behind.
+// Keeper is a trial's connection to its keeper process, which cleans up after the trial if the trial dies.
 type Keeper struct {
 	cmd *exec.Cmd
 
-	mu sync.Mutex
-	in io.WriteCloser // nil: closed
+	mu    sync.Mutex
+	input io.WriteCloser // nil once closed
 }
 
-// MarkFile lies in each folder that a keeper may remove, so that a slip in a path costs nobody else's folder.
+// MarkFile must exist in a folder for the keeper to remove it, so that a wrong path cannot remove an unrelated folder.
 const MarkFile = ".wallflow-trial"
 
-// StartKeeper starts the keeper, by a command that calls Keep on its standard input.
+// StartKeeper starts the keeper process by a command that runs the keeper on its standard input.
 func StartKeeper(cmd *exec.Cmd) (*Keeper, error) {
-	in, err := cmd.StdinPipe()
+	input, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, fmt.Errorf("keeper: %w", err)
 	}
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true} // no key and no group's signal reaches it
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true} // a session of its own: no terminal key or process group signal reaches it
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("keeper: %w", err)
 	}
-	return &Keeper{cmd: cmd, in: in}, nil
+	return &Keeper{cmd: cmd, input: input}, nil
 }
 
-func (k *Keeper) say(format string, args ...any) {
+func (k *Keeper) send(format string, args ...any) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.in != nil {
-		fmt.Fprintf(k.in, format+"\n", args...) // a keeper that has died leaves the trial to end all by itself
+	if k.input != nil {
+		fmt.Fprintf(k.input, format+"\n", args...) // if the keeper has died, the trial still ends its processes itself
 	}
 }
 
-func (k *Keeper) watch(pid int)  { k.say("pid %d %s", pid, startTime(pid)) }
-func (k *Keeper) forget(pid int) { k.say("gone %d", pid) }
+func (k *Keeper) addProcess(pid int)    { k.send("pid %d %s", pid, startTime(pid)) }
+func (k *Keeper) removeProcess(pid int) { k.send("gone %d", pid) }
 
-// Folder has the keeper remove dir, and all that is in it, if the trial does not end in order.
+// Folder makes the keeper remove dir and its contents if the trial dies.
 func (k *Keeper) Folder(dir string) error {
 	if err := os.WriteFile(filepath.Join(dir, MarkFile), nil, 0o600); err != nil {
 		return fmt.Errorf("keeper: %w", err)
 	}
-	k.say("dir %s", dir)
+	k.send("dir %s", dir)
 	return nil
 }
 
-// Done tells the keeper that the trial has ended all by itself, and waits for it to go.
+// Done tells the keeper that the trial has cleaned up itself, and waits for the keeper to exit.
 func (k *Keeper) Done() error {
-	k.say("done")
+	k.send("done")
 	k.mu.Lock()
-	in := k.in
-	k.in = nil
+	input := k.input
+	k.input = nil
 	k.mu.Unlock()
-	if in == nil {
+	if input == nil {
 		return nil
 	}
-	return errors.Join(in.Close(), k.cmd.Wait())
+	return errors.Join(input.Close(), k.cmd.Wait())
 }
 
-// Keep is the keeper's work: it reads from in what the trial holds, until the trial says that it is done or is gone.
-// Then it ends the processes that are left, each only if it is still the one it was told of, and removes the folders.
-func Keep(in io.Reader) error {
+// Keep runs the keeper. It reads from in which processes and folders the trial has, until the trial says that it is done
+// or its end of the pipe is closed. In the second case it kills the remaining processes, each only if it still has the
+// start time that was reported, and removes the folders.
+func Keep(input io.Reader) error {
 	pids, dirs := map[int]string{}, []string{}
-	lines := bufio.NewScanner(in)
+	lines := bufio.NewScanner(input)
 	for lines.Scan() {
 		verb, rest, _ := strings.Cut(lines.Text(), " ")
 		switch verb {
 		case "pid":
-			id, born, _ := strings.Cut(rest, " ")
-			if pid, err := strconv.Atoi(id); err == nil && pid > 1 && born != "" {
-				pids[pid] = born
+			id, startTimeOf, _ := strings.Cut(rest, " ")
+			if pid, err := strconv.Atoi(id); err == nil && pid > 1 && startTimeOf != "" {
+				pids[pid] = startTimeOf
 			}
 		case "gone":
 			if pid, err := strconv.Atoi(rest); err == nil {
@@ -94,21 +95,21 @@
 			return nil
 		}
 	}
-	var all []error
-	for pid, born := range pids {
-		if startTime(pid) == born {
+	var errs []error
+	for pid, startTimeOf := range pids {
+		if startTime(pid) == startTimeOf {
 			if err := syscall.Kill(pid, syscall.SIGKILL); err != nil && !errors.Is(err, syscall.ESRCH) {
-				all = append(all, fmt.Errorf("process %d: %w", pid, err))
+				errs = append(errs, fmt.Errorf("process %d: %w", pid, err))
 			}
 		}
 	}
 	for _, dir := range dirs {
 		if _, err := os.Stat(filepath.Join(dir, MarkFile)); err != nil {
-			continue // removed already, or never ours
+			continue // removed already, or not a folder of a trial
 		}
 		if err := os.RemoveAll(dir); err != nil {
-			all = append(all, err)
+			errs = append(errs, err)
 		}
 	}
-	return errors.Join(all...)
+	return errors.Join(errs...)
 }
--- a/internal/trial/proc/proc.go
+++ b/internal/trial/proc/proc.go
@@ -1,6 +1,6 @@
-// Package proc starts the real programs of a trial and ends every one of them by its id, whatever becomes of the trial
-// itself. A second process, the keeper, holds the ids and folders of a trial: when the trial is gone without having
-// said so, also by SIGKILL, the keeper ends what is left.
+// Package proc starts the real programs of a trial and makes sure that each of them ends. A second process, the keeper,
+// knows the process ids and folders of a trial. If the trial dies without cleaning up, for example by SIGKILL, the
+// keeper kills the remaining processes and removes the folders.
 package proc
 
 import (
@@ -19,34 +19,34 @@
 )
 
 const (
-	lineMost   = 1 << 20
-	clockTicks = 100 // a second, as Linux counts processor time for programs
-	blockSize  = 512
+	maxLineBytes = 1 << 20
+	clockTicks   = 100 // per second: the unit of processor time in /proc/PID/stat
+	blockSize    = 512
 )
 
-// Spec says what to start.
+// Spec describes a process to start.
 type Spec struct {
 	Path string
 	Args []string
 	Env  []string
-	Dir  string            // its working folder
-	Log  string            // file that its output is appended to
+	Dir  string            // working folder
+	Log  string            // file to which its output is appended
 	Line func(line string) // called with each line of output; may be nil
 }
 
-// Process is one that was started.
+// Process is a process started by Start.
 type Process struct {
-	cmd  *exec.Cmd
-	done chan struct{}
-	keep *Keeper
+	cmd    *exec.Cmd
+	done   chan struct{}
+	keeper *Keeper
 
-	mu   sync.Mutex
-	code int // valid once done is closed
-	why  string
+	mu     sync.Mutex
+	code   int // valid once done is closed
+	reason string
 }
 
-// Start starts a process. The keeper, which may be nil, is told of it.
-func Start(s Spec, keep *Keeper) (*Process, error) {
+// Start starts a process and registers it with the keeper, which may be nil.
+func Start(s Spec, keeper *Keeper) (*Process, error) {
 	log, err := os.OpenFile(s.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("start %s: %w", s.Path, err)
@@ -55,18 +55,18 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("start %s: %w", s.Path, err), log.Close())
 	}
-	p := &Process{cmd: exec.Command(s.Path, s.Args...), done: make(chan struct{}), keep: keep}
+	p := &Process{cmd: exec.Command(s.Path, s.Args...), done: make(chan struct{}), keeper: keeper}
 	p.cmd.Dir, p.cmd.Env = s.Dir, s.Env
 	p.cmd.Stdout, p.cmd.Stderr = w, w
-	// A group of its own: a key pressed for the trial is the trial's to pass on.
+	// A process group of its own: the terminal's signals reach only the trial, which decides whether to pass them on.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	err = p.cmd.Start()
 	w.Close()
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("start %s: %w", s.Path, err), log.Close(), r.Close())
 	}
-	if keep != nil {
-		keep.watch(p.Pid())
+	if keeper != nil {
+		keeper.addProcess(p.Pid())
 	}
 	read := make(chan struct{})
 	go func() { // ends with the process's output
@@ -74,14 +74,14 @@
 		defer log.Close()
 		defer r.Close()
 		lines := bufio.NewScanner(r)
-		lines.Buffer(nil, lineMost)
+		lines.Buffer(nil, maxLineBytes)
 		for lines.Scan() {
 			log.Write(append(lines.Bytes(), '\n'))
 			if s.Line != nil {
 				s.Line(lines.Text())
 			}
 		}
-		io.Copy(log, r) // a line too long: the process must not stand still for it
+		io.Copy(log, r) // after a line that is too long: keep reading so that the process does not block
 	}()
 	go func() { // ends with the process
 		err := p.cmd.Wait()
@@ -89,24 +89,24 @@
 		p.mu.Lock()
 		p.code = p.cmd.ProcessState.ExitCode()
 		if err != nil {
-			p.why = err.Error()
+			p.reason = err.Error()
 		}
 		p.mu.Unlock()
-		if keep != nil {
-			keep.forget(p.Pid())
+		if keeper != nil {
+			keeper.removeProcess(p.Pid())
 		}
 		close(p.done)
 	}()
 	return p, nil
 }
 
-// Pid is the process's id.
+// Pid returns the process id.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// Done is closed once the process has ended and its output is read.
+// Done returns a channel that is closed once the process has ended and its output has been read.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Running tells whether it has not ended.
+// Running reports whether the process has not ended.
 func (p *Process) Running() bool {
 	select {
 	case <-p.done:
@@ -116,14 +116,14 @@
 	}
 }
 
-// Exit tells how it ended: its code, -1 for a signal, and in words.
-func (p *Process) Exit() (code int, why string) {
+// Exit returns the exit code, -1 after a signal, and a description of how the process ended.
+func (p *Process) Exit() (code int, reason string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.code, p.why
+	return p.code, p.reason
 }
 
-// Signal sends a signal; one that has ended takes none.
+// Signal sends a signal; it does nothing if the process has ended.
 func (p *Process) Signal(s syscall.Signal) error {
 	if err := p.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return fmt.Errorf("signal %v to process %d: %w", s, p.Pid(), err)
@@ -131,20 +131,20 @@
 	return nil
 }
 
-// End ends the process at once, also one that is stopped, and waits for it.
+// End kills the process, also if it is stopped, and waits for it.
 func (p *Process) End() {
 	p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Usage is what a process holds at one moment.
+// Usage holds the resources that a process uses at one moment.
 type Usage struct {
-	Memory      int64         // resident, in bytes
-	Descriptors int           // open
-	CPU         time.Duration // used so far
+	Memory      int64         // resident set size in bytes
+	Descriptors int           // open file descriptors
+	CPU         time.Duration // processor time used so far
 }
 
-// Usage reads what the process holds; an error if it has ended.
+// Usage returns the resources in use; an error if the process has ended.
 func (p *Process) Usage() (u Usage, err error) {
 	dir := filepath.Join("/proc", strconv.Itoa(p.Pid()))
 	fields, err := statFields(dir)
@@ -167,7 +167,7 @@
 	return u, nil
 }
 
-// statFields are those of /proc/PID/stat behind the name, which may hold anything.
+// statFields returns the fields of /proc/PID/stat that follow the process name. The name may contain any character.
 func statFields(dir string) ([]string, error) {
 	data, err := os.ReadFile(filepath.Join(dir, "stat"))
 	if err != nil {
@@ -176,12 +176,13 @@
 	end := strings.LastIndexByte(string(data), ')')
 	fields := strings.Fields(string(data[end+1:]))
 	if end < 0 || len(fields) < 22 {
-		return nil, fmt.Errorf("%s/stat: unreadable", dir)
+		return nil, fmt.Errorf("%s/stat: unexpected format", dir)
 	}
 	return fields, nil
 }
 
-// startTime tells one process from a later one with its id.
+// startTime returns the start time of a process, which tells it from a later process with the same id; empty if there is
+// none.
 func startTime(pid int) string {
 	fields, err := statFields(filepath.Join("/proc", strconv.Itoa(pid)))
 	if err != nil {
@@ -190,12 +191,12 @@
 	return fields[19]
 }
 
-// DiskUse is what the files below dir take, each counted in whole blocks of 512 bytes.
+// DiskUse returns the size of the files below dir, each rounded up to whole blocks of 512 bytes.
 func DiskUse(dir string) (n int64, err error) {
 	err = filepath.WalkDir(dir, func(_ string, d os.DirEntry, err error) error {
 		if err != nil {
 			if errors.Is(err, os.ErrNotExist) {
-				return nil // it went meanwhile
+				return nil // removed in the meantime
 			}
 			return err
 		}
--- a/internal/trial/proc/proc_test.go
+++ b/internal/trial/proc/proc_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// The test's own binary stands for the programs of a trial, and for the trial that is killed.
+// The test binary also serves as the programs of a trial, as the keeper, and as the trial that is killed.
 func TestMain(m *testing.M) {
 	switch os.Getenv("PROC_TEST_ROLE") {
 	case "":
@@ -26,7 +26,7 @@
 		fmt.Println("at work")
 		time.Sleep(time.Minute)
 	case "trial":
-		keep, err := StartKeeper(self("keeper"))
+		keep, err := StartKeeper(testBinary("keeper"))
 		if err == nil {
 			err = keep.Folder(os.Getenv("PROC_TEST_DIR"))
 		}
@@ -43,7 +43,7 @@
 	}
 }
 
-func self(role string) *exec.Cmd {
+func testBinary(role string) *exec.Cmd {
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), "PROC_TEST_ROLE="+role)
 	return c
@@ -62,19 +62,19 @@
 	}
 }
 
-func gone(pid int) bool {
+func hasEnded(pid int) bool {
 	fields, err := statFields(filepath.Join("/proc", strconv.Itoa(pid)))
 	return err != nil || fields[0] == "Z"
 }
 
-func TestAProcessIsStoppedAndEndedById(t *testing.T) {
+func TestProcessSignalAndEnd(t *testing.T) {
 	dir := t.TempDir()
-	said := make(chan string, 1)
-	p, err := Start(program(dir, func(line string) { said <- line }), nil)
+	output := make(chan string, 1)
+	p, err := Start(program(dir, func(line string) { output <- line }), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if line := <-said; line != "at work" {
+	if line := <-output; line != "at work" {
 		t.Errorf("line %q", line)
 	}
 	u, err := p.Usage()
@@ -89,14 +89,14 @@
 		return err == nil && f[0] == "T"
 	})
 	if !p.Running() {
-		t.Error("a process that is stopped is taken for one that has ended")
+		t.Error("a stopped process is reported as ended")
 	}
 	p.End()
-	if code, why := p.Exit(); code != -1 || !strings.Contains(why, "killed") || p.Running() {
-		t.Errorf("code %d, %q", code, why)
+	if code, reason := p.Exit(); code != -1 || !strings.Contains(reason, "killed") || p.Running() {
+		t.Errorf("code %d, %q", code, reason)
 	}
 	if err := p.Signal(syscall.SIGTERM); err != nil {
-		t.Errorf("signal to one that has ended: %v", err)
+		t.Errorf("signal to an ended process: %v", err)
 	}
 	log, err := os.ReadFile(filepath.Join(dir, "log"))
 	if err != nil || string(log) != "at work\n" {
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestWhatIsNotThereCannotBeStarted(t *testing.T) {
+func TestStartOfMissingProgramFails(t *testing.T) {
 	s := program(t.TempDir(), nil)
 	s.Path = filepath.Join(t.TempDir(), "none")
 	if _, err := Start(s, nil); err == nil || !strings.Contains(err.Error(), s.Path) {
@@ -112,13 +112,13 @@
 	}
 }
 
-// A trial that is killed outright leaves no process and no folder.
-func TestAKilledTrialLeavesNothing(t *testing.T) {
+// A trial that is killed with SIGKILL leaves no process and no folder behind.
+func TestKeeperCleansUpAfterKilledTrial(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "trial")
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	trial := self("trial")
+	trial := testBinary("trial")
 	trial.Env = append(trial.Env, "PROC_TEST_DIR="+dir)
 	out, err := trial.StdoutPipe()
 	if err != nil {
@@ -134,43 +134,43 @@
 	}
 	trial.Process.Kill()
 	trial.Wait()
-	eventually(t, "the process is gone", func() bool { return gone(pid) })
+	eventually(t, "the process is gone", func() bool { return hasEnded(pid) })
 	eventually(t, "the folder is gone", func() bool {
 		_, err := os.Stat(dir)
 		return os.IsNotExist(err)
 	})
 }
 
-// The keeper ends what it was told of and no other: not a process with the id of one that has gone, and no folder
-// without the mark.
-func TestTheKeeperTouchesNothingElse(t *testing.T) {
+// The keeper ends only what was reported to it: no process that has the id of an earlier one, and no folder without the
+// marker file.
+func TestKeeperEndsOnlyWhatWasReported(t *testing.T) {
 	other, err := Start(program(t.TempDir(), nil), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.End()
 	dir := t.TempDir()
-	kept := filepath.Join(dir, "file")
-	if err := os.WriteFile(kept, nil, 0o600); err != nil {
+	unmarked := filepath.Join(dir, "file")
+	if err := os.WriteFile(unmarked, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := Keep(strings.NewReader(fmt.Sprintf("pid %d 1\npid 1 1\npid x y\ndir %s\n", other.Pid(), dir))); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := os.Stat(kept); err != nil || !other.Running() {
+	if _, err := os.Stat(unmarked); err != nil || !other.Running() {
 		t.Errorf("file: %v, running: %v", err, other.Running())
 	}
 	if err := Keep(strings.NewReader(fmt.Sprintf("pid %d %s\ngone %d\n", other.Pid(), startTime(other.Pid()), other.Pid()))); err != nil {
 		t.Fatal(err)
 	}
 	if !other.Running() {
-		t.Error("a process that was taken back was ended")
+		t.Error("a process was killed after it was reported as ended")
 	}
 	if err := Keep(strings.NewReader(fmt.Sprintf("pid %d %s\ndone\n", other.Pid(), startTime(other.Pid())))); err != nil {
 		t.Fatal(err)
 	}
 	if !other.Running() {
-		t.Error("a process was ended after a trial that ended in order")
+		t.Error("a process was killed although the trial had cleaned up")
 	}
 }
 
--- a/internal/trial/relay.go
+++ b/internal/trial/relay.go
@@ -23,116 +23,116 @@
 )
 
 const (
-	readyFor    = 10 * time.Second // a process that is not ready by then is not coming up
-	readyLook   = 5 * time.Millisecond
-	askFor      = 500 * time.Millisecond
-	portTries   = 5
-	successorIn = 5 * time.Second
-	endsIn      = 4 * time.Second // after SIGTERM; SIGKILL then
+	readyTimeout        = 10 * time.Second // a process that is not ready by then counts as failed
+	readyPollInterval   = 5 * time.Millisecond
+	requestTimeout      = 500 * time.Millisecond
+	maxPortAttempts     = 5
+	takeoverStepTimeout = 5 * time.Second
+	shutdownTimeout     = 4 * time.Second // between SIGTERM and SIGKILL
 )
 
-// life is one process of a relay.
-type life struct {
+// relayProcess is one process of a relay.
+type relayProcess struct {
 	*proc.Process
-	number int
-	mgmt   string
+	number         int
+	managementAddr string
 
-	mu    sync.Mutex
-	addr  string // where it serves clients; empty: not yet
-	lines []watch
+	mu          sync.Mutex
+	clientAddr  string // address for clients; empty until it serves
+	lineWatches []lineWatch
 }
 
-// watch waits for a line of a process's log.
-type watch struct {
+// lineWatch waits for a line of a process's log.
+type lineWatch struct {
 	text string
 	seen chan struct{}
 }
 
-// see is called with each line.
-func (l *life) see(line string) {
+// handleLine is called with each line of output.
+func (l *relayProcess) handleLine(line string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if strings.Contains(line, "msg=serving ") || strings.Contains(line, " INFO serving ") {
 		if _, rest, ok := strings.Cut(line, "listen="); ok {
-			l.addr, _, _ = strings.Cut(rest, " ")
+			l.clientAddr, _, _ = strings.Cut(rest, " ")
 		}
 	}
-	for i := 0; i < len(l.lines); i++ {
-		if strings.Contains(line, l.lines[i].text) {
-			close(l.lines[i].seen)
-			l.lines = append(l.lines[:i], l.lines[i+1:]...)
+	for i := 0; i < len(l.lineWatches); i++ {
+		if strings.Contains(line, l.lineWatches[i].text) {
+			close(l.lineWatches[i].seen)
+			l.lineWatches = append(l.lineWatches[:i], l.lineWatches[i+1:]...)
 			i--
 		}
 	}
 }
 
-// says returns a channel that is closed once a line with text has come.
-func (l *life) says(text string) <-chan struct{} {
+// waitForLine returns a channel that is closed when a line that contains text appears.
+func (l *relayProcess) waitForLine(text string) <-chan struct{} {
 	seen := make(chan struct{})
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lines = append(l.lines, watch{text, seen})
+	l.lineWatches = append(l.lineWatches, lineWatch{text, seen})
 	return seen
 }
 
-func (l *life) serves() string {
+func (l *relayProcess) servingAddr() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.addr
+	return l.clientAddr
 }
 
-// Relay is a relay of the trial under its name and folder, over all its processes.
+// Relay is one relay of the trial. It keeps its name and folder over all its processes.
 type Relay struct {
-	Name  string
-	Zone  string
-	index int
-	g     *Ground
-	dir   string // with the configuration, the state and the logs
-	host  string // the loopback address of its machine
-	agent *stand.Agent
-	real  *agentProc        // the product's own agent in that one's place; nil: none
-	links map[string]string // addresses by which it reaches each endpoint
-
-	mu      sync.Mutex
-	lives   []*life
-	current *life // that clients come to; nil: none
-	seed    uint64
+	Name         string
+	Zone         string
+	index        int
+	harness      *Harness
+	dir          string // configuration, state and logs
+	host         string // loopback address of its machine
+	agent        *stand.Agent
+	agentProcess *agentProcess     // real agent in place of the fake one; nil: none
+	links        map[string]string // address of the link to each endpoint
+
+	mu          sync.Mutex
+	processes   []*relayProcess
+	current     *relayProcess // process that clients connect to; nil: none
+	configCount uint64
 }
 
-// addr is where clients connect.
+// addr returns the address that clients connect to; empty if there is none.
 func (r *Relay) addr() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.current == nil {
 		return ""
 	}
-	return r.current.serves()
+	return r.current.servingAddr()
 }
 
-// discovery is where the relay asks for its list.
-func (r *Relay) discovery() string {
-	if r.real != nil {
-		return r.real.link.Addr()
+// discoveryAddr returns the address that the relay gets its list from.
+func (r *Relay) discoveryAddr() string {
+	if r.agentProcess != nil {
+		return r.agentProcess.link.Addr()
 	}
 	return r.agent.Addr()
 }
 
-func (r *Relay) state() string { return filepath.Join(r.dir, "state") }
+func (r *Relay) stateDir() string { return filepath.Join(r.dir, "state") }
 
-// configure writes the relay's configuration: the settings as the platform gives them, and the list as the relay
-// itself held it last.
+// configure writes the relay's configuration: the settings in the platform's form, and the list as the relay last knew
+// it.
 func (r *Relay) configure() error {
-	r.seed++
+	r.configCount++
 	config := map[string]any{
-		"name": r.Name, "seed": fmt.Sprintf("%016x", r.g.opts.Seed<<20+uint64(r.index)<<8+r.seed), "discovery": r.discovery(),
+		"name": r.Name, "seed": fmt.Sprintf("%016x", r.harness.opts.Seed<<20+uint64(r.index)<<8+r.configCount), "discovery": r.discoveryAddr(),
 		"limits": map[string]any{
-			"cores": r.g.load.Relay.Cores, "memory_mb": float64(r.g.load.Relay.Memory.N) / 1e6, "sockets": r.g.load.Relay.Sockets,
-			"disk_mb": float64(r.g.load.Relay.Disk.N) / 1e6,
+			"cores": r.harness.load.Relay.Cores, "memory_mb": float64(r.harness.load.Relay.Memory.N) / 1e6, "sockets": r.harness.load.Relay.Sockets,
+			"disk_mb": float64(r.harness.load.Relay.Disk.N) / 1e6,
 		},
-		"known": r.agent.Known(), "settings": settings(r.g.load),
+		"known": r.agent.RelayList(), "settings": relaySettings(r.harness.load),
 	}
-	if r.g.policy {
-		config["fleet"] = map[string]any{"agent": r.discovery()}
+	if r.harness.usesPolicy {
+		config["fleet"] = map[string]any{"agent": r.discoveryAddr()}
 	}
 	data, err := json.MarshalIndent(config, "", " ")
 	if err != nil {
@@ -145,13 +145,13 @@
 	return os.Rename(path+".new", path)
 }
 
-// settings are those that a load's relays have, in the platform's form.
-func settings(l *load.Load) map[string]any {
-	kinds, per, apart := []string{}, []int{}, []bool{}
-	var fall float64
+// relaySettings returns the settings of the load's relays, in the platform's form.
+func relaySettings(l *load.Load) map[string]any {
+	kinds, perCall, separate := []string{}, []int{}, []bool{}
+	var coldFrom float64
 	for _, k := range l.Kinds {
-		kinds, per, apart = append(kinds, k.Name), append(per, k.PerCall), append(apart, k.Separate)
-		fall = max(fall, k.ColdFrom.Of1)
+		kinds, perCall, separate = append(kinds, k.Name), append(perCall, k.PerCall), append(separate, k.Separate)
+		coldFrom = max(coldFrom, k.ColdFrom.Of1)
 	}
 	services, realms := []map[string]any{}, []map[string]any{}
 	for _, c := range l.Classes {
@@ -171,27 +171,29 @@
 	}
 	cold := l.Kinds[0].ColdFor.Milliseconds()
 	return map[string]any{
-		"fleet_size": l.Relays, "kinds": kinds, "zones": l.Zones, "tick_ms": float64(l.Relay.Tick.Microseconds()) / 1000, "weight_kind": "nominal",
+		"fleet_size": l.Relays, "kinds": kinds, "zones": l.Zones, "tick_ms": float64(l.Relay.Tick.Microseconds()) / 1000,
+		"weight_kind":     "nominal",
 		"membership_mode": "push",
 		"bounds": map[string]any{"cancel": true, "connect_timeout_ms": 1000, "keepalive_ms": l.Relay.KeepAlive.Milliseconds(),
-			"max_retry_after_ms": 2000, "may_duplicate": false, "open_cap": l.Relay.Open, "retry_after": true, "send_cap": l.Relay.Attempts},
-		"extra":    map[string]any{"call_slots": l.Relay.Slots, "per_call": per, "separate_routes": apart},
-		"rules":    map[string]any{"cold_from": fall, "fall_ms": stand.FallWindow.Milliseconds(), "overload_factor": stand.FallFactor, "warm_within_ms": cold},
+			"max_retry_after_ms": 2000, "may_duplicate": false, "open_cap": l.Relay.MaxHeld, "retry_after": true, "send_cap": l.Relay.Attempts},
+		"extra": map[string]any{"call_slots": l.Relay.Slots, "per_call": perCall, "separate_routes": separate},
+		"rules": map[string]any{"cold_from": coldFrom, "fall_ms": stand.OverloadWindow.Milliseconds(),
+			"overload_factor": stand.OverloadFactor, "warm_within_ms": cold},
 		"services": services, "realms": realms, "stats": map[string]any{"how": "answers", "fields": []string{"x0", "x1"}},
 	}
 }
 
-// spawn starts a process of the relay, without waiting for it.
-func (r *Relay) spawn(note string) (*life, error) {
+// startProcess starts a process of the relay without waiting for it.
+func (r *Relay) startProcess(note string) (*relayProcess, error) {
 	if err := r.configure(); err != nil {
 		return nil, err
 	}
-	mgmt, err := r.g.opts.free(r.host)
+	mgmt, err := r.harness.opts.freeAddr(r.host)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", r.Name, err)
 	}
 	r.mu.Lock()
-	l := &life{number: len(r.lives) + 1, mgmt: mgmt}
+	l := &relayProcess{number: len(r.processes) + 1, managementAddr: mgmt}
 	r.mu.Unlock()
 	env := []string{}
 	for _, v := range os.Environ() {
@@ -199,75 +201,78 @@
 			env = append(env, v)
 		}
 	}
-	env = append(env, "ROUTER_NAME="+r.Name, "ROUTER_LISTEN="+net.JoinHostPort(r.host, "0"), "ROUTER_DISCOVERY="+r.discovery(),
-		"ROUTER_MGMT="+mgmt, "ROUTER_STATE="+r.state(), "ROUTER_CONFIG="+filepath.Join(r.dir, "config.json"), "TMPDIR="+r.dir, endsOnBreach)
-	r.g.rec.Add(history.Event{Kind: history.Proc, Relay: r.Name, Life: l.number, Note: note})
-	l.Process, err = proc.Start(proc.Spec{Path: r.g.opts.Relay, Env: env, Dir: r.dir, Log: filepath.Join(r.dir, fmt.Sprintf("log.%d", l.number)), Line: l.see},
-		r.g.keeper)
+	env = append(env, "ROUTER_NAME="+r.Name, "ROUTER_LISTEN="+net.JoinHostPort(r.host, "0"), "ROUTER_DISCOVERY="+r.discoveryAddr(),
+		"ROUTER_MGMT="+mgmt, "ROUTER_STATE="+r.stateDir(), "ROUTER_CONFIG="+filepath.Join(r.dir, "config.json"), "TMPDIR="+r.dir,
+		panicOnInvariantEnv)
+	r.harness.recorder.Add(history.Event{Kind: history.ProcessState, Relay: r.Name, Incarnation: l.number, Note: note})
+	l.Process, err = proc.Start(proc.Spec{Path: r.harness.opts.Relay, Env: env, Dir: r.dir,
+		Log: filepath.Join(r.dir, fmt.Sprintf("log.%d", l.number)), Line: l.handleLine},
+		r.harness.keeper)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", r.Name, err)
 	}
 	r.mu.Lock()
-	r.lives = append(r.lives, l)
+	r.processes = append(r.processes, l)
 	r.mu.Unlock()
-	r.g.parts.Go(func() {
+	r.harness.background.Go(func() {
 		<-l.Done()
-		code, why := l.Exit()
-		r.g.rec.Add(history.Event{Kind: history.Proc, Relay: r.Name, Life: l.number, Note: history.Ended, Status: code, State: why})
+		code, reason := l.Exit()
+		r.harness.recorder.Add(history.Event{Kind: history.ProcessState, Relay: r.Name, Incarnation: l.number, Note: history.Ended,
+			Status: code, State: reason})
 	})
 	return l, nil
 }
 
-// Start starts the relay and waits until it is ready. Another process may have taken the port meanwhile: then with
-// another one.
+// Start starts the relay and waits until it is ready. If another process has taken the chosen port in the meantime, it
+// tries again with another port.
 func (r *Relay) Start(ctx context.Context) error {
 	var err error
-	for range portTries {
-		var l *life
-		if l, err = r.spawn(history.Started); err != nil {
+	for range maxPortAttempts {
+		var l *relayProcess
+		if l, err = r.startProcess(history.Started); err != nil {
 			return err
 		}
 		r.mu.Lock()
 		r.current = l
 		r.mu.Unlock()
-		if err = r.ready(ctx, l); err == nil {
-			r.g.rec.Add(history.Event{Kind: history.Proc, Relay: r.Name, Life: l.number, Note: history.Ready})
+		if err = r.waitReady(ctx, l); err == nil {
+			r.harness.recorder.Add(history.Event{Kind: history.ProcessState, Relay: r.Name, Incarnation: l.number, Note: history.Ready})
 			return nil
 		}
 		if l.Running() || !r.logHas(l, "address already in use") {
 			break
 		}
-		r.g.rec.Add(history.Event{Kind: history.Proc, Relay: r.Name, Life: l.number, Note: history.PortTaken})
+		r.harness.recorder.Add(history.Event{Kind: history.ProcessState, Relay: r.Name, Incarnation: l.number, Note: history.PortTaken})
 	}
 	return err
 }
 
-// logHas tells whether a process's log has text.
-func (r *Relay) logHas(l *life, text string) bool {
+// logHas reports whether a process's log contains text.
+func (r *Relay) logHas(l *relayProcess, text string) bool {
 	data, err := os.ReadFile(filepath.Join(r.dir, fmt.Sprintf("log.%d", l.number)))
 	return err == nil && strings.Contains(string(data), text)
 }
 
-// ready waits until a process says that it serves.
-func (r *Relay) ready(ctx context.Context, l *life) error {
-	ctx, cancel := context.WithTimeout(ctx, readyFor)
+// waitReady waits until a process serves clients.
+func (r *Relay) waitReady(ctx context.Context, l *relayProcess) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
-		if addr := l.serves(); addr != "" && healthy(ctx, addr) {
+		if addr := l.servingAddr(); addr != "" && healthy(ctx, addr) {
 			return nil
 		}
 		select {
 		case <-l.Done():
-			code, why := l.Exit()
-			return fmt.Errorf("%s: process %d ended before it was ready: code %d, %s", r.Name, l.number, code, why)
+			code, reason := l.Exit()
+			return fmt.Errorf("%s: process %d ended before it was ready: code %d, %s", r.Name, l.number, code, reason)
 		case <-ctx.Done():
-			return fmt.Errorf("%s: process %d is not ready after %v", r.Name, l.number, readyFor)
-		case <-time.After(readyLook):
+			return fmt.Errorf("%s: process %d is not ready after %v", r.Name, l.number, readyTimeout)
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-var healthClient = &http.Client{Timeout: askFor, Transport: &http.Transport{DisableKeepAlives: true}}
+var healthClient = &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
 func healthy(ctx context.Context, addr string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/_health", nil)
@@ -283,41 +288,41 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// ask calls the management address of a process.
-func ask(addr, call string) (string, error) {
-	c, err := net.DialTimeout("tcp", addr, askFor)
+// managementCall sends a command to the management address of a process and returns the answer.
+func managementCall(addr, command string) (string, error) {
+	c, err := net.DialTimeout("tcp", addr, requestTimeout)
 	if err != nil {
 		return "", err
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(askFor))
-	if _, err := io.WriteString(c, call+"\n"); err != nil {
+	c.SetDeadline(time.Now().Add(requestTimeout))
+	if _, err := io.WriteString(c, command+"\n"); err != nil {
 		return "", err
 	}
 	answer, err := io.ReadAll(c)
 	return strings.TrimSpace(string(answer)), err
 }
 
-// now is the process that clients come to.
-func (r *Relay) now() *life {
+// currentProcess returns the process that clients connect to; nil if there is none.
+func (r *Relay) currentProcess() *relayProcess {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.current
 }
 
-// signal sends a signal to one process and puts it down.
-func (r *Relay) signal(l *life, s syscall.Signal, note string) error {
+// signal records and sends a signal to a process.
+func (r *Relay) signal(l *relayProcess, s syscall.Signal, note string) error {
 	if l == nil || !l.Running() {
 		return nil
 	}
-	r.g.rec.Add(history.Event{Kind: history.Proc, Relay: r.Name, Life: l.number, Note: note})
+	r.harness.recorder.Add(history.Event{Kind: history.ProcessState, Relay: r.Name, Incarnation: l.number, Note: note})
 	return l.Signal(s)
 }
 
-// Kill ends all processes of the relay at once.
+// Kill kills all processes of the relay.
 func (r *Relay) Kill() error {
 	r.mu.Lock()
-	all := append([]*life(nil), r.lives...)
+	all := append([]*relayProcess(nil), r.processes...)
 	r.current = nil
 	r.mu.Unlock()
 	var errs []error
@@ -330,10 +335,10 @@
 	return errors.Join(errs...)
 }
 
-// KillCompacting kills the relay while it compacts its journal, which begins with another file, or once most has
-// passed without it.
-func (r *Relay) KillCompacting(ctx context.Context, most time.Duration) error {
-	name, err := created(ctx, r.state(), most)
+// KillCompacting kills the relay while it compacts its journal, which starts with the creation of a file, or after the
+// timeout if it does not compact.
+func (r *Relay) KillCompacting(ctx context.Context, timeout time.Duration) error {
+	name, err := waitForCreate(ctx, r.stateDir(), timeout)
 	if err != nil {
 		return err
 	}
@@ -341,14 +346,14 @@
 		return err
 	}
 	if name != "" {
-		r.g.rec.Add(history.Event{Kind: history.Fault, Relay: r.Name, Note: "killed while compacting into " + name})
+		r.harness.recorder.Add(history.Event{Kind: history.Fault, Relay: r.Name, Note: "killed while compacting into " + name})
 	}
 	return nil
 }
 
-// Term ends the relay in order: SIGTERM, and SIGKILL if it has not ended by then.
+// Term ends the relay with SIGTERM, and with SIGKILL if it takes too long.
 func (r *Relay) Term(ctx context.Context) error {
-	l := r.now()
+	l := r.currentProcess()
 	if l == nil {
 		return nil
 	}
@@ -357,56 +362,57 @@
 	}
 	select {
 	case <-l.Done():
-	case <-time.After(endsIn):
-		r.g.rec.Add(history.Event{Kind: history.Fault, Relay: r.Name, Note: "had not ended after SIGTERM"})
+	case <-time.After(shutdownTimeout):
+		r.harness.recorder.Add(history.Event{Kind: history.Fault, Relay: r.Name, Note: "had not ended after SIGTERM"})
 	case <-ctx.Done():
 	}
 	return r.Kill()
 }
 
-// Freeze stops the process that serves; Thaw has it go on, and waits until it answers again.
+// Freeze stops the serving process with SIGSTOP.
 func (r *Relay) Freeze() error {
-	return r.signal(r.now(), syscall.SIGSTOP, history.Stop)
+	return r.signal(r.currentProcess(), syscall.SIGSTOP, history.Stop)
 }
 
-// Thaw undoes Freeze.
+// Thaw continues a frozen relay and waits until it serves again.
 func (r *Relay) Thaw(ctx context.Context) error {
-	l := r.now()
+	l := r.currentProcess()
 	if err := r.signal(l, syscall.SIGCONT, history.Cont); err != nil || l == nil {
 		return err
 	}
-	return r.back(ctx)
+	return r.waitServing(ctx)
 }
 
-// back waits until the relay serves, by whichever of its processes, and puts it down.
-func (r *Relay) back(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyFor)
+// waitServing waits until one of the relay's processes serves, and makes it the current one.
+func (r *Relay) waitServing(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
 		r.mu.Lock()
-		all := append([]*life(nil), r.lives...)
+		all := append([]*relayProcess(nil), r.processes...)
 		r.mu.Unlock()
 		for _, l := range all {
-			if !l.Running() || l.serves() == "" {
+			if !l.Running() || l.servingAddr() == "" {
 				continue
 			}
-			if answer, err := ask(l.mgmt, "status"); err == nil && answer == "YES" && healthy(ctx, l.serves()) {
+			if answer, err := managementCall(l.managementAddr, "status"); err == nil && answer == "YES" && healthy(ctx, l.servingAddr()) {
 				r.mu.Lock()
 				r.current = l
 				r.mu.Unlock()
-				r.g.rec.Add(history.Event{Kind: history.Proc, Relay: r.Name, Life: l.number, Note: history.Ready})
+				r.harness.recorder.Add(history.Event{Kind: history.ProcessState, Relay: r.Name, Incarnation: l.number, Note: history.Ready})
 				return nil
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s: no process serves after %v", r.Name, readyFor)
-		case <-time.After(readyLook):
+			return fmt.Errorf("%s: no process serves after %v", r.Name, readyTimeout)
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-// Move has discovery answer the relay elsewhere, as the platform does it: a new file, then SIGHUP.
+// Move moves the agent to another address and tells the relay as the platform does: a new configuration file, then
+// SIGHUP.
 func (r *Relay) Move() error {
 	if err := r.agent.Move(); err != nil {
 		return err
@@ -414,10 +420,10 @@
 	if err := r.configure(); err != nil {
 		return err
 	}
-	return r.signal(r.now(), syscall.SIGHUP, history.Hup)
+	return r.signal(r.currentProcess(), syscall.SIGHUP, history.Hup)
 }
 
-// freeAddr is an address of host that nobody listens on just now.
+// freeAddr returns an address of host that is not in use.
 func freeAddr(host string) (string, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -427,31 +433,32 @@
 	return l.Addr().String(), nil
 }
 
-// sample puts down what the relay's processes hold together. The slower a process answers, the less it matters here.
+// sample records the resources that the relay's processes use together.
 func (r *Relay) sample(note string) {
-	disk, err := proc.DiskUse(r.state())
+	disk, err := proc.DiskUse(r.stateDir())
 	if err != nil {
-		r.g.unsound(fmt.Errorf("%s: its disk could not be looked at: %w", r.Name, err))
+		r.harness.recordFailure(fmt.Errorf("%s: disk usage could not be read: %w", r.Name, err))
 		return
 	}
 	e := history.Event{Kind: history.Sample, Relay: r.Name, Disk: disk, Note: note}
 	r.mu.Lock()
-	all := append([]*life(nil), r.lives...)
+	all := append([]*relayProcess(nil), r.processes...)
 	r.mu.Unlock()
 	for _, l := range all {
 		if u, err := l.Usage(); err != nil {
-			// One that ended meanwhile is nowhere to be looked at: whether it was to is judged by the history.
+			// A process that ended in the meantime cannot be sampled. Whether it should have ended is checked from the
+			// history.
 			if l.Running() && !errors.Is(err, fs.ErrNotExist) && !errors.Is(err, syscall.ESRCH) {
-				r.g.unsound(fmt.Errorf("%s: a process could not be looked at: %w", r.Name, err))
+				r.harness.recordFailure(fmt.Errorf("%s: resource usage of a process could not be read: %w", r.Name, err))
 			}
 		} else {
 			e.Memory += u.Memory
 			e.Descriptors += u.Descriptors
 			e.CPU += u.CPU.Microseconds()
-			e.Life = l.number
+			e.Incarnation = l.number
 		}
 	}
-	if e.Life > 0 {
-		r.g.rec.Add(e)
+	if e.Incarnation > 0 {
+		r.harness.recorder.Add(e)
 	}
 }
--- a/internal/trial/report/html.go
+++ b/internal/trial/report/html.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	plotWide = 24 * vg.Centimeter
-	plotHigh = 6 * vg.Centimeter
-	rowHigh  = 0.45 * vg.Centimeter
-	rowsMost = 40
+	plotWidth  = 24 * vg.Centimeter
+	plotHeight = 6 * vg.Centimeter
+	rowHeight  = 0.45 * vg.Centimeter
+	maxRows    = 40
 )
 
-// colours are told apart by eye, also by those who see no red or green.
+// colours can be distinguished with red-green color blindness too.
 var colours = []color.Color{
 	color.RGBA{0x00, 0x72, 0xb2, 0xff}, color.RGBA{0xd5, 0x5e, 0x00, 0xff}, color.RGBA{0x00, 0x9e, 0x73, 0xff},
 }
@@ -47,7 +47,7 @@
 {{end}}</body></html>
 `))
 
-// HTML writes the report as one file, with its plots in it.
+// HTML writes the report as one file that contains its plots.
 func HTML(w io.Writer, title string, f *Figures, breaches []check.Violation) error {
 	type drawn struct {
 		Name string
@@ -58,40 +58,42 @@
 	var plots []drawn
 	for _, p := range []struct {
 		name, unit string
-		top        float64 // 0: as the values have it
+		top        float64 // of the y axis; 0: from the values
 		lines      []line
 	}{
-		{"Service: worth delivered over worth wanted, by when it was wanted", "share", 1.05, []line{{"service", func(p Point) float64 { return p.Service }}}},
-		{"Latency of what was delivered", "ms", 0, []line{{"p50", func(p Point) float64 { return p.P50 }}, {"p99", func(p Point) float64 { return p.P99 }}}},
+		{"Service: worth delivered over worth wanted, by when it was wanted", "share", 1.05,
+			[]line{{"service", func(p Point) float64 { return p.Service }}}},
+		{"Latency of what was delivered", "ms", 0, []line{{"p50", func(p Point) float64 { return p.P50 }},
+			{"p99", func(p Point) float64 { return p.P99 }}}},
 		{"Messages wanted and calls to partners, in half a second", "count", 0, []line{
 			{"wanted", func(p Point) float64 { return float64(p.Wanted) }}, {"calls", func(p Point) float64 { return float64(p.Calls) }},
 			{"calls refused", func(p Point) float64 { return float64(p.Refused) }}}},
 	} {
-		svg, err := curves(f, p.unit, p.top, p.lines)
+		svg, err := drawCurves(f, p.unit, p.top, p.lines)
 		if err != nil {
 			return fmt.Errorf("report: %s: %w", p.name, err)
 		}
 		plots = append(plots, drawn{p.name, svg})
 	}
 	if len(f.Faults) > 0 {
-		svg, err := faults(f)
+		svg, err := drawFaults(f)
 		if err != nil {
 			return fmt.Errorf("report: faults: %w", err)
 		}
 		plots = append(plots, drawn{"What was done to whom", svg})
 	}
-	var told []string
+	var lines []string
 	for i, b := range breaches {
 		if i == 20 {
-			told = append(told, fmt.Sprintf("and %d more", len(breaches)-i))
+			lines = append(lines, fmt.Sprintf("and %d more", len(breaches)-i))
 			break
 		}
-		told = append(told, b.String())
+		lines = append(lines, b.String())
 	}
-	return page.Execute(w, map[string]any{"Title": title, "Breaches": told, "Text": text.String(), "Plots": plots})
+	return page.Execute(w, map[string]any{"Title": title, "Breaches": lines, "Text": text.String(), "Plots": plots})
 }
 
-func curves(f *Figures, unit string, top float64, lines []line) (template.HTML, error) {
+func drawCurves(f *Figures, unit string, top float64, lines []line) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "s", unit
 	p.X.Min, p.X.Max, p.Y.Min = 0, max(1, f.Seconds), 0
@@ -119,14 +121,14 @@
 	} else {
 		p.Y.Max = max(1, p.Y.Max*1.1)
 	}
-	return svg(p, plotHigh)
+	return renderSVG(p, plotHeight)
 }
 
-// faults draws a bar for each, in rows by whom they were done to.
-func faults(f *Figures) (template.HTML, error) {
+// drawFaults draws a bar for each fault, in one row for each target.
+func drawFaults(f *Figures) (template.HTML, error) {
 	var rows []string
 	for _, m := range f.Faults {
-		if !slices.Contains(rows, m.On) && len(rows) < rowsMost {
+		if !slices.Contains(rows, m.On) && len(rows) < maxRows {
 			rows = append(rows, m.On)
 		}
 	}
@@ -155,21 +157,21 @@
 		return "", err
 	}
 	p.Add(names)
-	return svg(p, vg.Length(len(rows)+2)*rowHigh+2*vg.Centimeter)
+	return renderSVG(p, vg.Length(len(rows)+2)*rowHeight+2*vg.Centimeter)
 }
 
-func svg(p *plot.Plot, high vg.Length) (template.HTML, error) {
-	c := vgsvg.New(plotWide, high)
+func renderSVG(p *plot.Plot, high vg.Length) (template.HTML, error) {
+	c := vgsvg.New(plotWidth, high)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
 		return "", err
 	}
-	// The library's own output, from figures and names that the template engine has not seen: a name is drawn from the
-	// plan, whose names were resolved against the fleet's.
+	// The SVG is not escaped by the template engine. It is output of the plot library, from numbers and from names in the
+	// plan, which were checked against the names in the fleet.
 	_, body, ok := bytes.Cut(b.Bytes(), []byte("<svg"))
 	if !ok {
-		return "", fmt.Errorf("no picture")
+		return "", fmt.Errorf("the plot library wrote no SVG")
 	}
 	return template.HTML("<svg" + string(body)), nil
 }
--- a/internal/trial/stand/agent.go
+++ b/internal/trial/stand/agent.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	noticesMost = 1 << 20                 // bytes of one request
-	oldCloses   = 1500 * time.Millisecond // open connections to an address that discovery has left
-	changesKept = 256
+	maxNoticeBytes  = 1 << 20                 // bytes of one request
+	oldAddressGrace = 1500 * time.Millisecond // how long open connections stay at an address that the agent has left
+	maxKeptChanges  = 256
 )
 
-// Entry is one of the list.
+// Entry is one endpoint of the list.
 type Entry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -39,37 +39,37 @@
 	Started int64   `json:"started_ms"`
 }
 
-// List is a list in discovery's form, whole or the changes to one.
+// List is a list in the discovery format: the whole list or the changes since a version.
 type List struct {
 	Version int64   `json:"version"`
 	Full    bool    `json:"full"`
 	Servers []Entry `json:"servers"`
 }
 
-// Agent is the platform's discovery as one relay sees it: what it has was sent to it some time after it happened.
+// Agent is a fake of the platform's discovery agent of one relay. It learns of changes with a delay.
 type Agent struct {
-	relay   string
-	rec     *history.Recorder
-	renewal time.Duration
-	delay   load.Span
+	relay    string
+	recorder *history.Recorder
+	renewal  time.Duration
+	delay    load.Span
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	lastDue time.Time
-	version int64
-	entries map[string]Entry
-	changes []change // the last of them
-	cut     int64    // changes up to this version are not kept any more
-	changed chan struct{}
-	silent  bool
-	toldBy  map[string]Entry // what the relay was told last
-	toldVer int64
-	server  *http.Server
-	addr    string
-	closed  bool
-	timers  []*time.Timer
-	wg      sync.WaitGroup
-	notice  func(id, end string, again time.Duration)
+	mu             sync.Mutex
+	rng            *rand.Rand
+	lastDue        time.Time
+	version        int64
+	entries        map[string]Entry
+	changes        []change // the most recent ones
+	trimmedVersion int64    // changes up to this version are dropped
+	changed        chan struct{}
+	silent         bool
+	relayEntries   map[string]Entry // the list as the relay was last told
+	relayVersion   int64
+	server         *http.Server
+	addr           string
+	closed         bool
+	timers         []*time.Timer
+	wg             sync.WaitGroup
+	onNotice       func(id, end string, retryAfter time.Duration)
 }
 
 type change struct {
@@ -77,10 +77,12 @@
 	entry   Entry
 }
 
-// NewAgent starts an agent. notice is called for each message that the relay ends.
-func NewAgent(relay string, rec *history.Recorder, l *load.Load, seed uint64, notice func(id, end string, again time.Duration)) (*Agent, error) {
-	a := &Agent{relay: relay, rec: rec, renewal: l.Agent.Renewal.Duration, delay: l.Agent.Notice, rng: rand.New(rand.NewPCG(seed, 0x616765)),
-		entries: map[string]Entry{}, toldBy: map[string]Entry{}, changed: make(chan struct{}), notice: notice}
+// NewAgent starts an agent. onNotice is called for each message that the relay ends by a notice.
+func NewAgent(relay string, recorder *history.Recorder, l *load.Load, seed uint64,
+	onNotice func(id, end string, retryAfter time.Duration)) (*Agent, error) {
+	a := &Agent{relay: relay, recorder: recorder, renewal: l.Agent.Renewal.Duration, delay: l.Agent.Notice,
+		rng:     rand.New(rand.NewPCG(seed, 0x616765)),
+		entries: map[string]Entry{}, relayEntries: map[string]Entry{}, changed: make(chan struct{}), onNotice: onNotice}
 	if err := a.listen(); err != nil {
 		return nil, err
 	}
@@ -93,8 +95,8 @@
 		return fmt.Errorf("agent of %s: %w", a.relay, err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog/members", a.members)
-	mux.HandleFunc("POST /v2/finals", a.finals)
+	mux.HandleFunc("GET /catalog/members", a.handleMembers)
+	mux.HandleFunc("POST /v2/finals", a.handleNotices)
 	s := &http.Server{Handler: mux, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)}
 	a.mu.Lock()
 	a.server, a.addr = s, l.Addr().String()
@@ -103,14 +105,15 @@
 	return nil
 }
 
-// Addr is where the relay asks now.
+// Addr returns the address that the relay is to connect to.
 func (a *Agent) Addr() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.addr
 }
 
-// Move has the agent answer at another address; the old one takes no new connections and closes its open ones later.
+// Move makes the agent listen at another address. The old address accepts no new connections and closes the open ones
+// later.
 func (a *Agent) Move() error {
 	a.mu.Lock()
 	old := a.server
@@ -118,7 +121,7 @@
 	if err := a.listen(); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), oldCloses)
+	ctx, cancel := context.WithTimeout(context.Background(), oldAddressGrace)
 	a.wg.Go(func() {
 		defer cancel()
 		if old.Shutdown(ctx) != nil {
@@ -128,7 +131,7 @@
 	return nil
 }
 
-// Close ends the agent.
+// Close stops the agent.
 func (a *Agent) Close() {
 	a.mu.Lock()
 	a.closed = true
@@ -141,33 +144,33 @@
 	a.wg.Wait()
 }
 
-// Silence has the agent say nothing of the list, or go on. Notices are answered all the while.
-func (a *Agent) Silence(on bool) {
+// SetSilent stops or resumes answers about the list. Notices are acknowledged all the time.
+func (a *Agent) SetSilent(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.silent = on
-	a.wake()
+	a.notifyWatchers()
 }
 
-func (a *Agent) wake() {
+func (a *Agent) notifyWatchers() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// Hear has the agent learn of a change, some time from now: changes come in their order.
-func (a *Agent) Hear(version int64, entries ...Entry) {
+// ReceiveLater applies a change after a random delay. Changes are applied in their order.
+func (a *Agent) ReceiveLater(version int64, entries ...Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	due := time.Now().Add(within(a.rng, a.delay))
+	due := time.Now().Add(drawSpan(a.rng, a.delay))
 	if due.Before(a.lastDue) {
 		due = a.lastDue.Add(time.Microsecond)
 	}
 	a.lastDue = due
-	a.timers = append(a.timers, time.AfterFunc(time.Until(due), func() { a.Have(version, entries...) }))
+	a.timers = append(a.timers, time.AfterFunc(time.Until(due), func() { a.Receive(version, entries...) }))
 }
 
-// Have has the agent learn of a change now.
-func (a *Agent) Have(version int64, entries ...Entry) {
+// Receive applies a change now.
+func (a *Agent) Receive(version int64, entries ...Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.closed || version <= a.version {
@@ -182,26 +185,26 @@
 		}
 		a.changes = append(a.changes, change{version, e})
 	}
-	if more := len(a.changes) - changesKept; more > 0 {
-		a.cut = a.changes[more-1].version
-		a.changes = a.changes[more:]
+	if excess := len(a.changes) - maxKeptChanges; excess > 0 {
+		a.trimmedVersion = a.changes[excess-1].version
+		a.changes = a.changes[excess:]
 	}
-	a.wake()
+	a.notifyWatchers()
 }
 
-// Known is the list as the relay holds it: what it was told last.
-func (a *Agent) Known() List {
+// RelayList returns the list as the relay was last told.
+func (a *Agent) RelayList() List {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	l := List{Version: a.toldVer, Full: true, Servers: []Entry{}}
-	for _, e := range a.toldBy {
+	l := List{Version: a.relayVersion, Full: true, Servers: []Entry{}}
+	for _, e := range a.relayEntries {
 		l.Servers = append(l.Servers, e)
 	}
-	slices.SortFunc(l.Servers, func(x, y Entry) int { return cmpString(x.ID, y.ID) })
+	slices.SortFunc(l.Servers, func(x, y Entry) int { return compareStrings(x.ID, y.ID) })
 	return l
 }
 
-func cmpString(a, b string) int {
+func compareStrings(a, b string) int {
 	if a < b {
 		return -1
 	} else if a > b {
@@ -210,13 +213,13 @@
 	return 0
 }
 
-// after is what a relay whose list has a version lacks; nil if nothing.
-func (a *Agent) after(version int64) *List {
+// changesSince returns what a relay with a list of the given version lacks; nil if nothing.
+func (a *Agent) changesSince(version int64) *List {
 	if version == a.version {
 		return nil
 	}
 	l := &List{Version: a.version, Servers: []Entry{}}
-	if version < a.cut || version > a.version || version == 0 {
+	if version < a.trimmedVersion || version > a.version || version == 0 {
 		l.Full = true
 		for _, e := range a.entries {
 			l.Servers = append(l.Servers, e)
@@ -232,68 +235,71 @@
 			l.Servers = append(l.Servers, e)
 		}
 	}
-	slices.SortFunc(l.Servers, func(x, y Entry) int { return cmpString(x.ID, y.ID) })
+	slices.SortFunc(l.Servers, func(x, y Entry) int { return compareStrings(x.ID, y.ID) })
 	return l
 }
 
-// told puts down that the relay was told a list, or, with nothing written, holds one from its start.
-func (a *Agent) told(l *List) {
+// recordList records that the relay was told a list, or, if nothing was sent, that it holds one from its configuration.
+func (a *Agent) recordList(l *List) {
 	events := make([]history.Event, 0, len(l.Servers))
 	a.mu.Lock()
 	if l.Full {
-		in := map[string]bool{}
+		present := map[string]bool{}
 		for _, e := range l.Servers {
-			in[e.ID] = true
+			present[e.ID] = true
 		}
-		for id, e := range a.toldBy {
-			if !in[id] {
-				events = append(events, history.Event{Kind: history.Told, Relay: a.relay, Endpoint: id, Dest: e.Cell, State: "gone", Version: l.Version})
-				delete(a.toldBy, id)
+		for id, e := range a.relayEntries {
+			if !present[id] {
+				events = append(events, history.Event{Kind: history.ListUpdate, Relay: a.relay, Endpoint: id, Dest: e.Cell, State: "gone",
+					Version: l.Version})
+				delete(a.relayEntries, id)
 			}
 		}
 	}
 	for _, e := range l.Servers {
 		if e.State == "gone" {
-			delete(a.toldBy, e.ID)
+			delete(a.relayEntries, e.ID)
 		} else {
-			a.toldBy[e.ID] = e
+			a.relayEntries[e.ID] = e
 		}
-		events = append(events, history.Event{Kind: history.Told, Relay: a.relay, Endpoint: e.ID, Dest: e.Cell, State: e.State, Version: l.Version})
+		events = append(events, history.Event{Kind: history.ListUpdate, Relay: a.relay, Endpoint: e.ID, Dest: e.Cell, State: e.State,
+			Version: l.Version})
 	}
-	a.toldVer = max(a.toldVer, l.Version)
+	a.relayVersion = max(a.relayVersion, l.Version)
 	a.mu.Unlock()
-	a.rec.AddAll(events)
+	a.recorder.AddAll(events)
 }
 
-// Tell puts down what a relay was told by another agent than this one, which keeps its books.
-func (a *Agent) Tell(l *List) { a.told(l) }
+// RecordList records a list that a real agent sent to the relay in place of this one, which then only does the
+// bookkeeping.
+func (a *Agent) RecordList(l *List) { a.recordList(l) }
 
-// Overhear puts down notices that another agent took.
-func (a *Agent) Overhear(body []byte) {
-	if all, err := readNotices(body); err == nil {
-		a.noticed(all)
+// RecordNotices records notices that a real agent acknowledged in place of this one.
+func (a *Agent) RecordNotices(body []byte) {
+	if notices, err := parseNotices(body); err == nil {
+		a.recordNotices(notices)
 	}
 }
 
-// Begin has the relay hold what the agent has, from its configuration.
-func (a *Agent) Begin() {
+// RecordInitialList records that the relay holds the agent's present list, from its configuration.
+func (a *Agent) RecordInitialList() {
 	a.mu.Lock()
-	l := a.after(0)
+	l := a.changesSince(0)
 	a.mu.Unlock()
 	if l != nil {
-		a.told(l)
+		a.recordList(l)
 	}
 }
 
-// members serves the list and its watch.
-func (a *Agent) members(w http.ResponseWriter, r *http.Request) {
+// handleMembers serves the list, once or as a stream of changes.
+func (a *Agent) handleMembers(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	version, err := strconv.ParseInt(q.Get("index"), 10, 64)
 	if q.Get("index") != "" && err != nil {
 		http.Error(w, "bad index", http.StatusBadRequest)
 		return
 	}
-	out := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	watch := q.Get("stream") == "1"
 	if !watch {
 		version = -1
@@ -301,28 +307,28 @@
 	first := true
 	for {
 		a.mu.Lock()
-		l, silent, changed := a.after(version), a.silent, a.changed
+		l, silent, changed := a.changesSince(version), a.silent, a.changed
 		if l != nil && !watch && !l.Full {
-			l = a.after(0)
+			l = a.changesSince(0)
 		}
 		a.mu.Unlock()
 		if !silent {
 			var line []byte
 			if l != nil {
-				line, _ = json.Marshal(l) // plain values alone
+				line, _ = json.Marshal(l) // cannot fail: only plain values
 			}
-			// A list that is on its way counts as told from when it was written.
+			// The list counts as received by the relay from when it was written.
 			if l != nil || !first {
 				if _, err := w.Write(append(line, '\n')); err != nil {
 					return
 				}
 			}
-			if out.Flush() != nil {
+			if controller.Flush() != nil {
 				return
 			}
 			if l != nil {
 				version = l.Version
-				a.told(l)
+				a.recordList(l)
 			}
 			if !watch {
 				return
@@ -338,45 +344,45 @@
 	}
 }
 
-// noticeLine is a notice.
+// noticeLine is a notice, one line of a request body.
 type noticeLine struct {
 	ID      string   `json:"id"`
 	Status  string   `json:"status"`
 	AgainMS *float64 `json:"again_ms"`
 }
 
-func readNotices(body []byte) (all []noticeLine, err error) {
+func parseNotices(body []byte) (all []noticeLine, err error) {
 	for rows := bufio.NewScanner(bytes.NewReader(body)); rows.Scan(); {
 		var x noticeLine
 		if err := json.Unmarshal(rows.Bytes(), &x); err != nil || x.ID == "" || (x.Status != "undeliverable" && x.Status != "deferred") {
-			return nil, errors.New("unreadable")
+			return nil, errors.New("malformed notice")
 		}
 		all = append(all, x)
 	}
 	return all, nil
 }
 
-// noticed puts notices down that were answered for.
-func (a *Agent) noticed(all []noticeLine) {
-	events := make([]history.Event, len(all))
-	for i, x := range all {
+// recordNotices records notices that were acknowledged and reports them to the client.
+func (a *Agent) recordNotices(notices []noticeLine) {
+	events := make([]history.Event, len(notices))
+	for i, x := range notices {
 		events[i] = history.Event{Kind: history.Notice, Relay: a.relay, ID: x.ID, End: x.Status}
 		if x.AgainMS != nil {
-			events[i].Again = int64(*x.AgainMS * 1000)
+			events[i].RetryAfter = int64(*x.AgainMS * 1000)
 		}
 	}
-	a.rec.AddAll(events)
-	for i, x := range all {
-		a.notice(x.ID, x.Status, time.Duration(events[i].Again)*time.Microsecond)
+	a.recorder.AddAll(events)
+	for i, x := range notices {
+		a.onNotice(x.ID, x.Status, time.Duration(events[i].RetryAfter)*time.Microsecond)
 	}
 }
 
-// finals takes notices.
-func (a *Agent) finals(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, noticesMost))
-	var all []noticeLine
+// handleNotices accepts notices from the relay.
+func (a *Agent) handleNotices(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxNoticeBytes))
+	var notices []noticeLine
 	if err == nil {
-		all, err = readNotices(body)
+		notices, err = parseNotices(body)
 	}
 	if err != nil {
 		http.Error(w, "unreadable", http.StatusBadRequest)
@@ -386,5 +392,5 @@
 	if err := http.NewResponseController(w).Flush(); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return
 	}
-	a.noticed(all)
+	a.recordNotices(notices)
 }
