--- a/internal/trial/stand/client.go
+++ b/internal/trial/stand/client.go
@@ -18,50 +18,52 @@
 	"wallflow/internal/trial/load"
 )
 
-const awayPause = 50 * time.Millisecond // before a client connects again to a relay that is not there
+const reconnectDelay = 50 * time.Millisecond // until a client tries again to reach a relay that is down
 
 // Arrival is one message that a client wants delivered.
 type Arrival struct {
-	At       time.Duration // from when the load begins
+	At       time.Duration // since the start of the load
 	Relay    int
 	Class    *load.Class
 	Customer string
 	Dest     int
 	Body     int // bytes
-	Number   int // among all of the trial
+	Number   int // sequence number within the trial
 }
 
-// Client is the process that a relay is beside.
+// Client is a fake of the client process that submits messages to one relay.
 type Client struct {
-	relay string
-	load  *load.Load
-	rec   *history.Recorder
-	addr  func() string // where its relay listens now; empty: nowhere
-	ran   func(id string) bool
-	http  *http.Client
+	relay      string
+	load       *load.Load
+	recorder   *history.Recorder
+	addr       func() string // the relay's present address; empty if it is down
+	mayHaveRun func(id string) bool
+	http       *http.Client
 
-	mu   sync.Mutex
-	rng  *rand.Rand
-	open map[string]*pending // by the id under which it was handed in last
-	wg   sync.WaitGroup
+	mu        sync.Mutex
+	rng       *rand.Rand
+	submitted map[string]*pending // unfinished messages by the id of their last submission
+	wg        sync.WaitGroup
 
 	closed bool
 }
 
-// pending is a message that may come again.
+// pending is a message that may be submitted again.
 type pending struct {
-	a       Arrival
-	first   string
-	expires time.Time
-	tries   int // hand-ins so far
-	retries int // after refusals
-	key     string
+	arrival     Arrival
+	firstID     string
+	expires     time.Time
+	submissions int // so far
+	retries     int // after refusals
+	key         string
 }
 
-// NewClient returns a client. ran tells whether a message under an id may have taken effect.
-func NewClient(relay string, l *load.Load, rec *history.Recorder, seed uint64, addr func() string, ran func(id string) bool) *Client {
+// NewClient returns a client. mayHaveRun reports whether the message with an id may have been processed by an endpoint.
+func NewClient(relay string, l *load.Load, recorder *history.Recorder, seed uint64, addr func() string,
+	mayHaveRun func(id string) bool) *Client {
 	return &Client{
-		relay: relay, load: l, rec: rec, addr: addr, ran: ran, rng: rand.New(rand.NewPCG(seed, 0x636c69)), open: map[string]*pending{},
+		relay: relay, load: l, recorder: recorder, addr: addr, mayHaveRun: mayHaveRun, rng: rand.New(rand.NewPCG(seed, 0x636c69)),
+		submitted: map[string]*pending{},
 		http: &http.Client{Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: l.Clients.AnswerIn.Duration}).DialContext,
 			MaxIdleConnsPerHost: 64, DisableCompression: true,
@@ -69,16 +71,19 @@
 	}
 }
 
-// HandIn hands a message in, and follows it until it needs the client no more or ctx ends.
-func (c *Client) HandIn(ctx context.Context, a Arrival) {
-	p := &pending{a: a, first: fmt.Sprintf("%08x%04x", a.Number, 0), expires: time.Now().Add(a.Class.GiveUp.Duration), key: fmt.Sprintf("k%08x", a.Number)}
-	c.rec.Add(history.Event{Kind: history.Want, Relay: c.relay, First: p.first, Class: a.Class.Name, Customer: a.Customer, Dest: a.Dest,
+// Submit submits a message in the background and repeats that as a client does, until the message needs no more
+// submissions or ctx ends.
+func (c *Client) Submit(ctx context.Context, a Arrival) {
+	p := &pending{arrival: a, firstID: fmt.Sprintf("%08x%04x", a.Number, 0), expires: time.Now().Add(a.Class.GiveUp.Duration),
+		key: fmt.Sprintf("k%08x", a.Number)}
+	c.recorder.Add(history.Event{Kind: history.Want, Relay: c.relay, FirstID: p.firstID, Class: a.Class.Name, Customer: a.Customer,
+		Dest:    a.Dest,
 		Expires: a.Class.GiveUp.Microseconds()})
-	c.start(func() { c.follow(ctx, p, "") })
+	c.startTracked(func() { c.submitUntilAccepted(ctx, p, "") })
 }
 
-// start runs work in a goroutine that Wait waits for; none is started once Wait was called.
-func (c *Client) start(work func()) {
+// startTracked runs work in a goroutine that Wait waits for. After Wait was called, it starts nothing.
+func (c *Client) startTracked(work func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.closed {
@@ -86,7 +91,7 @@
 	}
 }
 
-// Wait returns once no hand-in is under way; no further one begins.
+// Wait waits for submissions in progress and prevents further ones.
 func (c *Client) Wait() {
 	c.mu.Lock()
 	c.closed = true
@@ -95,39 +100,39 @@
 	c.http.CloseIdleConnections()
 }
 
-// Noticed tells the client of a message's end by a notice.
-func (c *Client) Noticed(ctx context.Context, id, end string, again time.Duration) {
+// HandleNotice tells the client that a message has ended by a notice. A deferred message is submitted again later.
+func (c *Client) HandleNotice(ctx context.Context, id, end string, retryAfter time.Duration) {
 	c.mu.Lock()
-	p := c.open[id]
-	delete(c.open, id)
+	p := c.submitted[id]
+	delete(c.submitted, id)
 	c.mu.Unlock()
 	if p == nil || end != "deferred" || ctx.Err() != nil {
 		return
 	}
-	c.start(func() {
-		if c.later(ctx, p, again) {
-			c.follow(ctx, p, "1")
+	c.startTracked(func() {
+		if c.waitForRetry(ctx, p, retryAfter) {
+			c.submitUntilAccepted(ctx, p, "1")
 		}
 	})
 }
 
-// later waits as a client does after a refusal; false if it gives up.
-func (c *Client) later(ctx context.Context, p *pending, told time.Duration) bool {
+// waitForRetry waits before the next submission after a refusal, and returns false if the client gives up.
+func (c *Client) waitForRetry(ctx context.Context, p *pending, advised time.Duration) bool {
 	c.mu.Lock()
 	if p.retries >= c.load.Clients.Retries {
 		c.mu.Unlock()
 		return false
 	}
-	wait := within(c.rng, c.load.Clients.Wait) << p.retries
-	if told > 0 && c.rng.Float64() < c.load.Clients.Heed.Of1 {
-		wait = told
+	wait := drawSpan(c.rng, c.load.Clients.Wait) << p.retries
+	if advised > 0 && c.rng.Float64() < c.load.Clients.Heed.Of1 {
+		wait = advised
 	}
 	p.retries++
 	c.mu.Unlock()
 	return c.sleep(ctx, p, wait)
 }
 
-// sleep waits; false if the message's time is up first.
+// sleep waits for d, and returns false if the message expires first.
 func (c *Client) sleep(ctx context.Context, p *pending, d time.Duration) bool {
 	if time.Until(p.expires) <= d {
 		return false
@@ -140,30 +145,31 @@
 	}
 }
 
-// follow hands a message in until a relay has taken it on, or there is no more to be done.
-func (c *Client) follow(ctx context.Context, p *pending, try string) {
+// submitUntilAccepted submits a message until a relay has accepted it or the client gives up. try is the value of the
+// X-Second-Try header of the first submission.
+func (c *Client) submitUntilAccepted(ctx context.Context, p *pending, try string) {
 	for ctx.Err() == nil {
-		id, status, again, note := c.hand(ctx, p, try)
+		id, status, retryAfter, reason := c.submitOnce(ctx, p, try)
 		switch {
-		case note == "away":
-			if !c.sleep(ctx, p, awayPause) {
+		case reason == "away":
+			if !c.sleep(ctx, p, reconnectDelay) {
 				return
 			}
 		case status == http.StatusOK || status == http.StatusAccepted:
 			return
 		case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
-			if !c.later(ctx, p, again) {
+			if !c.waitForRetry(ctx, p, retryAfter) {
 				return
 			}
 			try = "1"
-		case status != 0 || note == "left":
+		case status != 0 || reason == "left":
 			return
 		default: // no answer
-			if p.a.Class.Effect == "unsafe" && c.ran(id) {
+			if p.arrival.Class.Effect == "unsafe" && c.mayHaveRun(id) {
 				return
 			}
 			c.mu.Lock()
-			wait := within(c.rng, c.load.Clients.Again)
+			wait := drawSpan(c.rng, c.load.Clients.Again)
 			c.mu.Unlock()
 			if !c.sleep(ctx, p, wait) {
 				return
@@ -173,25 +179,27 @@
 	}
 }
 
-// hand hands a message in once. note tells why there is no status.
-func (c *Client) hand(ctx context.Context, p *pending, try string) (id string, status int, again time.Duration, note string) {
+// submitOnce submits a message once. try is the value of the X-Second-Try header. reason explains why there is no status:
+// the relay is down (away), the client has disconnected (left) or its timeout has passed (timeout), or the relay has closed
+// the connection (closed).
+func (c *Client) submitOnce(ctx context.Context, p *pending, try string) (id string, status int, retryAfter time.Duration, reason string) {
 	addr := c.addr()
 	if addr == "" {
 		return "", 0, 0, "away"
 	}
 	c.mu.Lock()
-	leave := c.rng.Float64() < c.load.Clients.Leave.Of1
-	stay := time.Duration(c.rng.Float64() * float64(5*time.Millisecond))
+	leavesEarly := c.rng.Float64() < c.load.Clients.Leave.Of1
+	leaveAfter := time.Duration(c.rng.Float64() * float64(5*time.Millisecond))
 	c.mu.Unlock()
-	id = fmt.Sprintf("%08x%04x", p.a.Number, p.tries)
-	p.tries++
-	left := time.Until(p.expires)
-	if left <= 0 {
+	id = fmt.Sprintf("%08x%04x", p.arrival.Number, p.submissions)
+	p.submissions++
+	remaining := time.Until(p.expires)
+	if remaining <= 0 {
 		return id, 0, 0, "left"
 	}
-	patience := c.load.Clients.AnswerIn.Duration
-	if leave {
-		patience = stay
+	answerTimeout := c.load.Clients.AnswerIn.Duration
+	if leavesEarly {
+		answerTimeout = leaveAfter
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -204,25 +212,27 @@
 		once.Do(func() {
 			sent = true
 			c.mu.Lock()
-			c.open[id] = p
+			c.submitted[id] = p
 			c.mu.Unlock()
-			c.rec.Add(history.Event{Kind: history.Hand, Relay: c.relay, ID: id, First: p.first, Try: try, Class: p.a.Class.Name, Customer: p.a.Customer,
-				Dest: p.a.Dest, Expires: left.Microseconds()})
-			time.AfterFunc(patience, func() { cancel(errPatience) })
+			c.recorder.Add(history.Event{Kind: history.Submit, Relay: c.relay, ID: id, FirstID: p.firstID, Try: try, Class: p.arrival.Class.Name,
+				Customer: p.arrival.Customer,
+				Dest:     p.arrival.Dest, Expires: remaining.Microseconds()})
+			time.AfterFunc(answerTimeout, func() { cancel(errAnswerTimeout) })
 		})
 	}})
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/"+p.a.Class.Name, bytes.NewReader(make([]byte, p.a.Body)))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/"+p.arrival.Class.Name,
+		bytes.NewReader(make([]byte, p.arrival.Body)))
 	if err != nil {
 		return id, 0, 0, "away"
 	}
 	h := req.Header
 	h.Set("X-Trace-Id", id)
-	h.Set("X-Qos", p.a.Class.Name)
-	h.Set("X-Customer", p.a.Customer)
-	h.Set("X-Expires-In-Ms", strconv.FormatInt(left.Milliseconds(), 10))
-	h.Set("Envelope", "dest="+strconv.Itoa(p.a.Dest))
-	if p.a.Class.Effect == "keyed" {
-		// Written this way the library takes the request for one that it may not send again of itself.
+	h.Set("X-Qos", p.arrival.Class.Name)
+	h.Set("X-Customer", p.arrival.Customer)
+	h.Set("X-Expires-In-Ms", strconv.FormatInt(remaining.Milliseconds(), 10))
+	h.Set("Envelope", "dest="+strconv.Itoa(p.arrival.Dest))
+	if p.arrival.Class.Effect == "keyed" {
+		// net/http repeats requests with the canonical header Idempotency-Key by itself; this spelling avoids that.
 		h["idempotency-key"] = []string{p.key}
 	}
 	if try != "" {
@@ -233,7 +243,8 @@
 		_, err = io.Copy(io.Discard, res.Body)
 		res.Body.Close()
 	}
-	// The hook runs in a goroutine of the library's; what it left is read once it cannot run any more.
+	// The trace hook runs in a goroutine of net/http. After this call it cannot run any more, so that reading sent is
+	// safe.
 	once.Do(func() {})
 	answer := history.Event{Kind: history.Answer, Relay: c.relay, ID: id}
 	switch {
@@ -241,9 +252,9 @@
 		return id, 0, 0, "away"
 	case err != nil:
 		answer.Note = "closed"
-		if errors.Is(context.Cause(ctx), errPatience) {
+		if errors.Is(context.Cause(ctx), errAnswerTimeout) {
 			answer.Note = "timeout"
-			if leave {
+			if leavesEarly {
 				answer.Note = "left"
 			}
 		} else if ctx.Err() != nil {
@@ -252,23 +263,23 @@
 		c.forget(id)
 	default:
 		answer.Status = res.StatusCode
-		answer.Policy, _ = strconv.ParseInt(res.Header.Get("X-Policy"), 10, 64) // none: 0
+		answer.Policy, _ = strconv.ParseInt(res.Header.Get("X-Policy"), 10, 64) // 0 if there is none
 		if s, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); err == nil && s > 0 {
-			again = time.Duration(s * float64(time.Second))
-			answer.Again = again.Microseconds()
+			retryAfter = time.Duration(s * float64(time.Second))
+			answer.RetryAfter = retryAfter.Microseconds()
 		}
 		if res.StatusCode != http.StatusAccepted && res.StatusCode != http.StatusOK {
 			c.forget(id)
 		}
 	}
-	c.rec.Add(answer)
-	return id, answer.Status, again, answer.Note
+	c.recorder.Add(answer)
+	return id, answer.Status, retryAfter, answer.Note
 }
 
-var errPatience = errors.New("patience ran out")
+var errAnswerTimeout = errors.New("no answer within the client's timeout")
 
 func (c *Client) forget(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.open, id)
+	delete(c.submitted, id)
 }
--- a/internal/trial/stand/endpoint.go
+++ b/internal/trial/stand/endpoint.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	bodyMost   = 64 << 10
-	bundleMost = 1 << 20
-	queueLook  = 5 * time.Millisecond
-	workSpread = 0.5 // of the logarithm of a message's work
+	maxBodyBytes      = 64 << 10
+	maxBundleBytes    = 1 << 20
+	queuePollInterval = 5 * time.Millisecond
+	workLogSpread     = 0.5 // standard deviation of the logarithm of the processing time
 )
 
-// Mode is what an endpoint does beside its work.
+// Mode is the faulty behavior of an endpoint.
 type Mode struct {
-	Hung     bool      // takes calls and does not answer
-	Slow     float64   // times as long; 0: as usual
-	Errors   float64   // share of calls answered 500, beside the usual ones
-	Shut     time.Time // refuses until then
-	Reset    bool      // breaks the connection once the last byte has come
-	Nonsense bool      // answers what cannot be read
+	Hang             bool      // accepts calls and does not answer
+	SlowFactor       float64   // multiplies the processing time; 0: as usual
+	ErrorShare       float64   // share of calls answered 500, on top of the usual share
+	UnavailableUntil time.Time // refuses all calls until then
+	ResetConnections bool      // resets the connection after the last byte of a request
+	Malformed        bool      // answers with a body that cannot be parsed
 }
 
 // Endpoint is one endpoint of a partner.
@@ -41,86 +41,86 @@
 	Cell     int
 	Kind     *load.Kind
 
-	gate   *gate
-	rec    *history.Recorder
-	number func() int // of calls, over all endpoints
-	work   time.Duration
-	weight float64
-	door   *door
-	server *http.Server
-	served sync.WaitGroup
-	fell   func() // called once, when its partner falls over
+	limiter        *limiter
+	recorder       *history.Recorder
+	nextCallNumber func() int // numbers calls over all endpoints
+	work           time.Duration
+	weight         float64
+	listener       *pipeListener
+	server         *http.Server
+	served         sync.WaitGroup
+	onCollapse     func() // called when its partner collapses under overload
 
-	mu   sync.Mutex
-	mode Mode
-	open int
-	rng  *rand.Rand
+	mu        sync.Mutex
+	mode      Mode
+	openConns int
+	rng       *rand.Rand
 }
 
 // newEndpoint starts an endpoint.
 func newEndpoint(e *Endpoint, seed uint64) *Endpoint {
 	e.rng = rand.New(rand.NewPCG(seed, 0x656e64))
-	e.door = newDoor()
+	e.listener = newPipeListener()
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /events", e.single)
-	mux.HandleFunc("POST /events/bundle", e.bundle)
+	mux.HandleFunc("POST /events", e.handleSingle)
+	mux.HandleFunc("POST /events/bundle", e.handleBundle)
 	e.server = &http.Server{Handler: mux, ConnContext: connContext, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)}
-	e.served.Go(func() { e.server.Serve(e.door) })
+	e.served.Go(func() { e.server.Serve(e.listener) })
 	return e
 }
 
-// Dial opens a connection from a relay.
+// Dial returns the function by which the link of a relay connects to the endpoint.
 func (e *Endpoint) Dial(relay string) func(ctx context.Context) (net.Conn, error) {
 	return func(ctx context.Context) (net.Conn, error) {
 		e.mu.Lock()
-		e.open++
-		over := e.Kind.Conns > 0 && e.open > e.Kind.Conns
+		e.openConns++
+		overLimit := e.Kind.Conns > 0 && e.openConns > e.Kind.Conns
 		e.mu.Unlock()
-		c, err := e.door.dial(ctx, &wire{relay: relay, over: over}, e.left)
+		c, err := e.listener.dial(ctx, &relayConn{relay: relay, overLimit: overLimit}, e.connectionClosed)
 		if err != nil {
-			e.left()
+			e.connectionClosed()
 		}
 		return c, err
 	}
 }
 
-func (e *Endpoint) left() {
+func (e *Endpoint) connectionClosed() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.open--
+	e.openConns--
 }
 
-// Set changes what the endpoint does.
+// Set changes the endpoint's mode.
 func (e *Endpoint) Set(edit func(*Mode)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	edit(&e.mode)
 }
 
-// Returned has the endpoint start cold, after an outage.
-func (e *Endpoint) Returned() { e.gate.cold(time.Now()) }
+// StartCold makes the endpoint's capacity start low, as after an outage.
+func (e *Endpoint) StartCold() { e.limiter.startCold(time.Now()) }
 
-// Lower sets its limit, or its partner's, to a share of the usual.
-func (e *Endpoint) Lower(share float64) { e.gate.lower(share) }
+// LowerLimit sets the rate limit of the endpoint, or of its partner if they share one, to a share of the usual.
+func (e *Endpoint) LowerLimit(share float64) { e.limiter.setLimitShare(share) }
 
-// Weight is the limit that the list tells, in calls a second.
+// Weight returns the limit that the list announces, in calls per second.
 func (e *Endpoint) Weight() float64 { return e.weight }
 
-// Close ends the endpoint and its connections.
+// Close stops the endpoint and closes its connections.
 func (e *Endpoint) Close() {
 	e.server.Close()
 	e.served.Wait()
 }
 
-func (e *Endpoint) now() (Mode, float64, float64) {
+func (e *Endpoint) drawBehavior() (Mode, float64, float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.mode, e.rng.Float64(), e.rng.NormFloat64()
 }
 
-// single is a call with one message.
-func (e *Endpoint) single(w http.ResponseWriter, r *http.Request) {
-	if _, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost)); err != nil {
+// handleSingle handles a call with one message.
+func (e *Endpoint) handleSingle(w http.ResponseWriter, r *http.Request) {
+	if _, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
 		http.Error(w, "body unreadable", http.StatusBadRequest)
 		return
 	}
@@ -129,17 +129,17 @@
 		http.Error(w, "no X-Trace-Id", http.StatusBadRequest)
 		return
 	}
-	e.call(w, r, []string{id}, false)
+	e.handleCall(w, r, []string{id}, false)
 }
 
-// bundle is a call with several.
-func (e *Endpoint) bundle(w http.ResponseWriter, r *http.Request) {
+// handleBundle handles a call with several messages.
+func (e *Endpoint) handleBundle(w http.ResponseWriter, r *http.Request) {
 	var items []struct {
 		ID   string `json:"id"`
 		Key  string `json:"key"`
 		Body []byte `json:"body"`
 	}
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, bundleMost)).Decode(&items); err != nil || len(items) == 0 {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBundleBytes)).Decode(&items); err != nil || len(items) == 0 {
 		http.Error(w, "body unreadable or empty", http.StatusBadRequest)
 		return
 	}
@@ -156,130 +156,131 @@
 		}
 		seen[x.ID], ids[i] = true, x.ID
 	}
-	e.call(w, r, ids, true)
+	e.handleCall(w, r, ids, true)
 }
 
-// call is one call: its messages are put down as it comes, and again with how it ended.
-func (e *Endpoint) call(w http.ResponseWriter, r *http.Request, ids []string, many bool) {
-	c := wireOf(r)
-	began, sent := c.times()
-	n := e.number()
+// handleCall processes one call. It records each message of the call when it arrives and again with its outcome.
+func (e *Endpoint) handleCall(w http.ResponseWriter, r *http.Request, ids []string, bundled bool) {
+	c := connOf(r)
+	began, sent := c.requestTimes()
+	n := e.nextCallNumber()
 	events := make([]history.Event, len(ids))
 	for i, id := range ids {
 		events[i] = history.Event{Kind: history.Call, Relay: c.relay, ID: id, Number: n, Endpoint: e.ID, Zone: e.Zone,
-			Began: e.rec.Stamp(began), Sent: e.rec.Stamp(sent)}
+			Began: e.recorder.Stamp(began), Sent: e.recorder.Stamp(sent)}
 	}
-	e.rec.AddAll(events)
-	ended := func(outcome string, wait time.Duration) {
+	e.recorder.AddAll(events)
+	recordReply := func(outcome string, wait time.Duration) {
 		for i := range events {
 			x := &events[i]
 			x.Kind, x.Outcome, x.Wait = history.Reply, outcome, wait.Microseconds()
 		}
-		e.rec.AddAll(events)
+		e.recorder.AddAll(events)
 		if wait > 0 {
-			heard := events[0]
-			heard.Kind, heard.ID, heard.Outcome = history.Heard, "", ""
-			c.whenHeard(func(ago time.Duration) {
-				heard.Took = ago.Microseconds()
-				e.rec.Add(heard)
+			delivered := events[0]
+			delivered.Kind, delivered.ID, delivered.Outcome = history.WaitDelivered, "", ""
+			c.onDelivered(func(ago time.Duration) {
+				delivered.Duration = ago.Microseconds()
+				e.recorder.Add(delivered)
 			})
 		}
 	}
-	if c.over {
+	if c.overLimit {
 		w.Header().Set("Connection", "close")
-		e.answer(w, http.StatusServiceUnavailable, 0, nil, ended)
+		e.writeAnswer(w, http.StatusServiceUnavailable, 0, nil, recordReply)
 		return
 	}
-	mode, chance, spread := e.now()
-	if mode.Reset {
+	mode, uniform, normal := e.drawBehavior()
+	if mode.ResetConnections {
 		c.mu.Lock()
 		c.reset = true
 		c.mu.Unlock()
-		ended(history.Broken, 0)
+		recordReply(history.ConnectionLost, 0)
 		panic(http.ErrAbortHandler)
 	}
-	if mode.Hung {
+	if mode.Hang {
 		<-r.Context().Done()
-		ended(history.Broken, 0)
+		recordReply(history.ConnectionLost, 0)
 		return
 	}
 	now := time.Now()
-	if now.Before(mode.Shut) {
-		if chance < e.Kind.Tells.Of1 {
-			e.answer(w, http.StatusTooManyRequests, mode.Shut.Sub(now), nil, ended)
+	if now.Before(mode.UnavailableUntil) {
+		if uniform < e.Kind.Tells.Of1 {
+			e.writeAnswer(w, http.StatusTooManyRequests, mode.UnavailableUntil.Sub(now), nil, recordReply)
 		} else {
-			e.answer(w, http.StatusServiceUnavailable, 0, nil, ended)
+			e.writeAnswer(w, http.StatusServiceUnavailable, 0, nil, recordReply)
 		}
 		return
 	}
-	if ok, wait := e.gate.admit(now); !ok {
+	if ok, wait := e.limiter.admit(now); !ok {
 		status := http.StatusServiceUnavailable
 		if wait > 0 {
 			status = http.StatusTooManyRequests
 		}
-		e.answer(w, status, wait, nil, ended)
+		e.writeAnswer(w, status, wait, nil, recordReply)
 		return
 	}
-	ok, wait, fell := e.gate.enter(now)
-	if fell {
-		e.fell()
+	ok, queued, collapsed := e.limiter.acquire(now)
+	if collapsed {
+		e.onCollapse()
 	}
 	if !ok {
-		e.answer(w, http.StatusServiceUnavailable, 0, nil, ended)
+		e.writeAnswer(w, http.StatusServiceUnavailable, 0, nil, recordReply)
 		return
 	}
-	for wait && !e.gate.promote(time.Now()) {
+	for queued && !e.limiter.startQueued(time.Now()) {
 		select {
-		case <-time.After(queueLook):
+		case <-time.After(queuePollInterval):
 		case <-r.Context().Done():
-			e.gate.abandon()
-			ended(history.Broken, 0)
+			e.limiter.leaveQueue()
+			recordReply(history.ConnectionLost, 0)
 			return
 		}
 	}
-	work := float64(e.work) * math.Exp(workSpread*spread-workSpread*workSpread/2) * (1 + e.Kind.Item.Of1*float64(len(ids)-1))
-	if mode.Slow > 0 {
-		work *= mode.Slow
+	work := float64(e.work) * math.Exp(workLogSpread*normal-workLogSpread*workLogSpread/2) * (1 + e.Kind.Item.Of1*float64(len(ids)-1))
+	if mode.SlowFactor > 0 {
+		work *= mode.SlowFactor
 	}
 	select {
 	case <-time.After(time.Duration(work)):
-		e.gate.leave()
-	case <-r.Context().Done(): // it runs on: calls that are called off do
-		left := time.Duration(work) - time.Since(now)
-		time.AfterFunc(max(0, left), e.gate.leave)
-		ended(history.Broken, 0)
+		e.limiter.release()
+	case <-r.Context().Done(): // a canceled call is still processed
+		remaining := time.Duration(work) - time.Since(now)
+		time.AfterFunc(max(0, remaining), e.limiter.release)
+		recordReply(history.ConnectionLost, 0)
 		return
 	}
 	switch {
-	case chance < e.Kind.Errors.Of1+mode.Errors:
-		e.answer(w, http.StatusInternalServerError, 0, nil, ended)
-	case mode.Nonsense && many:
-		e.answer(w, http.StatusOK, 0, []byte(`[{"id":"`), func(string, time.Duration) { ended(history.Error, 0) })
-	case many:
-		body, _ := json.Marshal(states(ids)) // strings alone
-		e.answer(w, http.StatusOK, 0, body, ended)
+	case uniform < e.Kind.Errors.Of1+mode.ErrorShare:
+		e.writeAnswer(w, http.StatusInternalServerError, 0, nil, recordReply)
+	case mode.Malformed && bundled:
+		e.writeAnswer(w, http.StatusOK, 0, []byte(`[{"id":"`), func(string, time.Duration) { recordReply(history.Error, 0) })
+	case bundled:
+		body, _ := json.Marshal(bundleStates(ids)) // cannot fail: only strings
+		e.writeAnswer(w, http.StatusOK, 0, body, recordReply)
 	default:
-		e.answer(w, http.StatusOK, 0, []byte("ok"), ended)
+		e.writeAnswer(w, http.StatusOK, 0, []byte("ok"), recordReply)
 	}
 }
 
-type state struct {
+type bundleState struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
 }
 
-func states(ids []string) []state {
-	all := make([]state, len(ids))
+func bundleStates(ids []string) []bundleState {
+	all := make([]bundleState, len(ids))
 	for i, id := range ids {
-		all[i] = state{id, "ok"}
+		all[i] = bundleState{id, "ok"}
 	}
 	return all
 }
 
-// answer writes an answer and, once it is written, puts down the outcome.
-func (e *Endpoint) answer(w http.ResponseWriter, status int, wait time.Duration, body []byte, ended func(string, time.Duration)) {
-	left, limit := e.gate.report()
-	w.Header().Set("Endpoint-Load-Metrics", fmt.Sprintf("TEXT x0=%.3f, x1=%.3f", left, limit))
+// writeAnswer writes an answer and then records the outcome.
+func (e *Endpoint) writeAnswer(w http.ResponseWriter, status int, wait time.Duration, body []byte,
+	recordReply func(string, time.Duration)) {
+	remaining, limit := e.limiter.reportedLoad()
+	w.Header().Set("Endpoint-Load-Metrics", fmt.Sprintf("TEXT x0=%.3f, x1=%.3f", remaining, limit))
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if wait > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
@@ -293,11 +294,11 @@
 	outcome := history.Refused
 	switch {
 	case err != nil:
-		outcome, wait = history.Broken, 0
+		outcome, wait = history.ConnectionLost, 0
 	case status == http.StatusOK:
 		outcome = history.OK
 	case status == http.StatusInternalServerError:
 		outcome = history.Error
 	}
-	ended(outcome, wait)
+	recordReply(outcome, wait)
 }
--- a/internal/trial/stand/stand_test.go
+++ b/internal/trial/stand/stand_test.go
@@ -18,44 +18,44 @@
 	"wallflow/internal/units"
 )
 
-func span(ms int) load.Span {
+func fixedSpan(ms int) load.Span {
 	d := units.Duration{Duration: time.Duration(ms) * time.Millisecond}
 	return load.Span{Low: d, High: d}
 }
 
-// A plain rate lets through what it says, whatever is asked for; refusals tell a wait after which there is room.
-func TestAPlainRateHolds(t *testing.T) {
-	k := &load.Kind{Tells: units.Share{Of1: 1}, Wait: span(1), Report: span(10)}
-	g := newGate(k, 40, 1, 50*time.Millisecond, 1)
+// A token bucket keeps to its rate under overload, and a call is admitted after the wait that a refusal advised.
+func TestTokenBucketKeepsRate(t *testing.T) {
+	k := &load.Kind{Tells: units.Share{Of1: 1}, Wait: fixedSpan(1), Report: fixedSpan(10)}
+	l := newLimiter(k, 40, 1, 50*time.Millisecond, 1)
 	now := time.Unix(100, 0)
 	served := 0
-	for range 5000 { // 10 s, 500 calls a second
+	for range 5000 { // 10 s, 500 calls per second
 		now = now.Add(2 * time.Millisecond)
-		ok, wait := g.admit(now)
+		ok, wait := l.admit(now)
 		if ok {
 			served++
 		} else if wait <= 0 {
-			t.Fatal("a refusal that tells no wait")
+			t.Fatal("a refusal without an advised wait")
 		}
 	}
 	if served < 400 || served > 411 {
 		t.Errorf("%d calls in 10 s at 40 a second", served)
 	}
-	_, wait := g.admit(now)
-	if ok, _ := g.admit(now.Add(wait)); !ok {
-		t.Errorf("no room after the wait of %v that was told", wait)
+	_, wait := l.admit(now)
+	if ok, _ := l.admit(now.Add(wait)); !ok {
+		t.Errorf("refused after the advised wait of %v", wait)
 	}
 }
 
-// Where refused calls use the limit up, asking too often is not served at all.
-func TestRefusedCallsThatCount(t *testing.T) {
-	k := &load.Kind{Counted: true, Report: span(10)}
-	g := newGate(k, 40, 1, 50*time.Millisecond, 1)
+// If refused calls use up the limit, a client that calls far too often is not served at all.
+func TestRefusedCallsUseUpLimit(t *testing.T) {
+	k := &load.Kind{Counted: true, Report: fixedSpan(10)}
+	l := newLimiter(k, 40, 1, 50*time.Millisecond, 1)
 	now := time.Unix(100, 0)
 	served := 0
 	for i := range 5000 {
 		now = now.Add(2 * time.Millisecond)
-		if ok, _ := g.admit(now); ok && i > 500 {
+		if ok, _ := l.admit(now); ok && i > 500 {
 			served++
 		}
 	}
@@ -64,61 +64,62 @@
 	}
 }
 
-// A count in each span starts anew with the next.
-func TestACountInASpanHolds(t *testing.T) {
-	k := &load.Kind{Window: units.Duration{Duration: 500 * time.Millisecond}, Tells: units.Share{Of1: 1}, Wait: span(1), Report: span(0)}
-	g := newGate(k, 10, 1, 50*time.Millisecond, 1)
+// A counting window starts again after its end.
+func TestCountingWindowKeepsRate(t *testing.T) {
+	k := &load.Kind{Window: units.Duration{Duration: 500 * time.Millisecond}, Tells: units.Share{Of1: 1}, Wait: fixedSpan(1),
+		Report: fixedSpan(0)}
+	l := newLimiter(k, 10, 1, 50*time.Millisecond, 1)
 	now := time.Unix(100, 0)
 	for range 4 {
 		served := 0
 		for range 20 {
-			if ok, _ := g.admit(now); ok {
+			if ok, _ := l.admit(now); ok {
 				served++
 			}
 		}
-		_, wait := g.admit(now)
-		left, limit := g.report()
-		if served != 5 || limit != 10 || left != 0 {
-			t.Errorf("%d calls in half a second at 10 a second; told %v left of %v", served, left, limit)
+		_, wait := l.admit(now)
+		remaining, limit := l.reportedLoad()
+		if served != 5 || limit != 10 || remaining != 0 {
+			t.Errorf("%d calls in half a second at 10 a second; reported share left %v, limit %v", served, remaining, limit)
 		}
 		now = now.Add(wait + time.Millisecond)
 	}
 }
 
-// A partner that is back starts cold; sent far more than it can do, it falls over and stays down.
-func TestAColdPartnerFallsOver(t *testing.T) {
+// A partner starts cold after an outage. If it then receives far more than its capacity, it collapses and stays down.
+func TestColdPartnerCollapsesUnderOverload(t *testing.T) {
 	k := &load.Kind{ColdFrom: units.Share{Of1: 0.2}, ColdFor: units.Duration{Duration: 3 * time.Second}}
-	g := newGate(k, 20, 1, 50*time.Millisecond, 1)
+	l := newLimiter(k, 20, 1, 50*time.Millisecond, 1)
 	now := time.Unix(100, 0)
-	g.cold(now)
-	if w := g.warmth(now); w != 0.2 {
-		t.Errorf("it comes back at %v", w)
+	l.startCold(now)
+	if w := l.capacityShare(now); w != 0.2 {
+		t.Errorf("capacity share after the outage: %v", w)
 	}
-	if w := g.warmth(now.Add(1500 * time.Millisecond)); w < 0.59 || w > 0.61 {
-		t.Errorf("half way it is at %v", w)
+	if w := l.capacityShare(now.Add(1500 * time.Millisecond)); w < 0.59 || w > 0.61 {
+		t.Errorf("capacity share half way through the warm-up: %v", w)
 	}
-	fell := false
-	for i := 0; i < 200 && !fell; i++ {
-		now = now.Add(10 * time.Millisecond) // 100 a second at 20
-		var ok, wait bool
-		if ok, wait, fell = g.enter(now); ok && wait {
-			g.abandon()
+	collapsed := false
+	for i := 0; i < 200 && !collapsed; i++ {
+		now = now.Add(10 * time.Millisecond) // 100 calls per second at a limit of 20
+		var ok, queued bool
+		if ok, queued, collapsed = l.acquire(now); ok && queued {
+			l.leaveQueue()
 		} else if ok {
-			g.leave()
+			l.release()
 		}
 	}
-	if !fell {
-		t.Error("it took all")
+	if !collapsed {
+		t.Error("it did not collapse")
 	}
-	if ok, _, _ := g.enter(now.Add(time.Hour)); ok {
-		t.Error("it is up again")
+	if ok, _, _ := l.acquire(now.Add(time.Hour)); ok {
+		t.Error("it accepts calls after the collapse")
 	}
 }
 
-func newAgent(t *testing.T, noticed func(id, end string, again time.Duration)) (*Agent, *history.Recorder) {
+func newAgent(t *testing.T, noticed func(id, end string, retryAfter time.Duration)) (*Agent, *history.Recorder) {
 	t.Helper()
 	rec := history.NewRecorder(nil, history.Header{})
-	l := &load.Load{Agent: load.Agent{Notice: span(0), Renewal: units.Duration{Duration: 50 * time.Millisecond}}}
+	l := &load.Load{Agent: load.Agent{Notice: fixedSpan(0), Renewal: units.Duration{Duration: 50 * time.Millisecond}}}
 	a, err := NewAgent("n0", rec, l, 1, noticed)
 	if err != nil {
 		t.Fatal(err)
@@ -127,7 +128,7 @@
 	return a, rec
 }
 
-func get(t *testing.T, a *Agent, query string) *bufio.Scanner {
+func openWatch(t *testing.T, a *Agent, query string) *bufio.Scanner {
 	t.Helper()
 	res, err := http.Get("http://" + a.Addr() + "/catalog/members" + query)
 	if err != nil || res.StatusCode != http.StatusOK {
@@ -137,7 +138,7 @@
 	return bufio.NewScanner(res.Body)
 }
 
-func next(t *testing.T, in *bufio.Scanner) (l List) {
+func nextList(t *testing.T, in *bufio.Scanner) (l List) {
 	t.Helper()
 	for in.Scan() {
 		if strings.TrimSpace(in.Text()) != "" {
@@ -151,48 +152,48 @@
 	return l
 }
 
-func TestTheAgentTellsWhatChangedAndPutsItDown(t *testing.T) {
+func TestAgentSendsAndRecordsChanges(t *testing.T) {
 	a, rec := newAgent(t, nil)
-	a.Have(1, Entry{ID: "s-1", State: "ready", Cell: 3}, Entry{ID: "s-2", State: "ready", Cell: 4})
-	if l := next(t, get(t, a, "")); !l.Full || l.Version != 1 || len(l.Servers) != 2 {
+	a.Receive(1, Entry{ID: "s-1", State: "ready", Cell: 3}, Entry{ID: "s-2", State: "ready", Cell: 4})
+	if l := nextList(t, openWatch(t, a, "")); !l.Full || l.Version != 1 || len(l.Servers) != 2 {
 		t.Errorf("%+v", l)
 	}
-	w := get(t, a, "?stream=1&index=1")
-	a.Have(2, Entry{ID: "s-1", State: "draining", Cell: 3})
-	a.Have(3, Entry{ID: "s-1", State: "gone", Cell: 3})
+	w := openWatch(t, a, "?stream=1&index=1")
+	a.Receive(2, Entry{ID: "s-1", State: "draining", Cell: 3})
+	a.Receive(3, Entry{ID: "s-1", State: "gone", Cell: 3})
 	for v := int64(1); v < 3; {
-		l := next(t, w)
+		l := nextList(t, w)
 		if l.Full || l.Version <= v {
 			t.Errorf("%+v after version %d", l, v)
 		}
 		v = l.Version
 	}
-	if l := next(t, get(t, a, "?stream=1&index=9")); !l.Full || len(l.Servers) != 1 {
-		t.Errorf("a version that is not there yet: %+v", l)
+	if l := nextList(t, openWatch(t, a, "?stream=1&index=9")); !l.Full || len(l.Servers) != 1 {
+		t.Errorf("a version that does not exist yet: %+v", l)
 	}
-	// What was told is put down just after it was written: the client may have read it before.
+	// The update is recorded just after it was written, so the client may have read it before.
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		last := ""
 		for _, e := range rec.Events() {
-			if e.Kind == history.Told && e.Endpoint == "s-1" {
+			if e.Kind == history.ListUpdate && e.Endpoint == "s-1" {
 				last = e.State
 			}
 		}
-		if known := a.Known(); last != "gone" || known.Version != 3 || len(known.Servers) != 1 {
+		if known := a.RelayList(); last != "gone" || known.Version != 3 || len(known.Servers) != 1 {
 			return poll.Continue("put down last: %q; known %+v", last, known)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(time.Millisecond))
 }
 
-func TestNoticesAreTakenWholeOrNotAtAll(t *testing.T) {
+func TestNoticesAreAcceptedAllOrNone(t *testing.T) {
 	type note struct {
 		id, end string
 		again   time.Duration
 	}
 	got := make(chan note, 8)
-	a, rec := newAgent(t, func(id, end string, again time.Duration) { got <- note{id, end, again} })
-	a.Silence(true) // notices are taken all the same
+	a, rec := newAgent(t, func(id, end string, retryAfter time.Duration) { got <- note{id, end, retryAfter} })
+	a.SetSilent(true) // notices are acknowledged all the same
 	post := func(body string) int {
 		t.Helper()
 		res, err := http.Post("http://"+a.Addr()+"/v2/finals", "application/json", strings.NewReader(body))
@@ -208,24 +209,27 @@
 	if x, y := <-got, <-got; x != (note{"m1", "undeliverable", 0}) || y != (note{"m2", "deferred", 500 * time.Millisecond}) {
 		t.Errorf("%+v %+v", x, y)
 	}
-	for _, bad := range []string{`{"id":"m3","status":"undeliverable"}` + "\n{", `{"id":"m3","status":"lost"}`, `{"status":"deferred"}`} {
-		if status := post(bad); status != 400 {
-			t.Errorf("%s: status %d", bad, status)
+	for _, malformed := range []string{`{"id":"m3","status":"undeliverable"}` + "\n{", `{"id":"m3","status":"lost"}`,
+		`{"status":"deferred"}`} {
+		if status := post(malformed); status != 400 {
+			t.Errorf("%s: status %d", malformed, status)
 		}
 	}
 	if n := len(rec.Events()); n != 2 {
-		t.Errorf("%d events are put down", n)
+		t.Errorf("%d events recorded, want 2", n)
 	}
 }
 
-// A wait is heard once the answer has come through to a relay that is still there; one that hung up before was not told.
-func TestAWaitIsHeardByWhoIsThere(t *testing.T) {
+// A wait counts as received once the answer has reached a relay that keeps the connection open, and not if the relay has
+// closed the connection before.
+func TestWaitIsRecordedOnlyIfReceived(t *testing.T) {
 	rec := history.NewRecorder(nil, history.Header{})
-	k := &load.Kind{Tells: units.Share{Of1: 1}, PerCall: 1, Report: span(1)}
+	k := &load.Kind{Tells: units.Share{Of1: 1}, PerCall: 1, Report: fixedSpan(1)}
 	calls := 0
-	e := newEndpoint(&Endpoint{ID: "s-0a", Kind: k, rec: rec, gate: newGate(k, 40, 1, time.Millisecond, 1), number: func() int { calls++; return calls }}, 1)
+	e := newEndpoint(&Endpoint{ID: "s-0a", Kind: k, recorder: rec, limiter: newLimiter(k, 40, 1, time.Millisecond, 1),
+		nextCallNumber: func() int { calls++; return calls }}, 1)
 	t.Cleanup(e.Close)
-	e.Set(func(m *Mode) { m.Shut = time.Now().Add(time.Minute) })
+	e.Set(func(m *Mode) { m.UnavailableUntil = time.Now().Add(time.Minute) })
 	link, err := fault.NewLink("n0>s-0a", "127.0.0.1", 1, fault.Faults{}, e.Dial("n0"))
 	if err != nil {
 		t.Fatal(err)
@@ -255,26 +259,26 @@
 		t.Helper()
 		for end := time.Now().Add(10 * time.Second); !is(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("never: " + what)
+				t.Fatal("timed out waiting for " + what)
 			}
 		}
 	}
-	link.Set(fault.Faults{From: fault.Way{Delay: time.Minute}}) // the answer is under way for longer than the relay stays
-	gone := call("m1")
-	until("the first call", func() bool { return count(history.Reply, 1) == 1 })
-	time.Sleep(2 * heardFor) // one that counted what was only written would have told it by now
-	gone.Close()
-	until("the end of the connection", func() bool { return link.Open() == 0 })
+	link.Set(fault.Faults{From: fault.Direction{Delay: time.Minute}}) // longer than the relay keeps the connection
+	closedConn := call("m1")
+	until("the first call to be recorded", func() bool { return count(history.Reply, 1) == 1 })
+	time.Sleep(2 * hangUpGrace) // counting from the write instead of the delivery would have recorded it by now
+	closedConn.Close()
+	until("the connection to be closed", func() bool { return link.Open() == 0 })
 	link.Set(fault.Faults{})
-	stays := call("m2")
-	until("a wait that is heard", func() bool { return count(history.Heard, 2) == 1 })
-	if n := count(history.Heard, 1); n != 0 {
-		t.Error("a relay that had hung up heard it")
+	openConn := call("m2")
+	until("the advised wait to be recorded", func() bool { return count(history.WaitDelivered, 2) == 1 })
+	if n := count(history.WaitDelivered, 1); n != 0 {
+		t.Error("recorded for a relay that had closed the connection")
 	}
 	for _, x := range rec.Events() {
-		if x.Kind == history.Heard && (x.Took < heardFor.Microseconds() || x.Relay != "n0" || x.Endpoint != "s-0a") {
+		if x.Kind == history.WaitDelivered && (x.Duration < hangUpGrace.Microseconds() || x.Relay != "n0" || x.Endpoint != "s-0a") {
 			t.Errorf("%+v", x)
 		}
 	}
-	stays.Close()
+	openConn.Close()
 }
--- a/internal/trial/takeover.go
+++ b/internal/trial/takeover.go
@@ -9,24 +9,25 @@
 	"wallflow/internal/trial/history"
 )
 
-// Hurts are what can go wrong with a take-over: who is hurt, how, and at which step of it. Empty: nothing.
-var Hurts = []string{
+// TakeoverFaults names the faults injected into a takeover: the process affected, the signal, and the phase. Empty: no
+// fault.
+var TakeoverFaults = []string{
 	"", "kill new at start", "kill new at hand-over", "kill new after", "freeze new at start", "freeze new at hand-over", "freeze new after",
 	"kill old at hand-over", "kill old after", "freeze old at hand-over",
 }
 
 const (
-	soonAfter = 20 * time.Millisecond // a step of the take-over that leaves no line in a log
-	handsFor  = time.Second           // the elder goes on as hands before it is told to end
+	takeoverStepDelay    = 20 * time.Millisecond // delay to reach a phase that logs nothing
+	predecessorDrainTime = time.Second           // how long the predecessor finishes its work before it is ended
 )
 
-// hurt is one of Hurts taken apart.
-type hurt struct {
+// takeoverFault is the parsed form of an entry of TakeoverFaults.
+type takeoverFault struct {
 	freeze, old bool
-	at          string // start, hand-over, after; empty: never
+	at          string // phase: start, hand-over or after; empty: no fault
 }
 
-var hurts = map[string]hurt{
+var takeoverFaults = map[string]takeoverFault{
 	"":                        {},
 	"kill new at start":       {at: "start"},
 	"kill new at hand-over":   {at: "hand-over"},
@@ -39,38 +40,38 @@
 	"freeze old at hand-over": {freeze: true, old: true, at: "hand-over"},
 }
 
-// doSucceed starts a successor beside a relay, hurts one of the two at the stated step, and leaves the relay with one
-// process that serves.
-func doSucceed(ctx context.Context, g *Ground, s Step, on string) error {
-	r := g.relay(on)
-	old := r.now()
+// doSucceed starts a successor of a relay, injects the fault of the step into one of the two processes, and leaves the
+// relay with one serving process.
+func doSucceed(ctx context.Context, h *Harness, s Step, on string) error {
+	r := h.relay(on)
+	old := r.currentProcess()
 	if old == nil || !old.Running() {
 		return fmt.Errorf("%s does not run", on)
 	}
-	handed := old.says("handed over")
-	h := hurts[s.Note]
-	successor, err := r.spawn(history.Successor)
+	handedOver := old.waitForLine("handed over")
+	fault := takeoverFaults[s.Note]
+	successor, err := r.startProcess(history.Successor)
 	if err != nil {
 		return err
 	}
-	took := successor.says("took over")
+	tookOver := successor.waitForLine("took over")
 	victim := successor
-	if h.old {
+	if fault.old {
 		victim = old
 	}
 	reached := true
-	switch h.at {
+	switch fault.at {
 	case "start":
-		sleep(ctx, soonAfter)
+		sleep(ctx, takeoverStepDelay)
 	case "hand-over":
-		reached = await(ctx, handed)
+		reached = awaitStep(ctx, handedOver)
 	case "after":
-		reached = await(ctx, took)
-		sleep(ctx, soonAfter)
+		reached = awaitStep(ctx, tookOver)
+		sleep(ctx, takeoverStepDelay)
 	}
 	switch {
-	case h.at == "" || !reached:
-	case h.freeze:
+	case fault.at == "" || !reached:
+	case fault.freeze:
 		if err := r.signal(victim, syscall.SIGSTOP, history.Stop); err != nil {
 			return err
 		}
@@ -84,35 +85,35 @@
 		}
 		<-victim.Done()
 	}
-	if err := r.back(ctx); err != nil {
+	if err := r.waitServing(ctx); err != nil {
 		return err
 	}
-	// Whichever serves is the relay now; the other one is told to end, once it has been hands for a while.
-	sleep(ctx, min(handsFor, s.For.Duration))
+	// The process that does not serve is ended after some time in which it can finish its work.
+	sleep(ctx, min(predecessorDrainTime, s.For.Duration))
 	if successor.Running() && old.Running() {
-		leaver, sig, note := old, syscall.SIGTERM, history.Term
-		if answer, err := ask(successor.mgmt, "status"); err != nil || answer != "YES" {
-			leaver, sig, note = successor, syscall.SIGKILL, history.Kill // it did not come to serve
+		stopping, sig, note := old, syscall.SIGTERM, history.Term
+		if answer, err := managementCall(successor.managementAddr, "status"); err != nil || answer != "YES" {
+			stopping, sig, note = successor, syscall.SIGKILL, history.Kill // the successor never served
 		}
-		if err := r.signal(leaver, sig, note); err != nil {
+		if err := r.signal(stopping, sig, note); err != nil {
 			return err
 		}
 		select {
-		case <-leaver.Done():
-		case <-time.After(endsIn):
-			leaver.End()
+		case <-stopping.Done():
+		case <-time.After(shutdownTimeout):
+			stopping.End()
 		}
 	}
-	return r.back(ctx)
+	return r.waitServing(ctx)
 }
 
-// await tells whether a step was reached in time.
-func await(ctx context.Context, step <-chan struct{}) bool {
+// awaitStep reports whether a step of the takeover was reached in time.
+func awaitStep(ctx context.Context, step <-chan struct{}) bool {
 	select {
 	case <-step:
 		return true
 	case <-ctx.Done():
-	case <-time.After(successorIn):
+	case <-time.After(takeoverStepTimeout):
 	}
 	return false
 }
