--- a/internal/emulator/cache.go
+++ b/internal/emulator/cache.go
@@ -2,113 +2,117 @@
 
 import "container/list"
 
-// cacheKey names a kept part: the same part of another model is another one.
+// cacheKey identifies a cached prompt part. Parts of different models are distinct, even with the same ID.
 type cacheKey struct {
 	model string
 	part  string
 }
 
-// keptPart is a part whose tokens are in memory. One that a running job uses can't give way.
-type keptPart struct {
-	key    cacheKey
-	tokens int
-	users  int
-	place  *list.Element // in the order of use, while nobody uses it
+// cachedPart is a prompt part whose tokens are in KV memory. It can be evicted only while no running job uses it.
+type cachedPart struct {
+	key        cacheKey
+	tokens     int
+	refCount   int
+	lruElement *list.Element // entry in cache.lru; nil while a job uses the part
 }
 
-// cache holds prompt parts and counts memory. Parts that nobody uses give way, the one unused the longest first.
+// cache models the KV cache of an engine: it stores prompt parts and accounts for memory, in tokens. Unused parts are evicted in
+// least-recently-used order.
 type cache struct {
-	capacity int
-	held     int // tokens of running jobs, their parts included
-	idle     int // tokens of parts that nobody uses
-	parts    map[cacheKey]*keptPart
-	unused   *list.List // of *keptPart, the one unused the longest in front
+	capacity   int
+	usedTokens int // tokens of running jobs, including the cached parts that they use
+	idleTokens int // tokens of cached parts that no job uses
+	parts      map[cacheKey]*cachedPart
+	lru        *list.List // unused parts as *cachedPart, least recently used first
 }
 
 func newCache(capacity int) *cache {
 	return &cache{
 		capacity: capacity,
-		parts:    make(map[cacheKey]*keptPart),
-		unused:   list.New(),
+		parts:    make(map[cacheKey]*cachedPart),
+		lru:      list.New(),
 	}
 }
 
-// prefix returns the kept parts at the start of a prompt, up to the first that is missing.
-func (c *cache) prefix(model string, parts []Part) []*keptPart {
-	var found []*keptPart
+// cachedPrefix returns the cached parts at the start of a prompt, up to the first part that is not cached.
+func (c *cache) cachedPrefix(model string, parts []Part) []*cachedPart {
+	var cachedParts []*cachedPart
 	for _, part := range parts {
-		kept := c.parts[cacheKey{model: model, part: part.ID}]
-		if kept == nil || kept.tokens != part.Tokens {
+		cached := c.parts[cacheKey{model: model, part: part.ID}]
+		if cached == nil || cached.tokens != part.Tokens {
 			break
 		}
-		found = append(found, kept)
+		cachedParts = append(cachedParts, cached)
 	}
-	return found
+	return cachedParts
 }
 
-// use keeps a part from giving way.
-func (c *cache) use(kept *keptPart) {
-	if kept.users == 0 {
-		c.unused.Remove(kept.place)
-		kept.place = nil
-		c.idle -= kept.tokens
-		c.held += kept.tokens
+// acquire adds a user to a part, which protects it from eviction.
+func (c *cache) acquire(cached *cachedPart) {
+	if cached.refCount == 0 {
+		c.lru.Remove(cached.lruElement)
+		cached.lruElement = nil
+		c.idleTokens -= cached.tokens
+		c.usedTokens += cached.tokens
 	}
-	kept.users++
+	cached.refCount++
 }
 
-// release ends a use.
-func (c *cache) release(kept *keptPart) {
-	kept.users--
-	if kept.users == 0 {
-		kept.place = c.unused.PushBack(kept)
-		c.held -= kept.tokens
-		c.idle += kept.tokens
+// release removes a user from a part. A part without users can be evicted.
+func (c *cache) release(cached *cachedPart) {
+	cached.refCount--
+	if cached.refCount == 0 {
+		cached.lruElement = c.lru.PushBack(cached)
+		c.usedTokens -= cached.tokens
+		c.idleTokens += cached.tokens
 	}
 }
 
-// keep makes a part of tokens that a job holds already. Where the part is there, the job's own copy is given up.
-func (c *cache) keep(model string, part Part) *keptPart {
+// insert caches a part whose tokens a running job has already reserved, and returns it with the job as a user. If the part is cached
+// already, the job shares it and its own copy is freed.
+func (c *cache) insert(model string, part Part) *cachedPart {
 	key := cacheKey{model: model, part: part.ID}
-	if kept := c.parts[key]; kept != nil && kept.tokens == part.Tokens {
-		c.use(kept)
-		c.held -= part.Tokens
-		return kept
+	if cached := c.parts[key]; cached != nil && cached.tokens == part.Tokens {
+		c.acquire(cached)
+		c.usedTokens -= part.Tokens
+		return cached
 	}
-	kept := &keptPart{key: key, tokens: part.Tokens, users: 1}
+	cached := &cachedPart{key: key, tokens: part.Tokens, refCount: 1}
 	if c.parts[key] == nil {
-		c.parts[key] = kept
+		c.parts[key] = cached
 	}
-	return kept
+	return cached
 }
 
-// drop ends the use of a part that is not in the cache under its name.
-func (c *cache) drop(kept *keptPart) {
-	if c.parts[kept.key] == kept {
-		c.release(kept)
+// discard ends a job's use of a part. A private copy, which is not in the cache under its key, is freed at once.
+func (c *cache) discard(cached *cachedPart) {
+	if c.parts[cached.key] == cached {
+		c.release(cached)
 		return
 	}
-	c.held -= kept.tokens
+	c.usedTokens -= cached.tokens
 }
 
-// hold takes memory for a running job; parts that nobody uses give way. It returns false, and takes nothing, where there is no room.
-func (c *cache) hold(tokens int) bool {
-	if c.held+tokens > c.capacity {
+// reserve allocates memory to a running job and evicts unused parts as needed. It returns false and allocates nothing if the memory in
+// use by running jobs leaves too little.
+func (c *cache) reserve(tokens int) bool {
+	if c.usedTokens+tokens > c.capacity {
 		return false
 	}
-	c.held += tokens
-	c.makeRoom()
+	c.usedTokens += tokens
+	c.evictIdle()
 	return true
 }
 
-// free gives memory of a running job back.
-func (c *cache) free(tokens int) { c.held -= tokens }
+// free returns memory that a running job had reserved.
+func (c *cache) free(tokens int) { c.usedTokens -= tokens }
 
-func (c *cache) makeRoom() {
-	for c.held+c.idle > c.capacity {
-		oldest := c.unused.Front()
-		kept := c.unused.Remove(oldest).(*keptPart)
-		delete(c.parts, kept.key)
-		c.idle -= kept.tokens
+// evictIdle evicts unused parts until the memory in use is within the capacity.
+func (c *cache) evictIdle() {
+	for c.usedTokens+c.idleTokens > c.capacity {
+		oldest := c.lru.Front()
+		evicted := c.lru.Remove(oldest).(*cachedPart)
+		delete(c.parts, evicted.key)
+		c.idleTokens -= evicted.tokens
 	}
 }
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,7 +1,7 @@
-// Package emulator is a stand-in for the endpoints of a service, so that the whole system can be run and tested on one machine.
+// Package emulator emulates the endpoints of a service, so that the whole system can be run and tested on one machine.
 //
-// Engine is the model of a model server: it batches requests, prefills their prompts in chunks between the tokens of others, keeps
-// prompt parts and gives way when memory runs out. Shop is the model of a plain service with a fixed number of places. Both are pure:
-// they take the time as an argument, return events, and the same calls give the same events. Endpoint serves either over HTTP and
-// tells the control processes of itself.
+// Engine simulates an inference engine: it batches requests, prefills prompts in chunks interleaved with the decoding of other
+// requests, caches prompt parts, and preempts requests when memory runs out. PlainService simulates a service with a fixed
+// number of slots and a fixed processing time per request. Both are deterministic: they take the time as an argument and return events,
+// and the same calls give the same events. Endpoint serves either over HTTP and sends heartbeats to the control processes.
 package emulator
--- a/internal/emulator/driver.go
+++ b/internal/emulator/driver.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// driver plays a model in real time and hands each job's events to whoever waits for them.
+// driver runs a model in real time and delivers each job's events to the channel that submit returned.
 type driver struct {
 	mu      sync.Mutex
 	model   Model
@@ -13,9 +13,9 @@
 	jobs    map[JobID]chan Event
 	lastJob JobID
 
-	wake   chan struct{}
-	closed chan struct{}
-	ended  chan struct{}
+	wake    chan struct{}
+	stop    chan struct{}
+	stopped chan struct{}
 }
 
 func newDriver(model Model, lag time.Duration) *driver {
@@ -24,15 +24,16 @@
 		history: loadHistory{lag: lag},
 		jobs:    make(map[JobID]chan Event),
 		wake:    make(chan struct{}, 1),
-		closed:  make(chan struct{}),
-		ended:   make(chan struct{}),
+		stop:    make(chan struct{}),
+		stopped: make(chan struct{}),
 	}
 	go d.run()
 	return d
 }
 
-// submit gives a job to the model; ok is false where there is no place for it. No event of the job finds its channel full.
-func (d *driver) submit(job Job, most int) (id JobID, events <-chan Event, ok bool) {
+// submit passes a job to the model; ok is false if the model rejects it. eventCapacity is the maximum number of events of the job, so
+// that sending an event never blocks.
+func (d *driver) submit(job Job, eventCapacity int) (id JobID, events <-chan Event, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
@@ -42,14 +43,14 @@
 	if !d.model.Submit(now, job) {
 		return 0, nil, false
 	}
-	channel := make(chan Event, most)
+	channel := make(chan Event, eventCapacity)
 	d.jobs[job.ID] = channel
 	d.history.add(now, d.model.Load())
-	d.stir()
+	d.notify()
 	return job.ID, channel, true
 }
 
-// cancel ends a job that nobody waits for any more.
+// cancel removes a job whose caller has gone.
 func (d *driver) cancel(id JobID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -61,11 +62,11 @@
 	delete(d.jobs, id)
 	d.model.Cancel(now, id)
 	d.history.add(now, d.model.Load())
-	d.stir()
+	d.notify()
 }
 
-// report returns the load as it was a while ago.
-func (d *driver) report() Load {
+// delayedLoad returns the load as it was one report lag ago. KVTotal is current.
+func (d *driver) delayedLoad() Load {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
@@ -75,7 +76,7 @@
 	return load
 }
 
-// advance plays the model up to now. The caller holds the lock.
+// advance runs the model up to now and delivers its events. The caller holds the lock.
 func (d *driver) advance(now time.Time) {
 	events := d.model.Advance(now)
 	for _, event := range events {
@@ -93,8 +94,8 @@
 	}
 }
 
-// stir has the loop look again when the model has something to do next.
-func (d *driver) stir() {
+// notify makes the run loop recompute when the model has its next event.
+func (d *driver) notify() {
 	select {
 	case d.wake <- struct{}{}:
 	default:
@@ -102,13 +103,13 @@
 }
 
 func (d *driver) run() {
-	defer close(d.ended)
+	defer close(d.stopped)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		timer.Reset(d.play())
+		timer.Reset(d.advanceToNow())
 		select {
-		case <-d.closed:
+		case <-d.stop:
 			return
 		case <-d.wake:
 		case <-timer.C:
@@ -116,20 +117,20 @@
 	}
 }
 
-// play advances the model and returns how long nothing will happen.
-func (d *driver) play() time.Duration {
+// advanceToNow advances the model and returns the time until its next event.
+func (d *driver) advanceToNow() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
 	d.advance(now)
-	next, any := d.model.Next()
-	if !any {
+	next, ok := d.model.Next()
+	if !ok {
 		return time.Hour
 	}
 	return max(0, next.Sub(now))
 }
 
 func (d *driver) close() {
-	close(d.closed)
-	<-d.ended
+	close(d.stop)
+	<-d.stopped
 }
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -12,38 +12,38 @@
 	"github.com/gravitational/trace"
 )
 
-// Options describe a stand-in endpoint.
+// Options configure an emulated endpoint.
 type Options struct {
-	ID         string // of this life
-	Backend    string // its service
-	Listen     string // ip:port; port 0 stands for any free one
+	ID         string // instance ID, new for each start
+	Backend    string // backend that the endpoint belongs to
+	Listen     string // ip:port; port 0 picks any free port
 	Zone       string
 	Generation string
 	HealthPath string
-	MaxConns   int           // more are reset; 0: no bound
-	Warmup     time.Duration // for which it says that it is cold
-	ReportLag  time.Duration // how old its reports are
-
-	Engine      *EngineOptions // nil: a plain service
-	Model       string         // that the engine serves
-	Version     int            // of the model's weights
-	Shop        ShopOptions    // of a plain service
-	Work        time.Duration  // of one request of a plain service
-	AnswerBytes int            // of an answer of a plain service
-
-	Control   []string // addresses that take heartbeats; none: it tells nobody of itself
-	Heartbeat time.Duration
-	Log       *slog.Logger // nil: nothing is logged
+	MaxConns   int           // further connections are reset; 0: unlimited
+	Warmup     time.Duration // time after the start during which the endpoint reports itself as cold
+	ReportLag  time.Duration // age of the load that GET /report returns
+
+	Engine       *EngineOptions      // nil: a plain service instead of an engine
+	Model        string              // name of the model that the engine serves
+	Version      int                 // version of the model's weights
+	PlainService PlainServiceOptions // slots and queue of a plain service
+	Work         time.Duration       // processing time of one request of a plain service
+	AnswerBytes  int                 // response body size of a plain service
+
+	Control   []string      // addresses of the control processes; none: no heartbeats are sent
+	Heartbeat time.Duration // interval
+	Log       *slog.Logger  // nil: no logging
 }
 
 const (
-	defaultHealthPath = "/healthz"
-	defaultHeartbeat  = 1200 * time.Millisecond
-	defaultReportLag  = 300 * time.Millisecond
-	defaultShopSlots  = 6
-	defaultShopQueue  = 12
-	headerTimeout     = 5 * time.Second
-	idleTimeout       = 30 * time.Second
+	defaultHealthPath   = "/healthz"
+	defaultHeartbeat    = 1200 * time.Millisecond
+	defaultReportLag    = 300 * time.Millisecond
+	defaultServiceSlots = 6
+	defaultServiceQueue = 12
+	headerTimeout       = 5 * time.Second
+	idleTimeout         = 30 * time.Second
 )
 
 func (o Options) withDefaults() Options {
@@ -54,8 +54,8 @@
 	o.Version = cmp.Or(o.Version, 1)
 	o.ReportLag = cmp.Or(o.ReportLag, defaultReportLag)
 	o.Heartbeat = cmp.Or(o.Heartbeat, defaultHeartbeat)
-	o.Shop.Slots = cmp.Or(o.Shop.Slots, defaultShopSlots)
-	o.Shop.Queue = cmp.Or(o.Shop.Queue, defaultShopQueue)
+	o.PlainService.Slots = cmp.Or(o.PlainService.Slots, defaultServiceSlots)
+	o.PlainService.Queue = cmp.Or(o.PlainService.Queue, defaultServiceQueue)
 	if o.Engine != nil {
 		engine := o.Engine.WithDefaults()
 		o.Engine = &engine
@@ -66,93 +66,93 @@
 	return o
 }
 
-// slots is how many requests the endpoint works on at once.
+// slots returns the number of requests that the endpoint runs at once.
 func (o *Options) slots() int {
 	if o.Engine != nil {
 		return o.Engine.Slots
 	}
-	return o.Shop.Slots
+	return o.PlainService.Slots
 }
 
-// Counts are what an endpoint has done since its start.
+// Counts holds counters of requests since the endpoint started.
 type Counts struct {
-	Run         uint64 // requests that work was begun on
-	Full        uint64 // sent away for want of a place
-	Misdirected uint64 // meant for another endpoint or other weights
-	Cut         uint64 // ended by their deadline, or by a caller that went away
+	Run         uint64 // requests that started to run
+	Rejected    uint64 // rejected because all slots and the queue were full, or the request was too large
+	Misdirected uint64 // rejected because they expected another instance or weights version
+	Aborted     uint64 // ended by their deadline while running, or by a disconnected client
 }
 
-// Endpoint is a stand-in endpoint that serves on a socket.
+// Endpoint is an emulated endpoint that serves HTTP on a socket.
 type Endpoint struct {
-	options  Options
-	driver   *driver
-	listener net.Listener
-	server   *http.Server
-	beats    *heartbeats
-	started  time.Time
-	draining atomic.Bool
-	ends     atomic.Pointer[time.Time] // set when it is taken away at short notice
-
-	run, full, misdirected, cut atomic.Uint64
+	options    Options
+	driver     *driver
+	listener   net.Listener
+	server     *http.Server
+	heartbeats *heartbeatSender
+	startedAt  time.Time
+	draining   atomic.Bool
+	shutdownAt atomic.Pointer[time.Time] // set by DrainWithin; nil: no shutdown time is known
+
+	runCount, rejectedCount, misdirectedCount, abortedCount atomic.Uint64
 }
 
-// Start opens an endpoint. It tells the control processes of itself from then on; Close ends it.
+// Start starts an endpoint, which serves and sends heartbeats until Close.
 func Start(options Options) (*Endpoint, error) {
 	options = options.withDefaults()
 	listener, err := net.Listen("tcp4", options.Listen)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	e := &Endpoint{options: options, listener: listener, started: time.Now()}
+	e := &Endpoint{options: options, listener: listener, startedAt: time.Now()}
 	e.driver = newDriver(options.model(), options.ReportLag)
 	e.server = &http.Server{Handler: e, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	go e.serve()
-	e.beats = newHeartbeats(e)
+	e.heartbeats = newHeartbeatSender(e)
 	return e, nil
 }
 
-// model builds what the endpoint works with.
+// model creates the model that runs the endpoint's requests.
 func (o *Options) model() Model {
 	if o.Engine != nil {
 		return NewEngine(*o.Engine)
 	}
-	return NewShop(o.Shop)
+	return NewPlainService(o.PlainService)
 }
 
 func (e *Endpoint) serve() {
 	listener := e.listener
 	if e.options.MaxConns > 0 {
-		listener = &boundedListener{Listener: listener, most: int64(e.options.MaxConns)}
+		listener = &connLimitListener{Listener: listener, maxConns: int64(e.options.MaxConns)}
 	}
 	if err := e.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		e.options.Log.Error("stand-in endpoint stopped", "id", e.options.ID, "error", err)
+		e.options.Log.Error("emulated endpoint stopped", "id", e.options.ID, "error", err)
 	}
 }
 
-// Address is where the endpoint serves.
+// Address returns the ip:port on which the endpoint serves.
 func (e *Endpoint) Address() string { return e.listener.Addr().String() }
 
-// ID names this life of the endpoint.
+// ID returns the instance ID of the endpoint.
 func (e *Endpoint) ID() string { return e.options.ID }
 
-// Counts returns what the endpoint has done.
+// Counts returns the current values of the endpoint's counters.
 func (e *Endpoint) Counts() Counts {
 	return Counts{
-		Run:         e.run.Load(),
-		Full:        e.full.Load(),
-		Misdirected: e.misdirected.Load(),
-		Cut:         e.cut.Load(),
+		Run:         e.runCount.Load(),
+		Rejected:    e.rejectedCount.Load(),
+		Misdirected: e.misdirectedCount.Load(),
+		Aborted:     e.abortedCount.Load(),
 	}
 }
 
-// Close ends the endpoint at once, as a crash does.
+// Close stops the endpoint at once, as a crash would: it neither drains nor deregisters.
 func (e *Endpoint) Close() {
-	e.beats.close()
-	_ = e.server.Close() // what is under way breaks off
+	e.heartbeats.close()
+	_ = e.server.Close() // requests in flight are aborted
 	e.driver.close()
 }
 
-// warmupLeft is how much longer the endpoint says that it is cold.
-func (e *Endpoint) warmupLeft() time.Duration {
-	return max(0, e.options.Warmup-time.Since(e.started))
+// remainingWarmup returns how much longer the endpoint reports itself as cold.
+func (e *Endpoint) remainingWarmup() time.Duration {
+	return max(0, e.options.Warmup-time.Since(e.startedAt))
 }
--- a/internal/emulator/example_test.go
+++ b/internal/emulator/example_test.go
@@ -16,8 +16,8 @@
 		Output: 10,
 	})
 	for {
-		next, any := engine.Next()
-		if !any {
+		next, ok := engine.Next()
+		if !ok {
 			break
 		}
 		for _, event := range engine.Advance(next) {
--- a/internal/emulator/heartbeat.go
+++ b/internal/emulator/heartbeat.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	acknowledgedWithin = time.Second
-	acknowledgedMost   = 4 << 10 // bytes of an acknowledgement
+	heartbeatTimeout = time.Second
+	maxResponseBytes = 4 << 10 // of the response to a heartbeat
 )
 
-// The states that an endpoint tells of itself.
+// The states that a heartbeat can report.
 const (
 	stateReady    = "ready"
 	stateDraining = "draining"
 )
 
-// beatBody is the body of a heartbeat.
-type beatBody struct {
+// heartbeatBody is the JSON body of a heartbeat.
+type heartbeatBody struct {
 	Backend     string        `json:"backend"`
 	Address     string        `json:"address"`
 	Zone        string        `json:"zone"`
@@ -42,52 +42,53 @@
 	RemainingMs *int64        `json:"remainingMs,omitempty"`
 }
 
-// beatAnswer is what a control process may say to a heartbeat.
-type beatAnswer struct {
+// heartbeatResponse is the JSON body of a control process's response to a heartbeat. HeartbeatURL, if set, is the base URL for further
+// heartbeats.
+type heartbeatResponse struct {
 	HeartbeatURL string `json:"heartbeatUrl"`
 }
 
-// heartbeats tell the control processes of an endpoint.
-type heartbeats struct {
+// heartbeatSender sends heartbeats and the deregistration of an endpoint to the control processes.
+type heartbeatSender struct {
 	endpoint *Endpoint
 	client   *http.Client
 	stop     context.CancelFunc
-	ended    chan struct{}
+	stopped  chan struct{}
 
-	mu   sync.Mutex // one call at a time
-	seq  uint64
-	next int    // of the control addresses
-	told string // the address that an answer named; empty: none
+	mu          sync.Mutex // held during a call, so that calls go out one at a time
+	seq         uint64
+	nextControl int    // index into the control addresses; taken modulo their number
+	redirectURL string // base URL from the last heartbeatUrl of a response; empty: none
 }
 
-func newHeartbeats(endpoint *Endpoint) *heartbeats {
+func newHeartbeatSender(endpoint *Endpoint) *heartbeatSender {
 	ctx, stop := context.WithCancel(context.Background())
-	h := &heartbeats{
+	h := &heartbeatSender{
 		endpoint: endpoint,
 		client:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
 		stop:     stop,
-		ended:    make(chan struct{}),
+		stopped:  make(chan struct{}),
 	}
 	go h.run(ctx)
 	return h
 }
 
-func (h *heartbeats) close() {
+func (h *heartbeatSender) close() {
 	h.stop()
-	<-h.ended
+	<-h.stopped
 	h.client.CloseIdleConnections()
 }
 
-func (h *heartbeats) run(ctx context.Context) {
-	defer close(h.ended)
+func (h *heartbeatSender) run(ctx context.Context) {
+	defer close(h.stopped)
 	if len(h.endpoint.options.Control) == 0 {
 		return
 	}
 	ticker := time.NewTicker(h.endpoint.options.Heartbeat)
 	defer ticker.Stop()
-	level := slog.LevelDebug // nothing is amiss while the control processes start
+	level := slog.LevelDebug // until the first acknowledgement: the control processes may still be starting
 	for {
-		err := h.beat(ctx)
+		err := h.sendHeartbeat(ctx)
 		if err == nil {
 			level = slog.LevelWarn
 		} else if ctx.Err() == nil {
@@ -101,8 +102,8 @@
 	}
 }
 
-// beat tells of the endpoint once, to one control process after the other until one acknowledges it.
-func (h *heartbeats) beat(ctx context.Context) error {
+// sendHeartbeat sends one heartbeat, to each control process in turn until one acknowledges it.
+func (h *heartbeatSender) sendHeartbeat(ctx context.Context) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.seq++
@@ -111,14 +112,14 @@
 	if h.endpoint.draining.Load() {
 		state = stateDraining
 	}
-	body, err := json.Marshal(beatBody{
+	body, err := json.Marshal(heartbeatBody{
 		Backend:     options.Backend,
 		Address:     h.endpoint.Address(),
 		Zone:        options.Zone,
 		Generation:  options.Generation,
 		Slots:       options.slots(),
 		State:       state,
-		WarmupMs:    h.endpoint.warmupLeft().Milliseconds(),
+		WarmupMs:    h.endpoint.remainingWarmup().Milliseconds(),
 		Phase:       phaseDual,
 		Models:      h.endpoint.models(),
 		Seq:         h.seq,
@@ -127,37 +128,39 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return h.callAny(ctx, http.MethodPut, body)
+	return h.sendToAny(ctx, http.MethodPut, body)
 }
 
-// leave tells that the endpoint has ended.
-func (h *heartbeats) leave(ctx context.Context) error {
+// sendDeregistration deletes the endpoint's registration, at each control process in turn until one acknowledges it.
+func (h *heartbeatSender) sendDeregistration(ctx context.Context) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.callAny(ctx, http.MethodDelete, nil)
+	return h.sendToAny(ctx, http.MethodDelete, nil)
 }
 
-// callAny calls the address that an answer named, then the control processes in turn, beginning with the last one that answered.
-func (h *heartbeats) callAny(ctx context.Context, method string, body []byte) error {
-	var failure error
-	if h.told != "" {
-		if failure = h.call(ctx, h.told, method, body); failure == nil {
+// sendToAny sends a request to the redirect URL, if there is one, and then to the control processes in turn, starting with the last one
+// that acknowledged, until one acknowledges it.
+func (h *heartbeatSender) sendToAny(ctx context.Context, method string, body []byte) error {
+	var lastErr error
+	if h.redirectURL != "" {
+		if lastErr = h.sendTo(ctx, h.redirectURL, method, body); lastErr == nil {
 			return nil
 		}
-		h.told = ""
+		h.redirectURL = ""
 	}
 	for range h.endpoint.options.Control {
-		address := h.endpoint.options.Control[h.next%len(h.endpoint.options.Control)]
-		if failure = h.call(ctx, address, method, body); failure == nil {
+		address := h.endpoint.options.Control[h.nextControl%len(h.endpoint.options.Control)]
+		if lastErr = h.sendTo(ctx, address, method, body); lastErr == nil {
 			return nil
 		}
-		h.next++
+		h.nextControl++
 	}
-	return trace.Wrap(failure)
+	return trace.Wrap(lastErr)
 }
 
-func (h *heartbeats) call(ctx context.Context, address, method string, body []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, acknowledgedWithin)
+// sendTo sends a request to one control process and stores the redirect URL of its response.
+func (h *heartbeatSender) sendTo(ctx context.Context, address, method string, body []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	target := baseURL(address) + "/instances/" + url.PathEscape(h.endpoint.options.ID)
 	request, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
@@ -170,21 +173,21 @@
 		return trace.Wrap(err)
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, acknowledgedMost+1))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if response.StatusCode/100 != 2 || len(text) > acknowledgedMost {
+	if response.StatusCode/100 != 2 || len(text) > maxResponseBytes {
 		return &UnacknowledgedError{Address: address, Status: response.StatusCode, Bytes: len(text)}
 	}
-	var answer beatAnswer
-	if json.Unmarshal(text, &answer) == nil && answer.HeartbeatURL != "" {
-		h.told = answer.HeartbeatURL
+	var redirect heartbeatResponse
+	if json.Unmarshal(text, &redirect) == nil && redirect.HeartbeatURL != "" {
+		h.redirectURL = redirect.HeartbeatURL
 	}
 	return nil
 }
 
-// baseURL turns an address, with or without a scheme, into the start of a URL.
+// baseURL returns the base URL of an address, which may or may not have a scheme.
 func baseURL(address string) string {
 	if strings.Contains(address, "://") {
 		return strings.TrimSuffix(address, "/")
@@ -192,14 +195,14 @@
 	return "http://" + address
 }
 
-// UnacknowledgedError says that a control process answered, and not with an acknowledgement.
+// UnacknowledgedError reports a response that is not an acknowledgement: its status is not 2xx, or its body is too long.
 type UnacknowledgedError struct {
 	Address string
 	Status  int
-	Bytes   int
+	Bytes   int // of the response body, as far as it was read
 }
 
-// Error puts it on one line.
+// Error returns the message.
 func (e *UnacknowledgedError) Error() string {
-	return fmt.Sprintf("control process %s answered %d with %d bytes", e.Address, e.Status, e.Bytes)
+	return fmt.Sprintf("control process %s did not acknowledge: status %d, body of %d bytes", e.Address, e.Status, e.Bytes)
 }
--- a/internal/emulator/listener.go
+++ b/internal/emulator/listener.go
@@ -6,24 +6,24 @@
 	"sync/atomic"
 )
 
-// boundedListener resets the connections beyond a bound.
-type boundedListener struct {
+// connLimitListener accepts up to maxConns open connections and resets further ones.
+type connLimitListener struct {
 	net.Listener
-	most int64
-	open atomic.Int64
+	maxConns  int64
+	openConns atomic.Int64
 }
 
-// Accept returns the next connection that is within the bound.
-func (l *boundedListener) Accept() (net.Conn, error) {
+// Accept returns the next connection that is within the limit.
+func (l *connLimitListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) <= l.most {
-			return &boundedConn{Conn: conn, open: &l.open}, nil
+		if l.openConns.Add(1) <= l.maxConns {
+			return &limitedConn{Conn: conn, openConns: &l.openConns}, nil
 		}
-		l.open.Add(-1)
+		l.openConns.Add(-1)
 		reset(conn)
 	}
 }
@@ -31,19 +31,20 @@
 // reset closes a connection so that its peer sees a reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // without it the peer sees an orderly end: no harm
+		_ = tcp.SetLinger(0) // if this fails, the peer sees an orderly close, which is acceptable
 	}
 	_ = conn.Close()
 }
 
-type boundedConn struct {
+// limitedConn is a connection that counts towards the limit of its listener until it is closed.
+type limitedConn struct {
 	net.Conn
-	open *atomic.Int64
-	once sync.Once
+	openConns *atomic.Int64
+	once      sync.Once
 }
 
-// Close gives the connection's place free.
-func (c *boundedConn) Close() error {
-	c.once.Do(func() { c.open.Add(-1) })
+// Close closes the connection and releases its share of the limit.
+func (c *limitedConn) Close() error {
+	c.once.Do(func() { c.openConns.Add(-1) })
 	return c.Conn.Close()
 }
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// EngineOptions describe an engine. Zero values stand for those of DefaultEngine.
+// EngineOptions configure an Engine. Zero values stand for the values of DefaultEngine.
 type EngineOptions struct {
-	Slots          int           // jobs that run at once
-	Queue          int           // jobs that wait beyond those
-	KVCapacity     int           // tokens in memory
-	Step           time.Duration // the least time of one step, in which each running job gets a token
-	StepPerJob     time.Duration // more for each running job
-	PrefillPerMs   float64       // prompt tokens that are read in a millisecond
-	ChunkTokens    int           // prompt tokens that are read in one step at most
-	TokensPerEvent int
+	Slots          int           // maximum number of running jobs (batch size)
+	Queue          int           // maximum number of queued jobs
+	KVCapacity     int           // KV memory in tokens
+	StepTime       time.Duration // base time of one step, which decodes one token for each running job
+	StepTimePerJob time.Duration // additional step time for each running job
+	PrefillPerMs   float64       // prefill rate in prompt tokens per millisecond
+	ChunkTokens    int           // maximum number of prompt tokens prefilled in one step
+	TokensPerEvent int           // output tokens in one event of the stream
 }
 
-// The figures of the engines that the system is built for.
+// Defaults that match the engines the system is designed for.
 const (
 	defaultSlots          = 64
 	defaultQueue          = 64
 	defaultKVCapacity     = 316_082
-	defaultStep           = 4630 * time.Microsecond
-	defaultStepPerJob     = 153 * time.Microsecond
+	defaultStepTime       = 4630 * time.Microsecond
+	defaultStepTimePerJob = 153 * time.Microsecond
 	defaultPrefillPerMs   = 37.9
 	defaultChunkTokens    = 512
 	defaultTokensPerEvent = 5
 )
 
-// DefaultEngine describes the engines that the system is built for.
+// DefaultEngine returns options that match the engines the system is designed for.
 func DefaultEngine() EngineOptions {
 	return EngineOptions{}.WithDefaults()
 }
 
-// WithDefaults puts the default where nothing was given.
+// WithDefaults returns a copy in which zero values are replaced by defaults.
 func (o EngineOptions) WithDefaults() EngineOptions {
 	o.Slots = cmp.Or(o.Slots, defaultSlots)
 	o.Queue = cmp.Or(o.Queue, defaultQueue)
 	o.KVCapacity = cmp.Or(o.KVCapacity, defaultKVCapacity)
-	o.Step = cmp.Or(o.Step, defaultStep)
-	o.StepPerJob = cmp.Or(o.StepPerJob, defaultStepPerJob)
+	o.StepTime = cmp.Or(o.StepTime, defaultStepTime)
+	o.StepTimePerJob = cmp.Or(o.StepTimePerJob, defaultStepTimePerJob)
 	o.PrefillPerMs = cmp.Or(o.PrefillPerMs, defaultPrefillPerMs)
 	o.ChunkTokens = cmp.Or(o.ChunkTokens, defaultChunkTokens)
 	o.TokensPerEvent = cmp.Or(o.TokensPerEvent, defaultTokensPerEvent)
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// queue holds the jobs that wait, the most urgent first and, of equal ones, in the order of arrival.
+// queue holds waiting jobs, ordered by priority and then by arrival.
 type queue struct {
-	waiting []*running
+	waiting []*jobState
 }
 
-// before tells whether r goes ahead of other.
-func (r *running) before(other *running) bool {
-	if r.job.Priority != other.job.Priority {
-		return r.job.Priority < other.job.Priority
+// precedes reports whether s is admitted before other: it is more urgent, or equally urgent and arrived earlier.
+func (s *jobState) precedes(other *jobState) bool {
+	if s.job.Priority != other.job.Priority {
+		return s.job.Priority < other.job.Priority
 	}
-	return r.arrived < other.arrived
+	return s.arrivalSeq < other.arrivalSeq
 }
 
 func (q *queue) len() int { return len(q.waiting) }
 
-func (q *queue) add(job *running) {
-	at := len(q.waiting)
-	for at > 0 && job.before(q.waiting[at-1]) {
-		at--
+func (q *queue) add(state *jobState) {
+	index := len(q.waiting)
+	for index > 0 && state.precedes(q.waiting[index-1]) {
+		index--
 	}
-	q.waiting = slices.Insert(q.waiting, at, job)
+	q.waiting = slices.Insert(q.waiting, index, state)
 }
 
-// first returns the job that is next; nil: nobody waits.
-func (q *queue) first() *running {
+// peek returns the job to be admitted next, or nil if the queue is empty.
+func (q *queue) peek() *jobState {
 	if len(q.waiting) == 0 {
 		return nil
 	}
 	return q.waiting[0]
 }
 
-// remove takes a job out; nil: it doesn't wait.
-func (q *queue) remove(id JobID) *running {
-	at := slices.IndexFunc(q.waiting, func(job *running) bool { return job.job.ID == id })
-	if at < 0 {
+// remove removes and returns a job, or returns nil if it is not queued.
+func (q *queue) remove(id JobID) *jobState {
+	index := slices.IndexFunc(q.waiting, func(state *jobState) bool { return state.job.ID == id })
+	if index < 0 {
 		return nil
 	}
-	job := q.waiting[at]
-	q.waiting = slices.Delete(q.waiting, at, at+1)
-	return job
+	state := q.waiting[index]
+	q.waiting = slices.Delete(q.waiting, index, index+1)
+	return state
 }
 
-// expired takes out the jobs whose deadline has passed.
-func (q *queue) expired(now time.Time) []*running {
-	var late []*running
-	q.waiting = slices.DeleteFunc(q.waiting, func(job *running) bool {
-		if !job.job.expired(now) {
+// removeExpired removes and returns the jobs whose deadline has passed.
+func (q *queue) removeExpired(now time.Time) []*jobState {
+	var expired []*jobState
+	q.waiting = slices.DeleteFunc(q.waiting, func(state *jobState) bool {
+		if !state.job.expired(now) {
 			return false
 		}
-		late = append(late, job)
+		expired = append(expired, state)
 		return true
 	})
-	return late
+	return expired
 }
--- a/internal/emulator/request.go
+++ b/internal/emulator/request.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// The headers of the protocol.
+// HTTP headers of the protocol between relays and endpoints.
 const (
 	headerRequestID      = "X-Request-Id"
 	headerDeadline       = "X-Deadline-Ms"
 	headerExpectInstance = "X-Expect-Instance"
 	headerExpectVersion  = "Expect-Version"
-	headerStamp          = "X-Server-Stamp"
+	headerServerStamp    = "X-Server-Stamp"
 	headerNotExecuted    = "X-Not-Executed"
 	headerInstanceID     = "X-Instance-Id"
 	headerWarmup         = "X-Warmup-Ms"
@@ -26,67 +26,69 @@
 	headerLastEventID    = "Last-Event-Id"
 )
 
+// Priorities range from 0, the most urgent, to priorityLowest.
 const (
 	priorityDefault = 5
 	priorityLowest  = 9
 )
 
-// HeaderError says which header of a request can't be used.
+// HeaderError reports a request header with an invalid value.
 type HeaderError struct {
 	Header string
-	Found  string
+	Value  string
 }
 
-// Error puts it on one line.
+// Error returns the message, which is sent to the client.
 func (e *HeaderError) Error() string {
-	return fmt.Sprintf("header %s: %q can't be read", e.Header, e.Found)
+	return fmt.Sprintf("header %s: %q can't be read", e.Header, e.Value)
 }
 
-// parseJob reads what the headers say of a request's work. Its deadline counts from now.
+// parseJob parses the headers that every kind of request may have. The deadline header is relative to now.
 func parseJob(header http.Header, now time.Time) (Job, error) {
 	job := Job{Model: header.Get(headerModel), Priority: priorityDefault}
 	if text := header.Get(headerPriority); text != "" {
 		priority, err := strconv.Atoi(text)
 		if err != nil || priority < 0 || priority > priorityLowest {
-			return Job{}, &HeaderError{Header: headerPriority, Found: text}
+			return Job{}, &HeaderError{Header: headerPriority, Value: text}
 		}
 		job.Priority = priority
 	}
 	if text := header.Get(headerDeadline); text != "" {
-		wait, err := strconv.ParseFloat(text, 64)
-		if err != nil || wait < 0 {
-			return Job{}, &HeaderError{Header: headerDeadline, Found: text}
+		milliseconds, err := strconv.ParseFloat(text, 64)
+		if err != nil || milliseconds < 0 {
+			return Job{}, &HeaderError{Header: headerDeadline, Value: text}
 		}
-		job.Deadline = now.Add(time.Duration(wait * float64(time.Millisecond)))
+		job.Deadline = now.Add(time.Duration(milliseconds * float64(time.Millisecond)))
 	}
 	return job, nil
 }
 
-// parsePrompt reads the headers of a request for a model.
+// parsePrompt parses the headers that describe the prompt and the output of a request for an engine. Without a prefix-hash header the
+// prompt is one part that is shared with no other request.
 func parsePrompt(header http.Header, job *Job) error {
 	usage := header.Get(headerTokenUsage)
 	prompt, output, ok := parseUsage(usage)
 	if !ok {
-		return &HeaderError{Header: headerTokenUsage, Found: usage}
+		return &HeaderError{Header: headerTokenUsage, Value: usage}
 	}
 	job.Output = output
-	list := header.Get(headerPrefixHash)
-	if list == "" {
+	hashes := header.Get(headerPrefixHash)
+	if hashes == "" {
 		job.Parts = []Part{{ID: header.Get(headerRequestID), Tokens: prompt}}
 		return nil
 	}
-	for item := range strings.SplitSeq(list, ",") {
+	for item := range strings.SplitSeq(hashes, ",") {
 		id, count, _ := strings.Cut(strings.TrimSpace(item), ":")
 		tokens, err := strconv.Atoi(count)
 		if id == "" || err != nil || tokens < 0 {
-			return &HeaderError{Header: headerPrefixHash, Found: list}
+			return &HeaderError{Header: headerPrefixHash, Value: hashes}
 		}
 		job.Parts = append(job.Parts, Part{ID: id, Tokens: tokens})
 	}
 	return nil
 }
 
-// parseUsage reads "prompt,output".
+// parseUsage parses "prompt,output", two numbers of tokens.
 func parseUsage(text string) (prompt, output int, ok bool) {
 	first, second, found := strings.Cut(text, ",")
 	prompt, err := strconv.Atoi(strings.TrimSpace(first))
@@ -100,15 +102,15 @@
 	return prompt, output, true
 }
 
-// parseLastEvent reads the number of the event after which a stream goes on; 0: it begins.
-func parseLastEvent(header http.Header) (int, error) {
+// parseLastEventID returns the number of the last event that the client has received; 0: none, the stream starts from the beginning.
+func parseLastEventID(header http.Header) (int, error) {
 	text := header.Get(headerLastEventID)
 	if text == "" {
 		return 0, nil
 	}
 	number, err := strconv.Atoi(text)
 	if err != nil || number < 0 {
-		return 0, &HeaderError{Header: headerLastEventID, Found: text}
+		return 0, &HeaderError{Header: headerLastEventID, Value: text}
 	}
 	return number, nil
 }
--- a/internal/emulator/serve.go
+++ b/internal/emulator/serve.go
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// ServeHTTP serves requests, health checks and reports.
+// ServeHTTP serves health checks, load reports and requests.
 func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.Method == http.MethodGet && r.URL.Path == "/report":
-		e.answerReport(w)
+		e.serveReport(w)
 	case r.Method == http.MethodGet && r.URL.Path == e.options.HealthPath:
-		e.answerHealth(w)
+		e.serveHealth(w)
 	default:
-		e.take(w, r)
+		e.serveRequest(w, r)
 	}
 }
 
-// answerHealth tells whether the endpoint is well. Unlike a request, a check takes no place here.
-func (e *Endpoint) answerHealth(w http.ResponseWriter) {
+// serveHealth answers a health check: 200, or 503 while draining. A health check does not occupy a slot.
+func (e *Endpoint) serveHealth(w http.ResponseWriter) {
 	w.Header().Set(headerInstanceID, e.options.ID)
-	w.Header().Set(headerWarmup, strconv.FormatInt(e.warmupLeft().Milliseconds(), 10))
+	w.Header().Set(headerWarmup, strconv.FormatInt(e.remainingWarmup().Milliseconds(), 10))
 	if e.draining.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -33,7 +33,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// reportBody is the answer to GET /report.
+// reportBody is the JSON body of the response to GET /report.
 type reportBody struct {
 	Phase   string        `json:"phase"`
 	Models  []reportModel `json:"models"`
@@ -46,13 +46,14 @@
 	Handles int           `json:"handles"`
 }
 
+// reportModel describes a model that the endpoint serves.
 type reportModel struct {
 	Name       string   `json:"name"`
 	Generation int      `json:"generation"`
 	Loras      []string `json:"loras"`
 }
 
-// phaseDual is the phase of an engine that both prefills and decodes.
+// phaseDual is the phase of an engine that does both prefill and decode.
 const phaseDual = "dual"
 
 func (e *Endpoint) models() []reportModel {
@@ -62,10 +63,10 @@
 	return []reportModel{{Name: e.options.Model, Generation: e.options.Version, Loras: []string{}}}
 }
 
-func (e *Endpoint) answerReport(w http.ResponseWriter) {
-	load := e.driver.report()
+func (e *Endpoint) serveReport(w http.ResponseWriter) {
+	load := e.driver.delayedLoad()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(reportBody{ // a caller that went away asks again
+	_ = json.NewEncoder(w).Encode(reportBody{ // a client that disconnected sends a new request
 		Phase:   phaseDual,
 		Models:  e.models(),
 		Queued:  load.Queued,
@@ -75,40 +76,40 @@
 	})
 }
 
-// take runs a request, or tells that it did not.
-func (e *Endpoint) take(w http.ResponseWriter, r *http.Request) {
+// serveRequest validates a request and runs it. A rejection says that the request was not executed.
+func (e *Endpoint) serveRequest(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	id := r.Header.Get(headerRequestID)
 	if id == "" {
-		e.decline(w, http.StatusBadRequest, "a request wants an "+headerRequestID)
+		e.rejectNotExecuted(w, http.StatusBadRequest, "a request wants an "+headerRequestID)
 		return
 	}
 	w.Header().Set(headerRequestID, id)
 	if e.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	if e.misdirects(r.Header) {
-		e.misdirected.Add(1)
-		e.decline(w, http.StatusMisdirectedRequest, "meant for another endpoint")
+	if e.isMisdirected(r.Header) {
+		e.misdirectedCount.Add(1)
+		e.rejectNotExecuted(w, http.StatusMisdirectedRequest, "meant for another endpoint")
 		return
 	}
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		panic(http.ErrAbortHandler) // the caller broke off: there is nobody to answer
+		panic(http.ErrAbortHandler) // the client aborted the request, so no response is possible
 	}
 	job, err := parseJob(r.Header, arrived)
 	if err != nil {
-		e.decline(w, http.StatusBadRequest, err.Error())
+		e.rejectNotExecuted(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	if e.options.Engine != nil {
-		e.stream(w, r, job)
+		e.serveStream(w, r, job)
 		return
 	}
-	e.work(w, r, job)
+	e.serveService(w, r, job)
 }
 
-// misdirects tells whether a request is meant for another endpoint, or for other weights.
-func (e *Endpoint) misdirects(header http.Header) bool {
+// isMisdirected reports whether a request expects another instance or another version of the model's weights.
+func (e *Endpoint) isMisdirected(header http.Header) bool {
 	if expected := header.Get(headerExpectInstance); expected != "" && expected != e.options.ID {
 		return true
 	}
@@ -116,49 +117,49 @@
 	return expected != "" && expected != strconv.Itoa(e.options.Version)
 }
 
-// decline answers a request that did not run and never will.
-func (e *Endpoint) decline(w http.ResponseWriter, status int, reason string) {
+// rejectNotExecuted rejects a request with a header that says that it was not executed and never will be.
+func (e *Endpoint) rejectNotExecuted(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set(headerNotExecuted, "1")
 	http.Error(w, reason, status)
 }
 
-func (e *Endpoint) declineFull(w http.ResponseWriter) {
-	e.full.Add(1)
-	e.decline(w, http.StatusServiceUnavailable, "full")
+func (e *Endpoint) rejectOverloaded(w http.ResponseWriter) {
+	e.rejectedCount.Add(1)
+	e.rejectNotExecuted(w, http.StatusServiceUnavailable, "full")
 }
 
-// stamp marks the next run of this endpoint.
-func (e *Endpoint) stamp(w http.ResponseWriter) {
-	w.Header().Set(headerStamp, fmt.Sprintf("%s.%d", e.options.ID, e.run.Add(1)))
+// writeRunHeaders counts a run and sets the response headers that identify it.
+func (e *Endpoint) writeRunHeaders(w http.ResponseWriter) {
+	w.Header().Set(headerServerStamp, fmt.Sprintf("%s.%d", e.options.ID, e.runCount.Add(1)))
 	w.Header().Set(headerVersions, strconv.Itoa(e.options.Version))
 }
 
-// work runs a request of a plain service.
-func (e *Endpoint) work(w http.ResponseWriter, r *http.Request, job Job) {
-	job.Work = e.options.Work
+// serveService runs a request at a plain service.
+func (e *Endpoint) serveService(w http.ResponseWriter, r *http.Request, job Job) {
+	job.ServiceTime = e.options.Work
 	id, events, ok := e.driver.submit(job, 1)
 	if !ok {
-		e.declineFull(w)
+		e.rejectOverloaded(w)
 		return
 	}
 	select {
 	case event := <-events:
 		if event.Kind == EventExpired {
-			e.decline(w, http.StatusServiceUnavailable, "the deadline passed in the queue")
+			e.rejectNotExecuted(w, http.StatusServiceUnavailable, "the deadline passed in the queue")
 			return
 		}
 	case <-r.Context().Done():
-		e.abandon(id)
+		e.abortRequest(id)
 	}
-	e.stamp(w)
+	e.writeRunHeaders(w)
 	body := strings.Repeat("x", e.options.AnswerBytes)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	_, _ = io.WriteString(w, body) // a caller that went away has no use for it
+	_, _ = io.WriteString(w, body) // the client may have disconnected
 }
 
-// abandon ends a request whose caller has gone.
-func (e *Endpoint) abandon(id JobID) {
+// abortRequest cancels the job of a disconnected client and aborts the response.
+func (e *Endpoint) abortRequest(id JobID) {
 	e.driver.cancel(id)
-	e.cut.Add(1)
+	e.abortedCount.Add(1)
 	panic(http.ErrAbortHandler)
 }
--- a/internal/emulator/stream.go
+++ b/internal/emulator/stream.go
@@ -7,88 +7,89 @@
 	"strings"
 )
 
-// stream runs a request for a model: an event for every few tokens.
-func (e *Endpoint) stream(w http.ResponseWriter, r *http.Request, job Job) {
+// serveStream runs a request at an engine and streams its output as server-sent events.
+func (e *Endpoint) serveStream(w http.ResponseWriter, r *http.Request, job Job) {
 	if err := parsePrompt(r.Header, &job); err != nil {
-		e.decline(w, http.StatusBadRequest, err.Error())
+		e.rejectNotExecuted(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	last, err := parseLastEvent(r.Header)
+	lastEventID, err := parseLastEventID(r.Header)
 	if err != nil {
-		e.decline(w, http.StatusBadRequest, err.Error())
+		e.rejectNotExecuted(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	perEvent := e.options.Engine.TokensPerEvent
-	job.Done = min(last*perEvent, job.Output)
-	if job.Done == job.Output {
-		e.beginStream(w) // nothing is left of it
+	tokensPerEvent := e.options.Engine.TokensPerEvent
+	job.Delivered = min(lastEventID*tokensPerEvent, job.Output)
+	if job.Delivered == job.Output {
+		e.startStream(w) // the client has received all tokens already
 		return
 	}
-	const endings = 2 // a last event of fewer tokens, and one that tells of the end
-	id, events, ok := e.driver.submit(job, job.Output/perEvent+endings)
+	const extraEvents = 2 // one for the remaining tokens, and one for expiry or cut-off
+	id, events, ok := e.driver.submit(job, job.Output/tokensPerEvent+extraEvents)
 	if !ok {
-		e.declineFull(w)
+		e.rejectOverloaded(w)
 		return
 	}
-	e.relay(w, r, id, events)
+	e.writeEvents(w, r, id, events)
 }
 
-// relay writes the events of a job as they come.
-func (e *Endpoint) relay(w http.ResponseWriter, r *http.Request, id JobID, events <-chan Event) {
+// writeEvents writes the events of a job to the response as they arrive.
+func (e *Endpoint) writeEvents(w http.ResponseWriter, r *http.Request, id JobID, events <-chan Event) {
 	flusher := http.NewResponseController(w)
-	begun := false
+	started := false
 	for {
 		var event Event
 		select {
 		case event = <-events:
 		case <-r.Context().Done():
-			e.abandon(id)
+			e.abortRequest(id)
 		}
 		switch {
 		case event.Kind == EventExpired:
-			e.decline(w, http.StatusServiceUnavailable, "the deadline passed in the queue")
+			e.rejectNotExecuted(w, http.StatusServiceUnavailable, "the deadline passed in the queue")
 			return
 		case event.Kind == EventCutOff:
-			e.cutOff(w, begun)
+			e.endAtDeadline(w, started)
 			return
 		}
-		if !begun {
-			e.beginStream(w)
-			begun = true
+		if !started {
+			e.startStream(w)
+			started = true
 		}
-		if _, err := fmt.Fprintf(w, "id: %d\ndata: %s\n\n", event.Number, words(event.Tokens)); err != nil {
-			e.abandon(id)
+		if _, err := fmt.Fprintf(w, "id: %d\ndata: %s\n\n", event.Number, placeholderText(event.Tokens)); err != nil {
+			e.abortRequest(id)
 		}
 		if event.Last {
 			return
 		}
 		if err := flusher.Flush(); err != nil {
-			e.abandon(id)
+			e.abortRequest(id)
 		}
 	}
 }
 
-func (e *Endpoint) beginStream(w http.ResponseWriter) {
-	e.stamp(w)
+// startStream sends the headers of an event stream.
+func (e *Endpoint) startStream(w http.ResponseWriter) {
+	e.writeRunHeaders(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 }
 
-// cutOff ends a run at its deadline: with a failure, or, once the answer has begun, with a break.
-func (e *Endpoint) cutOff(w http.ResponseWriter, begun bool) {
-	e.cut.Add(1)
-	if begun {
+// endAtDeadline ends a request whose deadline passed during its run: with status 504, or, if the stream has started, by aborting it.
+func (e *Endpoint) endAtDeadline(w http.ResponseWriter, started bool) {
+	e.abortedCount.Add(1)
+	if started {
 		panic(http.ErrAbortHandler)
 	}
-	e.stamp(w)
+	e.writeRunHeaders(w)
 	http.Error(w, "the deadline passed", http.StatusGatewayTimeout)
 }
 
-// words stands for so many tokens.
-func words(tokens int) string {
-	text := make([]string, tokens)
-	for i := range text {
-		text[i] = "w" + strconv.Itoa(i)
+// placeholderText returns the given number of words, which stand for generated tokens.
+func placeholderText(tokens int) string {
+	words := make([]string, tokens)
+	for i := range words {
+		words[i] = "w" + strconv.Itoa(i)
 	}
-	return strings.Join(text, " ")
+	return strings.Join(words, " ")
 }
--- a/internal/experiment/demand.go
+++ b/internal/experiment/demand.go
@@ -14,34 +14,34 @@
 	"wallflow/internal/emulator"
 )
 
-// DemandFigures are those of one way of choosing at one demand.
+// DemandFigures are the results of one policy at one level of demand.
 type DemandFigures struct {
-	Demand  float64 `json:"demand"` // times the capacity of the engines
+	Demand  float64 `json:"demand"` // in multiples of the engines' capacity
 	Summary Summary `json:"summary"`
-	// InTime is how many requests a second were answered in time, mean over the seeds.
+	// InTime is the number of requests per second answered within their target latency, averaged over the seeds.
 	InTime float64 `json:"inTime"`
 }
 
-// Capacity is the factor of the default load at which the engines have no time left, if every opening is kept and load lies evenly: each
-// request takes the time to read its own part and, in a full batch, that of its tokens' steps.
+// Capacity returns the factor of DefaultLoad at which the engines are fully utilized, if all shared prefixes are cached and the load is
+// evenly balanced. Each request then costs the prefill time of its own suffix plus its share of the decode steps of a full batch.
 func Capacity(engine emulator.EngineOptions) float64 {
 	engine = engine.WithDefaults()
 	const engines = 1
-	fullStep := engine.Step + time.Duration(engine.Slots)*engine.StepPerJob
-	busy := 0.0
+	fullBatchStep := engine.StepTime + time.Duration(engine.Slots)*engine.StepTimePerJob
+	utilization := 0.0
 	for _, kind := range DefaultLoad(engines, 1) {
-		own := float64(kind.OwnMin+kind.OwnMax) / 2
+		suffix := float64(kind.SuffixMin+kind.SuffixMax) / 2
 		output := float64(kind.OutputMin+kind.OutputMax) / 2
-		milliseconds := own/engine.PrefillPerMs + output*float64(fullStep.Microseconds())/1e3/float64(engine.Slots)
-		busy += kind.Rate * milliseconds / 1e3
+		milliseconds := suffix/engine.PrefillPerMs + output*float64(fullBatchStep.Microseconds())/1e3/float64(engine.Slots)
+		utilization += kind.Rate * milliseconds / 1e3
 	}
-	return 1 / busy
+	return 1 / utilization
 }
 
-// DemandSweep plays ways of choosing at several demands, in multiples of the capacity.
+// DemandSweep runs each policy at several levels of demand, given in multiples of Capacity.
 func DemandSweep(policies []string, options Options, demands []float64, seeds int) ([]DemandFigures, error) {
 	capacity := Capacity(options.Engine)
-	var all []DemandFigures
+	var results []DemandFigures
 	for _, demand := range demands {
 		options.Load = DefaultLoad(options.Engines, demand*capacity)
 		summaries, err := Sweep(policies, options, seeds)
@@ -49,21 +49,21 @@
 			return nil, err
 		}
 		for _, summary := range summaries {
-			inTime := 0
+			inTimeCount := 0
 			for _, kind := range summary.ByKind {
-				inTime += kind.InTime
+				inTimeCount += kind.InTime
 			}
-			all = append(all, DemandFigures{
+			results = append(results, DemandFigures{
 				Demand:  demand,
 				Summary: summary,
-				InTime:  float64(inTime) / float64(seeds) / options.For.Seconds(),
+				InTime:  float64(inTimeCount) / float64(seeds) / options.For.Seconds(),
 			})
 		}
 	}
-	return all, nil
+	return results, nil
 }
 
-// The plot of a sweep of demand.
+// Size of the plot.
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
@@ -75,32 +75,32 @@
 	color.RGBA{R: 0x94, G: 0x67, B: 0xbd, A: 0xff},
 }
 
-// PlotDemand draws the requests answered in time against demand, a line for each way of choosing, as SVG.
-func PlotDemand(out io.Writer, figures []DemandFigures) error {
-	drawn := plot.New()
-	drawn.X.Label.Text = "demand, times the capacity of the engines"
-	drawn.Y.Label.Text = "requests a second answered in time"
-	drawn.Y.Min = 0
+// PlotDemand writes an SVG plot of the requests answered in time against demand, with one line per policy.
+func PlotDemand(out io.Writer, results []DemandFigures) error {
+	chart := plot.New()
+	chart.X.Label.Text = "demand, times the capacity of the engines"
+	chart.Y.Label.Text = "requests a second answered in time"
+	chart.Y.Min = 0
 	lines := make(map[string]plotter.XYs)
-	var order []string
-	for _, each := range figures {
-		name := each.Summary.Policy
+	var policies []string
+	for _, result := range results {
+		name := result.Summary.Policy
 		if lines[name] == nil {
-			order = append(order, name)
+			policies = append(policies, name)
 		}
-		lines[name] = append(lines[name], plotter.XY{X: each.Demand, Y: each.InTime})
+		lines[name] = append(lines[name], plotter.XY{X: result.Demand, Y: result.InTime})
 	}
-	for index, name := range order {
+	for index, name := range policies {
 		line, err := plotter.NewLine(lines[name])
 		if err != nil {
 			return err
 		}
 		line.Color = plotColors[index%len(plotColors)]
-		drawn.Add(line)
-		drawn.Legend.Add(name, line)
+		chart.Add(line)
+		chart.Legend.Add(name, line)
 	}
 	canvas := vgsvg.New(plotWidth, plotHeight)
-	drawn.Draw(draw.New(canvas))
+	chart.Draw(draw.New(canvas))
 	_, err := canvas.WriteTo(out)
 	return err
 }
--- a/internal/experiment/demand_test.go
+++ b/internal/experiment/demand_test.go
@@ -11,8 +11,8 @@
 	"wallflow/internal/emulator"
 )
 
-// demandOptions are a small fleet whose engines have few places, so that demand can exceed them in a short play.
-func demandOptions() Options {
+// demandTestOptions returns a small fleet of engines with few slots, so that demand exceeds their capacity within a short run.
+func demandTestOptions() Options {
 	return Options{
 		Regions: 3,
 		Relays:  6,
@@ -23,61 +23,62 @@
 	}
 }
 
-// Beyond capacity the requests answered in time fall far less than without what relays tell each other, and not to nothing. The aim of nine
-// tenths of the goodput at capacity is not reached: a kind that must not starve goes on being read (docs/decisions.md).
+// Beyond capacity, the goodput of the selector falls far less than that of least-outstanding, and stays well above zero. It does not stay
+// at nine tenths of the goodput at capacity, because a kind of request that must not starve continues to be prefilled
+// (docs/decisions.md).
 func TestGoodputDoesNotCollapseBeyondCapacity(t *testing.T) {
 	t.Parallel()
-	figures, err := DemandSweep([]string{PolicySelector, PolicyLeast}, demandOptions(), []float64{1, 2}, 2)
+	results, err := DemandSweep([]string{PolicySelector, PolicyLeastOutstanding}, demandTestOptions(), []float64{1, 2}, 2)
 	assert.NilError(t, err)
 	inTime := map[string][]float64{}
-	for _, each := range figures {
-		inTime[each.Summary.Policy] = append(inTime[each.Summary.Policy], each.InTime)
+	for _, result := range results {
+		inTime[result.Summary.Policy] = append(inTime[result.Summary.Policy], result.InTime)
 	}
 	t.Logf("%v", inTime)
-	own, least := inTime[PolicySelector], inTime[PolicyLeast]
-	assert.Assert(t, own[1] > 0.6*own[0], "%v", own)
-	assert.Assert(t, own[1] > 3*least[1], "%v against %v", own, least)
+	selectorInTime, leastInTime := inTime[PolicySelector], inTime[PolicyLeastOutstanding]
+	assert.Assert(t, selectorInTime[1] > 0.6*selectorInTime[0], "%v", selectorInTime)
+	assert.Assert(t, selectorInTime[1] > 3*leastInTime[1], "%v against %v", selectorInTime, leastInTime)
 }
 
-// Three seconds after a burst requests that arrive are answered as before it.
-func TestWaitingIsNormalSoonAfterABurst(t *testing.T) {
+// Requests that arrive at least three seconds after a burst are answered as before it.
+func TestGoodputRecoversSoonAfterBurst(t *testing.T) {
 	t.Parallel()
-	options := demandOptions()
+	options := demandTestOptions()
 	options.For = 14 * time.Second
 	options.Load = DefaultLoad(options.Engines, 0.5*Capacity(options.Engine))
-	options.Burst = Burst{From: 4 * time.Second, To: 7 * time.Second, Factor: 5}
-	options.After = 10 * time.Second
-	figures, err := Play(PolicySelector, options)
+	options.Burst = Burst{Start: 4 * time.Second, End: 7 * time.Second, Factor: 5}
+	options.MeasureAfter = 10 * time.Second
+	result, err := Run(PolicySelector, options)
 	assert.NilError(t, err)
-	assert.Assert(t, figures.LaterInTime > 0.9, "%+v", figures)
+	assert.Assert(t, result.GoodputAfter > 0.9, "%+v", result)
 }
 
-// A region's engines are lost under load: the others take its requests on without collapse.
-func TestALostRegionIsBorne(t *testing.T) {
+// When all engines of a region fail under load, the other regions serve its requests without a collapse of goodput.
+func TestGoodputSurvivesRegionLoss(t *testing.T) {
 	t.Parallel()
-	options := demandOptions()
+	options := demandTestOptions()
 	options.Load = DefaultLoad(options.Engines, 0.4*Capacity(options.Engine))
-	options.Lost, options.After = 4*time.Second, 7*time.Second
-	figures, err := Play(PolicySelector, options)
+	options.Lost, options.MeasureAfter = 4*time.Second, 7*time.Second
+	result, err := Run(PolicySelector, options)
 	assert.NilError(t, err)
-	assert.Assert(t, figures.LaterInTime > 0.85, "%+v", figures)
+	assert.Assert(t, result.GoodputAfter > 0.85, "%+v", result)
 }
 
-// Engines of unlike speed, of which nobody told the selector, are used better than by counting requests.
-func TestUnlikeEnginesAreLearned(t *testing.T) {
+// The selector, which is not told that engines differ in speed, achieves a higher goodput with them than least-outstanding does.
+func TestSelectorLearnsEngineSpeeds(t *testing.T) {
 	t.Parallel()
-	options := demandOptions()
+	options := demandTestOptions()
 	options.Unlike = []float64{1, 2, 1, 2, 3, 1}
 	options.Load = DefaultLoad(options.Engines, 0.4*Capacity(options.Engine))
-	own, err := Play(PolicySelector, options)
+	selectorResult, err := Run(PolicySelector, options)
 	assert.NilError(t, err)
-	least, err := Play(PolicyLeast, options)
+	leastResult, err := Run(PolicyLeastOutstanding, options)
 	assert.NilError(t, err)
-	assert.Assert(t, own.Goodput > least.Goodput, "%v against %v", own.Goodput, least.Goodput)
+	assert.Assert(t, selectorResult.Goodput > leastResult.Goodput, "%v against %v", selectorResult.Goodput, leastResult.Goodput)
 }
 
-// The plot names every way of choosing.
-func TestPlotOfDemand(t *testing.T) {
+// The plot of two policies is an SVG file of plausible size.
+func TestPlotDemandWritesSVG(t *testing.T) {
 	t.Parallel()
 	var out bytes.Buffer
 	assert.NilError(t, PlotDemand(&out, []DemandFigures{
--- a/internal/experiment/doc.go
+++ b/internal/experiment/doc.go
@@ -1,4 +1,4 @@
-// Package experiment plays ways of choosing endpoints against the emulator's engines, under a virtual clock: the selector of the
-// relays, two simple ways to compare with (the fewest outstanding requests, turns), and an oracle that sees into every engine. Equal
-// seeds give equal plays.
+// Package experiment compares endpoint selection policies in a discrete-event simulation with emulated inference engines and a virtual
+// clock. The policies are the relays' selector, two baselines (least outstanding requests, round robin), and an oracle that knows the
+// state of every engine. Equal seeds give equal results.
 package experiment
--- a/internal/experiment/example_test.go
+++ b/internal/experiment/example_test.go
@@ -7,10 +7,10 @@
 	"wallflow/internal/experiment"
 )
 
-// An oracle, which sees into every engine, answers all requests of a light load in time.
-func ExamplePlay() {
+// The oracle policy, which knows the state of every engine, answers all requests of a light load in time.
+func ExampleRun() {
 	const engines = 6
-	figures, err := experiment.Play(experiment.PolicyOracle, experiment.Options{
+	result, err := experiment.Run(experiment.PolicyOracle, experiment.Options{
 		Regions: 3,
 		Relays:  3,
 		Engines: engines,
@@ -18,6 +18,6 @@
 		For:     5 * time.Second,
 		Seed:    1,
 	})
-	fmt.Println(err, figures.Policy, figures.InTime == figures.Requests)
+	fmt.Println(err, result.Policy, result.InTime == result.Requests)
 	// Output: <nil> oracle true
 }
--- a/internal/experiment/options.go
+++ b/internal/experiment/options.go
@@ -8,29 +8,29 @@
 	"wallflow/internal/emulator"
 )
 
-// Options describe a play.
+// Options configure a simulation run.
 type Options struct {
 	Regions int
-	Relays  int // in all, spread over the regions
-	Engines int // in all, spread over the regions
+	Relays  int // total, spread over the regions
+	Engines int // total, spread over the regions
 	Engine  emulator.EngineOptions
 	Load    []RequestKind
-	For     time.Duration // requests arrive for so long
+	For     time.Duration // virtual time during which requests arrive
 	Seed    uint64
 
-	Unlike []float64     // how many times as slow engines are, in turn; none: all as the options say
-	Burst  Burst         // a time of higher demand
-	After  time.Duration // requests that arrive later are also counted apart; 0: none are
-	Lost   time.Duration // when the last region loses its engines; 0: never
+	Unlike       []float64     // slowdown factors, assigned to engines in rotation; empty: all engines run at the speed of Engine
+	Burst        Burst         // an interval with a different arrival rate
+	MeasureAfter time.Duration // start of the requests that Result.GoodputAfter counts; 0: none
+	Lost         time.Duration // when all engines of the last region fail; 0: never
 }
 
-// Burst is a time in which requests come more often.
+// Burst is an interval in which the arrival rate is multiplied by Factor.
 type Burst struct {
-	From, To time.Duration // after the start
-	Factor   float64
+	Start, End time.Duration // relative to the start of the run
+	Factor     float64       // 0: no burst
 }
 
-// longestTimeout is how long a request may last.
+// longestTimeout returns the maximum timeout of all kinds of requests.
 func (o *Options) longestTimeout() time.Duration {
 	longest := time.Duration(0)
 	for index := range o.Load {
@@ -39,79 +39,80 @@
 	return longest
 }
 
-// engine is the engine at an index.
-func (o *Options) engine(index int) emulator.EngineOptions {
+// engineOptions returns the options of the engine at an index, with its slowdown applied.
+func (o *Options) engineOptions(index int) emulator.EngineOptions {
 	engine := o.Engine
 	if len(o.Unlike) == 0 {
 		return engine
 	}
-	slower := o.Unlike[index%len(o.Unlike)]
-	engine.PrefillPerMs /= slower
-	engine.Step = time.Duration(float64(engine.Step) * slower)
-	engine.StepPerJob = time.Duration(float64(engine.StepPerJob) * slower)
+	slowdown := o.Unlike[index%len(o.Unlike)]
+	engine.PrefillPerMs /= slowdown
+	engine.StepTime = time.Duration(float64(engine.StepTime) * slowdown)
+	engine.StepTimePerJob = time.Duration(float64(engine.StepTimePerJob) * slowdown)
 	return engine
 }
 
-// RequestKind is one kind of request for a model.
+// RequestKind describes one kind of requests to a model.
 type RequestKind struct {
-	Name       string
-	Rate       float64 // a second, over all relays
-	Openings   int     // how many shared openings there are
-	Skew       float64 // of their popularity: 0 none is more popular than another
-	OpeningMin int     // tokens of an opening
-	OpeningMax int
-	OwnMin     int // tokens that belong to a request itself
-	OwnMax     int
-	OutputMin  int // tokens of an answer
-	OutputMax  int
-	Aim        time.Duration // an answer whose first token comes later is late
-	Timeout    time.Duration
-	Priority   int // 0 is the most urgent
+	Name         string
+	Rate         float64 // requests per second, over all relays
+	Prefixes     int     // number of different shared prompt prefixes
+	ZipfExponent float64 // exponent of the Zipf distribution of prefixes; 0: uniform
+	PrefixMin    int     // tokens of a shared prefix
+	PrefixMax    int
+	SuffixMin    int // tokens of the part of the prompt that is not shared
+	SuffixMax    int
+	OutputMin    int // output tokens
+	OutputMax    int
+	Target       time.Duration // target latency of the first token; later responses do not count as in time
+	Timeout      time.Duration
+	Priority     int // 0 is the most urgent
 }
 
-// The load of the deployments that the system is built for, a second and engine.
+// Load of the deployments that the system is designed for, in requests per second and engine.
 const (
-	largePerEngine = 0.66
-	smallPerEngine = 8.4
+	largeRatePerEngine = 0.66
+	smallRatePerEngine = 8.4
 )
 
-// DefaultLoad is the mix of the known deployments for so many engines, times a factor.
+// DefaultLoad returns the request mix of the known deployments, scaled to the number of engines and multiplied by factor.
 func DefaultLoad(engines int, factor float64) []RequestKind {
 	scale := float64(engines) * factor
 	return []RequestKind{
 		{
-			Name: "large", Rate: largePerEngine * scale, Openings: 101, Skew: 0.3, OpeningMin: 4000, OpeningMax: 26000,
-			OwnMin: 400, OwnMax: 10000, OutputMin: 20, OutputMax: 300, Aim: 1200 * time.Millisecond, Timeout: 8 * time.Second, Priority: 1,
+			Name: "large", Rate: largeRatePerEngine * scale, Prefixes: 101, ZipfExponent: 0.3, PrefixMin: 4000, PrefixMax: 26000,
+			SuffixMin: 400, SuffixMax: 10000, OutputMin: 20, OutputMax: 300,
+			Target: 1200 * time.Millisecond, Timeout: 8 * time.Second, Priority: 1,
 		},
 		{
-			Name: "small", Rate: smallPerEngine * scale, Openings: 40, OpeningMin: 30, OpeningMax: 140,
-			OwnMin: 50, OwnMax: 900, OutputMin: 10, OutputMax: 120, Aim: 800 * time.Millisecond, Timeout: 5 * time.Second,
+			Name: "small", Rate: smallRatePerEngine * scale, Prefixes: 40, PrefixMin: 30, PrefixMax: 140,
+			SuffixMin: 50, SuffixMax: 900, OutputMin: 10, OutputMax: 120, Target: 800 * time.Millisecond, Timeout: 5 * time.Second,
 		},
 	}
 }
 
-// OptionsError says which option can't be used.
+// OptionsError reports an invalid option.
 type OptionsError struct {
-	Option string
-	Want   string
+	Option      string
+	Requirement string
 }
 
-// Error puts it on one line.
-func (e *OptionsError) Error() string { return "experiment: " + e.Option + ": " + e.Want }
+// Error returns the message.
+func (e *OptionsError) Error() string { return "experiment: " + e.Option + ": " + e.Requirement }
 
-// Check tells whether the options can be played.
+// Check returns an OptionsError for the first invalid option.
 func (o *Options) Check() error {
 	switch {
 	case o.Regions < 1:
-		return trace.Wrap(&OptionsError{Option: "regions", Want: "at least 1"})
+		return trace.Wrap(&OptionsError{Option: "regions", Requirement: "at least 1"})
 	case o.Relays < o.Regions:
-		return trace.Wrap(&OptionsError{Option: "relays", Want: "at least one in each region"})
+		return trace.Wrap(&OptionsError{Option: "relays", Requirement: "at least one in each region"})
 	case o.Engines < o.Regions:
-		return trace.Wrap(&OptionsError{Option: "engines", Want: "at least one in each region"})
+		return trace.Wrap(&OptionsError{Option: "engines", Requirement: "at least one in each region"})
 	case o.For <= 0:
-		return trace.Wrap(&OptionsError{Option: "for", Want: "a time above 0"})
+		return trace.Wrap(&OptionsError{Option: "for", Requirement: "a time above 0"})
 	case len(o.Load) == 0:
-		return trace.Wrap(&OptionsError{Option: "load", Want: "at least one kind of request"})
+		return trace.Wrap(&OptionsError{Option: "load", Requirement: "at least one kind of request"})
 	}
 	return nil
 }
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -6,170 +6,176 @@
 	"github.com/gravitational/trace"
 )
 
-// policy chooses engines for the relays of a play.
+// policy selects engines for the requests of all relays. The simulation calls its methods as a request progresses.
 type policy interface {
-	arrive(r *request) // a request has come to its relay
-	full(a *attempt)   // the engine had no place
-	first(a *attempt)  // the first token came
-	served(a *attempt) // the whole answer came
-	gone(a *attempt)   // the client gave up
+	requestArrived(r *request)     // a request has arrived at its relay
+	attemptRejected(a *attempt)    // the engine rejected the attempt or is unreachable
+	firstTokenReceived(a *attempt) // the first token has arrived
+	attemptCompleted(a *attempt)   // the whole response has arrived
+	attemptAborted(a *attempt)     // the attempt ended without a full response: the client gave up, or the engine failed
 }
 
-type newPolicy func(w *world) policy
+// policyConstructor creates a policy for a simulation.
+type policyConstructor func(sim *simulation) policy
 
-// The ways of choosing.
+// Names of the policies.
 const (
-	PolicySelector = "selector"
-	PolicyLone     = "selector-alone"
-	PolicyLeast    = "least-outstanding"
-	PolicyTurns    = "round-robin"
-	PolicyOracle   = "oracle"
+	PolicySelector         = "selector"
+	PolicySelectorAlone    = "selector-alone"
+	PolicyLeastOutstanding = "least-outstanding"
+	PolicyRoundRobin       = "round-robin"
+	PolicyOracle           = "oracle"
 )
 
-// Policies names all ways of choosing, the system's own first.
+// Policies returns the names of all policies, the relays' selector first.
 func Policies() []string {
-	return []string{PolicySelector, PolicyLone, PolicyLeast, PolicyTurns, PolicyOracle}
+	return []string{PolicySelector, PolicySelectorAlone, PolicyLeastOutstanding, PolicyRoundRobin, PolicyOracle}
 }
 
-func policyNamed(name string) (newPolicy, error) {
+// lookupPolicy returns the constructor of the policy with the given name.
+func lookupPolicy(name string) (policyConstructor, error) {
 	switch name {
 	case PolicySelector:
 		return newSelectorPolicy, nil
-	case PolicyLone:
-		return newLoneSelectorPolicy, nil
-	case PolicyLeast:
-		return func(w *world) policy { return &ranked{world: w, cost: newLeast(w)} }, nil
-	case PolicyTurns:
-		return func(w *world) policy { return &ranked{world: w, cost: newTurns(w)} }, nil
+	case PolicySelectorAlone:
+		return newSelectorAlonePolicy, nil
+	case PolicyLeastOutstanding:
+		return func(sim *simulation) policy { return &leastCostPolicy{sim: sim, costs: newLeastOutstanding(sim)} }, nil
+	case PolicyRoundRobin:
+		return func(sim *simulation) policy { return &leastCostPolicy{sim: sim, costs: newRoundRobin(sim)} }, nil
 	case PolicyOracle:
-		return func(w *world) policy { return &ranked{world: w, cost: &oracle{world: w}} }, nil
+		return func(sim *simulation) policy { return &leastCostPolicy{sim: sim, costs: &oracle{sim: sim}} }, nil
 	}
-	return nil, trace.Wrap(&OptionsError{Option: "policy", Want: "one of selector, selector-alone, least-outstanding, round-robin, oracle"})
+	return nil, trace.Wrap(&OptionsError{Option: "policy",
+		Requirement: "one of selector, selector-alone, least-outstanding, round-robin, oracle"})
 }
 
-// coster ranks engines for a request; the one with the least cost is taken.
-type coster interface {
-	cost(r *request, engine int) float64
-	sent(r *request, engine int)
-	ended(a *attempt)
+// costModel estimates the cost of sending a request to an engine, and is notified of the attempts that are sent and end.
+type costModel interface {
+	estimate(r *request, engine int) float64
+	attemptSent(r *request, engine int)
+	attemptEnded(a *attempt)
 }
 
-// fullPause is how long a simple policy waits before it asks again when every engine was full.
-const fullPause = 50 * time.Millisecond
+// allFullRetryDelay is the wait before a request is tried again after all engines have rejected it.
+const allFullRetryDelay = 50 * time.Millisecond
 
-// ranked sends each request to the engine of least cost, and to the next one where that is full.
-type ranked struct {
-	world *world
-	cost  coster
+// leastCostPolicy sends each request to the engine with the lowest estimated cost, and to the next one if that engine rejects it.
+type leastCostPolicy struct {
+	sim   *simulation
+	costs costModel
 }
 
-func (p *ranked) arrive(r *request) { p.send(r, nil) }
+func (p *leastCostPolicy) requestArrived(r *request) { p.send(r, nil) }
 
-// send chooses among the engines that have not turned the request down.
-func (p *ranked) send(r *request, refused map[int]bool) {
-	best, least := -1, 0.0
-	for index := range p.world.engines {
-		if refused[index] {
+// send sends the request to the best engine that is not excluded. Engines that have rejected the request are excluded.
+func (p *leastCostPolicy) send(r *request, excluded map[int]bool) {
+	best, lowest := -1, 0.0
+	for index := range p.sim.engines {
+		if excluded[index] {
 			continue
 		}
-		if cost := p.cost.cost(r, index); best < 0 || cost < least {
-			best, least = index, cost
+		if cost := p.costs.estimate(r, index); best < 0 || cost < lowest {
+			best, lowest = index, cost
 		}
 	}
 	if best < 0 {
-		p.world.at(p.world.now.Add(fullPause), func() {
+		p.sim.schedule(p.sim.now.Add(allFullRetryDelay), func() {
 			if !r.ended {
 				p.send(r, nil)
 			}
 		})
 		return
 	}
-	p.cost.sent(r, best)
-	p.world.send(r, best, refused)
+	p.costs.attemptSent(r, best)
+	p.sim.send(r, best, excluded)
 }
 
-func (p *ranked) full(a *attempt) {
-	p.cost.ended(a)
-	refused, _ := a.token.(map[int]bool)
-	again := map[int]bool{a.engine: true}
-	for index := range refused {
-		again[index] = true
+func (p *leastCostPolicy) attemptRejected(a *attempt) {
+	p.costs.attemptEnded(a)
+	excluded, _ := a.policyState.(map[int]bool)
+	extended := map[int]bool{a.engine: true}
+	for index := range excluded {
+		extended[index] = true
 	}
-	p.send(a.request, again)
+	p.send(a.request, extended)
 }
 
-func (p *ranked) first(*attempt)    {}
-func (p *ranked) served(a *attempt) { p.cost.ended(a) }
-func (p *ranked) gone(a *attempt)   { p.cost.ended(a) }
+func (p *leastCostPolicy) firstTokenReceived(*attempt) {}
+func (p *leastCostPolicy) attemptCompleted(a *attempt) { p.costs.attemptEnded(a) }
+func (p *leastCostPolicy) attemptAborted(a *attempt)   { p.costs.attemptEnded(a) }
 
-// least counts the requests that each relay has outstanding at each engine; the own region goes first where counts are equal.
-type least struct {
-	world       *world
+// leastOutstanding estimates cost by the number of requests that a relay has outstanding at an engine. The network delay breaks ties in
+// favor of the relay's own region.
+type leastOutstanding struct {
+	sim         *simulation
 	outstanding [][]int // by relay and engine
 }
 
-func newLeast(w *world) *least {
-	l := &least{world: w}
-	for range w.options.Relays {
-		l.outstanding = append(l.outstanding, make([]int, len(w.engines)))
+func newLeastOutstanding(sim *simulation) *leastOutstanding {
+	l := &leastOutstanding{sim: sim}
+	for range sim.options.Relays {
+		l.outstanding = append(l.outstanding, make([]int, len(sim.engines)))
 	}
 	return l
 }
 
-func (l *least) cost(r *request, engine int) float64 {
-	return float64(l.outstanding[r.relay][engine]) + l.world.delay(r.relay, engine).Seconds()
+func (l *leastOutstanding) estimate(r *request, engine int) float64 {
+	return float64(l.outstanding[r.relay][engine]) + l.sim.engineDelay(r.relay, engine).Seconds()
 }
 
-func (l *least) sent(r *request, engine int) { l.outstanding[r.relay][engine]++ }
-func (l *least) ended(a *attempt)            { l.outstanding[a.request.relay][a.engine]-- }
+func (l *leastOutstanding) attemptSent(r *request, engine int) { l.outstanding[r.relay][engine]++ }
+func (l *leastOutstanding) attemptEnded(a *attempt)            { l.outstanding[a.request.relay][a.engine]-- }
 
-// turns takes the engines of the own region in turn.
-type turns struct {
-	world *world
-	taken [][]int // by relay and engine
+// roundRobin sends requests to the engines of the relay's own region in rotation.
+type roundRobin struct {
+	sim        *simulation
+	sentCounts [][]int // attempts, by relay and engine
 }
 
-func newTurns(w *world) *turns {
-	t := &turns{world: w}
-	for range w.options.Relays {
-		t.taken = append(t.taken, make([]int, len(w.engines)))
+func newRoundRobin(sim *simulation) *roundRobin {
+	rr := &roundRobin{sim: sim}
+	for range sim.options.Relays {
+		rr.sentCounts = append(rr.sentCounts, make([]int, len(sim.engines)))
 	}
-	return t
+	return rr
 }
 
-// otherRegion keeps turns inside the own region while it has a place.
-const otherRegion = 1e12
+// otherRegionPenalty is an added cost that exceeds any count, so that a request goes to another region only after all engines of the
+// relay's own region have rejected it.
+const otherRegionPenalty = 1e12
 
-func (t *turns) cost(r *request, engine int) float64 {
-	cost := float64(t.taken[r.relay][engine])
-	if t.world.regionOfRelay(r.relay) != t.world.engines[engine].region {
-		cost += otherRegion
+func (rr *roundRobin) estimate(r *request, engine int) float64 {
+	cost := float64(rr.sentCounts[r.relay][engine])
+	if rr.sim.regionOfRelay(r.relay) != rr.sim.engines[engine].region {
+		cost += otherRegionPenalty
 	}
 	return cost
 }
 
-func (t *turns) sent(r *request, engine int) { t.taken[r.relay][engine]++ }
-func (t *turns) ended(*attempt)              {}
+func (rr *roundRobin) attemptSent(r *request, engine int) { rr.sentCounts[r.relay][engine]++ }
+func (rr *roundRobin) attemptEnded(*attempt)              {}
 
-// oracle sees into every engine: what it keeps, what it has still to read, and how many run.
+// oracle estimates cost from the actual state of every engine: its cached prefixes, its pending prefill and its running jobs.
 type oracle struct {
-	world *world
+	sim *simulation
 }
 
-func (o *oracle) cost(r *request, engine int) float64 {
-	target := o.world.engines[engine]
-	options := o.world.options.Engine
+// estimate returns the estimated time to the first token in nanoseconds. If no slot is free, it adds the request's timeout.
+func (o *oracle) estimate(r *request, engine int) float64 {
+	target := o.sim.engines[engine]
+	options := o.sim.options.Engine
 	load := target.Load()
-	toRead := float64(target.Unread(r.job(0)) + target.Backlog())
-	step := options.Step + time.Duration(load.Running+load.Queued+1)*options.StepPerJob
-	steps := 1 + toRead/float64(options.ChunkTokens)
-	reading := toRead / options.PrefillPerMs * float64(time.Millisecond)
-	cost := reading + steps*float64(step) + 2*float64(o.world.delay(r.relay, engine))
+	pendingTokens := float64(target.UncachedTokens(r.job(0)) + target.PendingPrefill())
+	step := options.StepTime + time.Duration(load.Running+load.Queued+1)*options.StepTimePerJob
+	steps := 1 + pendingTokens/float64(options.ChunkTokens)
+	prefillTime := pendingTokens / options.PrefillPerMs * float64(time.Millisecond)
+	cost := prefillTime + steps*float64(step) + 2*float64(o.sim.engineDelay(r.relay, engine))
 	if load.Running+load.Queued >= options.Slots {
 		cost += float64(r.kind.Timeout)
 	}
 	return cost
 }
 
-func (o *oracle) sent(*request, int) {}
-func (o *oracle) ended(*attempt)     {}
+func (o *oracle) attemptSent(*request, int) {}
+func (o *oracle) attemptEnded(*attempt)     {}
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Summary is what came of one way of choosing over several seeds.
+// Summary aggregates the results of one policy over several seeds.
 type Summary struct {
 	Policy      string        `json:"policy"`
 	Goodput     float64       `json:"goodput"` // mean over the seeds
 	GoodputLow  float64       `json:"goodputLow"`
 	GoodputHigh float64       `json:"goodputHigh"`
-	OfBest      float64       `json:"ofBest"` // goodput over that of the best way
-	ByKind      []KindFigures `json:"byKind"`
-	FirstP50    time.Duration `json:"firstP50"` // mean of the seeds' quantiles
+	OfBest      float64       `json:"ofBest"` // goodput relative to the best policy
+	ByKind      []KindResult  `json:"byKind"`
+	FirstP50    time.Duration `json:"firstP50"` // mean of the quantiles of all seeds
 	FirstP99    time.Duration `json:"firstP99"`
 	GapP99      time.Duration `json:"gapP99"`
-	Read        uint64        `json:"read"` // prompt tokens that engines read, mean
+	Read        uint64        `json:"read"` // tokens prefilled by all engines, mean over the seeds
 }
 
-// Sweep plays ways of choosing with so many seeds each, from the seed of the options on.
+// Sweep runs each policy with the given number of consecutive seeds, starting with options.Seed.
 func Sweep(policies []string, options Options, seeds int) ([]Summary, error) {
 	var summaries []Summary
 	for _, policy := range policies {
-		plays, err := playSeeds(policy, options, seeds)
+		results, err := runSeeds(policy, options, seeds)
 		if err != nil {
 			return nil, err
 		}
-		summaries = append(summaries, summarize(policy, plays))
+		summaries = append(summaries, summarize(policy, results))
 	}
 	best := 0.0
 	for _, summary := range summaries {
@@ -42,53 +42,55 @@
 	return summaries, nil
 }
 
-// playSeeds plays the seeds side by side. Each play stands alone, so their order has no say in the figures.
-func playSeeds(policy string, options Options, seeds int) ([]Figures, error) {
-	plays := make([]Figures, seeds)
-	failures := make([]error, seeds)
+// runSeeds runs the seeds in parallel. The runs are independent, so the results do not depend on their order.
+func runSeeds(policy string, options Options, seeds int) ([]Result, error) {
+	results := make([]Result, seeds)
+	errs := make([]error, seeds)
 	var group sync.WaitGroup
-	free := make(chan struct{}, runtime.GOMAXPROCS(0))
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for seed := range seeds {
-		free <- struct{}{}
+		slots <- struct{}{}
 		group.Go(func() {
-			defer func() { <-free }()
-			own := options
-			own.Seed += uint64(seed)
-			plays[seed], failures[seed] = Play(policy, own)
+			defer func() { <-slots }()
+			seeded := options
+			seeded.Seed += uint64(seed)
+			results[seed], errs[seed] = Run(policy, seeded)
 		})
 	}
 	group.Wait()
-	for _, failure := range failures {
-		if failure != nil {
-			return nil, failure
+	for _, err := range errs {
+		if err != nil {
+			return nil, err
 		}
 	}
-	return plays, nil
+	return results, nil
 }
 
-func summarize(policy string, plays []Figures) Summary {
-	sum := Summary{Policy: policy, GoodputLow: 1}
-	count := len(plays)
-	for _, play := range plays {
-		sum.Goodput += play.Goodput / float64(count)
-		sum.GoodputLow = min(sum.GoodputLow, play.Goodput)
-		sum.GoodputHigh = max(sum.GoodputHigh, play.Goodput)
-		sum.FirstP50 += play.FirstP50 / time.Duration(count)
-		sum.FirstP99 += play.FirstP99 / time.Duration(count)
-		sum.GapP99 += play.GapP99 / time.Duration(count)
-		sum.Read += play.Read / uint64(count)
-		sum.addKinds(play.ByKind)
+// summarize aggregates the results of one policy.
+func summarize(policy string, results []Result) Summary {
+	summary := Summary{Policy: policy, GoodputLow: 1}
+	count := len(results)
+	for _, result := range results {
+		summary.Goodput += result.Goodput / float64(count)
+		summary.GoodputLow = min(summary.GoodputLow, result.Goodput)
+		summary.GoodputHigh = max(summary.GoodputHigh, result.Goodput)
+		summary.FirstP50 += result.FirstTokenP50 / time.Duration(count)
+		summary.FirstP99 += result.FirstTokenP99 / time.Duration(count)
+		summary.GapP99 += result.GapP99 / time.Duration(count)
+		summary.Read += result.PrefilledTokens / uint64(count)
+		summary.addKindResults(result.ByKind)
 	}
-	for index := range sum.ByKind {
-		kind := &sum.ByKind[index]
+	for index := range summary.ByKind {
+		kind := &summary.ByKind[index]
 		kind.Goodput = ratio(kind.InTime, kind.Requests)
 	}
-	return sum
+	return summary
 }
 
-func (s *Summary) addKinds(kinds []KindFigures) {
+// addKindResults adds the counts of each kind of request.
+func (s *Summary) addKindResults(kinds []KindResult) {
 	if s.ByKind == nil {
-		s.ByKind = make([]KindFigures, len(kinds))
+		s.ByKind = make([]KindResult, len(kinds))
 	}
 	for index, kind := range kinds {
 		s.ByKind[index].Name = kind.Name
