--- a/cmd/wallflow/experiment.go
+++ b/cmd/wallflow/experiment.go
@@ -85,15 +85,15 @@
 
 func (o *experimentOptions) options() experiment.Options {
 	return experiment.Options{
-		Regions: o.regions,
-		Relays:  o.relays,
-		Engines: o.engines,
-		Engine:  emulator.EngineOptions{ChunkTokens: o.chunkTokens, Slots: o.slots},
-		Load:    experiment.DefaultLoad(o.engines, o.load),
-		For:     o.duration,
-		Seed:    o.seed,
-		Unlike:  o.slowdowns,
-		Lost:    o.regionLostAt,
+		Regions:         o.regions,
+		Relays:          o.relays,
+		Engines:         o.engines,
+		Engine:          emulator.EngineOptions{ChunkTokens: o.chunkTokens, Slots: o.slots},
+		Load:            experiment.DefaultLoad(o.engines, o.load),
+		Duration:        o.duration,
+		Seed:            o.seed,
+		Slowdowns:       o.slowdowns,
+		RegionFailureAt: o.regionLostAt,
 	}
 }
 
@@ -116,7 +116,7 @@
 	return printResult(out, o.asJSON, summaries, func() { writeDemand(out, summaries) })
 }
 
-func (o *experimentOptions) writePlot(summaries []experiment.DemandFigures) error {
+func (o *experimentOptions) writePlot(summaries []experiment.DemandResult) error {
 	file, err := os.Create(o.plot)
 	if err != nil {
 		return err
@@ -128,13 +128,13 @@
 	return file.Close()
 }
 
-func writeDemand(out io.Writer, summaries []experiment.DemandFigures) {
+func writeDemand(out io.Writer, summaries []experiment.DemandResult) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "demand\tpolicy\tin time a second\tshare\tfirst p50\tfirst p99\ttokens read\tby kind")
 	for _, each := range summaries {
 		summary := each.Summary
-		fmt.Fprintf(table, "%.2f\t%s\t%.1f\t%.3f\t%v\t%v\t%d\t", each.Demand, summary.Policy, each.InTime, summary.Goodput,
-			summary.FirstP50.Round(time.Millisecond), summary.FirstP99.Round(time.Millisecond), summary.Read)
+		fmt.Fprintf(table, "%.2f\t%s\t%.1f\t%.3f\t%v\t%v\t%d\t", each.Demand, summary.Policy, each.InTimePerSecond, summary.Goodput,
+			summary.FirstTokenP50.Round(time.Millisecond), summary.FirstTokenP99.Round(time.Millisecond), summary.PrefilledTokens)
 		for _, kind := range summary.ByKind {
 			fmt.Fprintf(table, "%s %.3f ", kind.Name, kind.Goodput)
 		}
@@ -148,8 +148,8 @@
 	fmt.Fprintln(table, "policy\tin time\tlow\thigh\tof best\tfirst p50\tfirst p99\tpause p99\ttokens read\tby kind")
 	for _, summary := range summaries {
 		fmt.Fprintf(table, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%v\t%v\t%v\t%d\t", summary.Policy, summary.Goodput, summary.GoodputLow,
-			summary.GoodputHigh, summary.OfBest, summary.FirstP50.Round(time.Millisecond), summary.FirstP99.Round(time.Millisecond),
-			summary.GapP99.Round(time.Millisecond), summary.Read)
+			summary.GoodputHigh, summary.RelativeGoodput, summary.FirstTokenP50.Round(time.Millisecond), summary.FirstTokenP99.Round(time.Millisecond),
+			summary.GapP99.Round(time.Millisecond), summary.PrefilledTokens)
 		for _, kind := range summary.ByKind {
 			fmt.Fprintf(table, "%s %.3f ", kind.Name, kind.Goodput)
 		}
--- a/cmd/wallflow/experiment_test.go
+++ b/cmd/wallflow/experiment_test.go
@@ -24,7 +24,7 @@
 	var summaries []experiment.Summary
 	assert.NilError(t, json.Unmarshal(out.Bytes(), &summaries))
 	assert.Equal(t, len(summaries), 1)
-	assert.Equal(t, summaries[0].OfBest, 1.0)
+	assert.Equal(t, summaries[0].RelativeGoodput, 1.0)
 }
 
 func TestExperimentRejectsInvalidOptions(t *testing.T) {
--- a/cmd/wallflow/main_test.go
+++ b/cmd/wallflow/main_test.go
@@ -154,7 +154,7 @@
 	if err == nil {
 		err = json.Unmarshal(data, &r)
 	}
-	if err != nil || r.Verdict != "held" || r.Seed != 4 || r.Figures.HandIns < 50 || r.Figures.RelayCPU <= 0 ||
+	if err != nil || r.Verdict != "held" || r.Seed != 4 || r.Figures.Submissions < 50 || r.Figures.RelayCPU <= 0 ||
 		r.Checked.Judged["taken-is-ended"] < 50 {
 		t.Errorf("%v: %.300s", err, data)
 	}
--- a/cmd/wallflow/trial.go
+++ b/cmd/wallflow/trial.go
@@ -80,7 +80,7 @@
 				fmt.Fprintf(out, "  %s\n", name)
 			}
 			fmt.Fprintln(out, "steps of a plan, and their targets")
-			for _, line := range trial.Doings() {
+			for _, line := range trial.ActionLines() {
 				fmt.Fprintf(out, "  %s\n", line)
 			}
 			return nil
@@ -122,7 +122,7 @@
 	if _, err := exec.LookPath(relay); err != nil {
 		return o, fmt.Errorf("--relay: %w (build it with the README's command)", err)
 	}
-	return trial.Options{Load: l, Seed: seed, For: a.Trial.For.Duration, Relay: relay, Program: self, Log: a.log,
+	return trial.Options{Load: l, Seed: seed, LoadDuration: a.Trial.For.Duration, Relay: relay, Program: self, Log: a.log,
 		Keeper: func() *exec.Cmd { return exec.Command(self, "trial", "keeper") }}, nil
 }
 
@@ -170,7 +170,7 @@
 			}
 			out := cmd.Root().Writer
 			if !o.quiet {
-				fmt.Fprintf(out, "%s, load %s (%s), seed %d, %v\n", sc.Name, opts.Load.Name, opts.Load.About, opts.Seed, opts.For)
+				fmt.Fprintf(out, "%s, load %s (%s), seed %d, %v\n", sc.Name, opts.Load.Name, opts.Load.About, opts.Seed, opts.LoadDuration)
 				opts.Progress = func(p trial.Progress) { printProgress(out, p) }
 			}
 			res, err := trial.Run(ctx, sc, opts)
@@ -193,10 +193,10 @@
 
 func printProgress(out io.Writer, p trial.Progress) {
 	const width = 20
-	filled := min(width, int(width*p.Time/max(p.Of, 1)))
+	filled := min(width, int(width*p.Time/max(p.Total, 1)))
 	fmt.Fprintf(out, "[%s%s] %4.0f s  relays %d  submitted %d  pending %d  %s\n", strings.Repeat("#", filled),
 		strings.Repeat(".", width-filled), p.Time.Seconds(), p.Running,
-		p.Handed, p.Handed-p.Ended, p.Doing)
+		p.Submitted, p.Submitted-p.Finished, p.LastFault)
 }
 
 // result is the result of a trial as written by --json.
@@ -207,14 +207,14 @@
 	Verdict  string         `json:"verdict"`
 	Why      string         `json:"why,omitempty"`
 	Checked  *check.Verdict `json:"checked,omitempty"`
-	Figures  report.Figures `json:"figures"`
+	Figures  report.Metrics `json:"figures"`
 }
 
 // newResult converts the outcome of a trial. The verdict is "not played" if there is an error.
 func (a *app) newResult(res *trial.Result, err error) result {
 	r := result{Load: a.Trial.Load, Verdict: "held"}
 	if res != nil {
-		r.Scenario, r.Checked, r.Figures = res.Scenario, &res.Verdict, res.Figures
+		r.Scenario, r.Checked, r.Figures = res.Scenario, &res.Verdict, res.Metrics
 		if res.Plan != nil {
 			r.Seed = res.Plan.Seed
 		}
@@ -240,7 +240,7 @@
 	}
 	if err == nil {
 		if !o.quiet {
-			res.Figures.Text(out)
+			res.Metrics.Text(out)
 			printCheckCounts(out, &res.Verdict)
 		}
 		if o.htmlFile != "" {
@@ -379,7 +379,7 @@
 		return errCheckFailed
 	case count["not played"] > 0:
 		fmt.Fprintln(out, "verdict: not played")
-		return fmt.Errorf("%w on %d seeds", trial.ErrNotPlayed, count["not played"])
+		return fmt.Errorf("%w on %d seeds", trial.ErrNoVerdict, count["not played"])
 	}
 	fmt.Fprintln(out, "verdict: held")
 	return nil
@@ -430,6 +430,6 @@
 	return &cli.Command{
 		Name:   "keeper",
 		Hidden: true,
-		Action: a.action(noArguments, func(_ context.Context, cmd *cli.Command) error { return proc.Keep(cmd.Root().Reader) }),
+		Action: a.action(noArguments, func(_ context.Context, cmd *cli.Command) error { return proc.RunKeeper(cmd.Root().Reader) }),
 	}
 }
--- a/cmd/wallflow/up.go
+++ b/cmd/wallflow/up.go
@@ -117,7 +117,7 @@
 		if err != nil {
 			return "", nil, err
 		}
-		return dir, func() error { return os.RemoveAll(dir) }, keeper.Folder(dir)
+		return dir, func() error { return os.RemoveAll(dir) }, keeper.AddFolder(dir)
 	}
 	if dir, err = filepath.Abs(requested); err != nil {
 		return "", nil, fmt.Errorf("--dir: %w", err)
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -24,16 +24,16 @@
 	Warmup     time.Duration // time after the start during which the endpoint reports itself as cold
 	ReportLag  time.Duration // age of the load that GET /report returns
 
-	Engine       *EngineOptions      // nil: a plain service instead of an engine
-	Model        string              // name of the model that the engine serves
-	Version      int                 // version of the model's weights
-	PlainService PlainServiceOptions // slots and queue of a plain service
-	Work         time.Duration       // processing time of one request of a plain service
-	AnswerBytes  int                 // response body size of a plain service
-
-	Control   []string      // addresses of the control processes; none: no heartbeats are sent
-	Heartbeat time.Duration // interval
-	Log       *slog.Logger  // nil: no logging
+	Engine        *EngineOptions      // nil: a plain service instead of an engine
+	Model         string              // name of the model that the engine serves
+	Version       int                 // version of the model's weights
+	PlainService  PlainServiceOptions // slots and queue of a plain service
+	ServiceTime   time.Duration       // processing time of one request of a plain service
+	ResponseBytes int                 // response body size of a plain service
+
+	ControlAddresses  []string      // addresses of the control processes; none: no heartbeats are sent
+	HeartbeatInterval time.Duration // interval
+	Log               *slog.Logger  // nil: no logging
 }
 
 const (
@@ -53,7 +53,7 @@
 	o.Model = cmp.Or(o.Model, "m")
 	o.Version = cmp.Or(o.Version, 1)
 	o.ReportLag = cmp.Or(o.ReportLag, defaultReportLag)
-	o.Heartbeat = cmp.Or(o.Heartbeat, defaultHeartbeat)
+	o.HeartbeatInterval = cmp.Or(o.HeartbeatInterval, defaultHeartbeat)
 	o.PlainService.Slots = cmp.Or(o.PlainService.Slots, defaultServiceSlots)
 	o.PlainService.Queue = cmp.Or(o.PlainService.Queue, defaultServiceQueue)
 	if o.Engine != nil {
--- a/internal/emulator/endpoint_test.go
+++ b/internal/emulator/endpoint_test.go
@@ -124,7 +124,7 @@
 }
 
 func TestPlainServiceSendsFullBody(t *testing.T) {
-	endpoint := startEndpoint(t, emulator.Options{ID: "i-1", Work: time.Millisecond, AnswerBytes: 800})
+	endpoint := startEndpoint(t, emulator.Options{ID: "i-1", ServiceTime: time.Millisecond, ResponseBytes: 800})
 	response := sendRequest(t, endpoint, "X-Request-Id", "r")
 	assert.Equal(t, response.ContentLength, int64(800))
 	assert.Equal(t, len(readBody(t, response)), 800)
@@ -132,7 +132,7 @@
 }
 
 func TestClientDisconnectFreesItsSlot(t *testing.T) {
-	endpoint := startEndpoint(t, emulator.Options{ID: "i-1", Work: time.Hour, PlainService: emulator.PlainServiceOptions{Slots: 1, Queue: 1}})
+	endpoint := startEndpoint(t, emulator.Options{ID: "i-1", ServiceTime: time.Hour, PlainService: emulator.PlainServiceOptions{Slots: 1, Queue: 1}})
 	firstConn, err := net.Dial("tcp4", endpoint.Address())
 	assert.NilError(t, err)
 	const requestFormat = "POST /x HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nContent-Length: 0\r\n\r\n"
@@ -245,8 +245,8 @@
 
 func TestHeartbeatsFromStartToDeregistration(t *testing.T) {
 	address, heartbeats := startFakeControlProcess(t, func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("{}")) })
-	endpoint := startEndpoint(t, emulator.Options{ID: "i-1", Backend: "b", Zone: "z", Control: []string{address},
-		Heartbeat: 10 * time.Millisecond, Engine: &emulator.EngineOptions{}})
+	endpoint := startEndpoint(t, emulator.Options{ID: "i-1", Backend: "b", Zone: "z", ControlAddresses: []string{address},
+		HeartbeatInterval: 10 * time.Millisecond, Engine: &emulator.EngineOptions{}})
 	first, second := receiveHeartbeat(t, heartbeats), receiveHeartbeat(t, heartbeats)
 	assert.Equal(t, first.method+" "+first.path, "PUT /instances/i-1")
 	assert.Equal(t, first.body.Backend, "b")
@@ -264,7 +264,7 @@
 	response := sendRequest(t, endpoint, "X-Request-Id", "r", "X-Token-Usage", "1,1")
 	assert.Equal(t, response.StatusCode, http.StatusOK, "a draining endpoint continues to serve")
 	assert.Assert(t, response.Close, "a draining endpoint closes the connection after the response")
-	assert.NilError(t, endpoint.Leave(t.Context()))
+	assert.NilError(t, endpoint.Deregister(t.Context()))
 	for got.method != http.MethodDelete {
 		got = receiveHeartbeat(t, heartbeats)
 	}
@@ -273,7 +273,7 @@
 
 func TestDrainWithinReportsRemainingTime(t *testing.T) {
 	address, heartbeats := startFakeControlProcess(t, func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("{}")) })
-	endpoint := startEndpoint(t, emulator.Options{ID: "i-1", Backend: "b", Zone: "z", Control: []string{address}, Heartbeat: time.Hour})
+	endpoint := startEndpoint(t, emulator.Options{ID: "i-1", Backend: "b", Zone: "z", ControlAddresses: []string{address}, HeartbeatInterval: time.Hour})
 	assert.Assert(t, receiveHeartbeat(t, heartbeats).body.RemainingMs == nil)
 	assert.NilError(t, endpoint.DrainWithin(t.Context(), time.Hour))
 	got := receiveHeartbeat(t, heartbeats)
@@ -288,8 +288,8 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
 	working, heartbeats := startFakeControlProcess(t, func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("{}")) })
-	startEndpoint(t, emulator.Options{ID: "i-1", Backend: "b", Zone: "z", Control: []string{failing, working},
-		Heartbeat: 10 * time.Millisecond})
+	startEndpoint(t, emulator.Options{ID: "i-1", Backend: "b", Zone: "z", ControlAddresses: []string{failing, working},
+		HeartbeatInterval: 10 * time.Millisecond})
 	receiveHeartbeat(t, heartbeats)
 	receiveHeartbeat(t, heartbeats)
 	assert.Equal(t, calls.Load(), int64(1), "heartbeats continue at the control process that acknowledged")
@@ -300,6 +300,6 @@
 	initial, _ := startFakeControlProcess(t, func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintf(w, `{"heartbeatUrl":"http://%s"}`, redirectTarget)
 	})
-	startEndpoint(t, emulator.Options{ID: "i-1", Backend: "b", Zone: "z", Control: []string{initial}, Heartbeat: 10 * time.Millisecond})
+	startEndpoint(t, emulator.Options{ID: "i-1", Backend: "b", Zone: "z", ControlAddresses: []string{initial}, HeartbeatInterval: 10 * time.Millisecond})
 	assert.Equal(t, receiveHeartbeat(t, heartbeats).path, "/instances/i-1")
 }
--- a/internal/emulator/heartbeat.go
+++ b/internal/emulator/heartbeat.go
@@ -81,10 +81,10 @@
 
 func (h *heartbeatSender) run(ctx context.Context) {
 	defer close(h.stopped)
-	if len(h.endpoint.options.Control) == 0 {
+	if len(h.endpoint.options.ControlAddresses) == 0 {
 		return
 	}
-	ticker := time.NewTicker(h.endpoint.options.Heartbeat)
+	ticker := time.NewTicker(h.endpoint.options.HeartbeatInterval)
 	defer ticker.Stop()
 	level := slog.LevelDebug // until the first acknowledgement: the control processes may still be starting
 	for {
@@ -148,8 +148,8 @@
 		}
 		h.redirectURL = ""
 	}
-	for range h.endpoint.options.Control {
-		address := h.endpoint.options.Control[h.nextControl%len(h.endpoint.options.Control)]
+	for range h.endpoint.options.ControlAddresses {
+		address := h.endpoint.options.ControlAddresses[h.nextControl%len(h.endpoint.options.ControlAddresses)]
 		if lastErr = h.sendTo(ctx, address, method, body); lastErr == nil {
 			return nil
 		}
--- a/internal/emulator/serve.go
+++ b/internal/emulator/serve.go
@@ -136,7 +136,7 @@
 
 // serveService runs a request at a plain service.
 func (e *Endpoint) serveService(w http.ResponseWriter, r *http.Request, job Job) {
-	job.ServiceTime = e.options.Work
+	job.ServiceTime = e.options.ServiceTime
 	id, events, ok := e.driver.submit(job, 1)
 	if !ok {
 		e.rejectOverloaded(w)
@@ -152,7 +152,7 @@
 		e.abortRequest(id)
 	}
 	e.writeRunHeaders(w)
-	body := strings.Repeat("x", e.options.AnswerBytes)
+	body := strings.Repeat("x", e.options.ResponseBytes)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = io.WriteString(w, body) // the client may have disconnected
 }
--- a/internal/emulator/shutdown.go
+++ b/internal/emulator/shutdown.go
@@ -35,9 +35,9 @@
 	return &remaining
 }
 
-// Leave deregisters the endpoint from the control processes, and retries until one of them acknowledges it or the context ends. The
+// Deregister deregisters the endpoint from the control processes, and retries until one of them acknowledges it or the context ends. The
 // caller calls Close afterwards.
-func (e *Endpoint) Leave(ctx context.Context) error {
+func (e *Endpoint) Deregister(ctx context.Context) error {
 	return e.retryUntilAcknowledged(ctx, e.heartbeats.sendDeregistration)
 }
 
--- a/internal/experiment/demand.go
+++ b/internal/experiment/demand.go
@@ -14,12 +14,12 @@
 	"wallflow/internal/emulator"
 )
 
-// DemandFigures are the results of one policy at one level of demand.
-type DemandFigures struct {
+// DemandResult are the results of one policy at one level of demand.
+type DemandResult struct {
 	Demand  float64 `json:"demand"` // in multiples of the engines' capacity
 	Summary Summary `json:"summary"`
-	// InTime is the number of requests per second answered within their target latency, averaged over the seeds.
-	InTime float64 `json:"inTime"`
+	// InTimePerSecond is the number of requests per second answered within their target latency, averaged over the seeds.
+	InTimePerSecond float64 `json:"inTime"`
 }
 
 // Capacity returns the factor of DefaultLoad at which the engines are fully utilized, if all shared prefixes are cached and the load is
@@ -39,9 +39,9 @@
 }
 
 // DemandSweep runs each policy at several levels of demand, given in multiples of Capacity.
-func DemandSweep(policies []string, options Options, demands []float64, seeds int) ([]DemandFigures, error) {
+func DemandSweep(policies []string, options Options, demands []float64, seeds int) ([]DemandResult, error) {
 	capacity := Capacity(options.Engine)
-	var results []DemandFigures
+	var results []DemandResult
 	for _, demand := range demands {
 		options.Load = DefaultLoad(options.Engines, demand*capacity)
 		summaries, err := Sweep(policies, options, seeds)
@@ -53,10 +53,10 @@
 			for _, kind := range summary.ByKind {
 				inTimeCount += kind.InTime
 			}
-			results = append(results, DemandFigures{
-				Demand:  demand,
-				Summary: summary,
-				InTime:  float64(inTimeCount) / float64(seeds) / options.For.Seconds(),
+			results = append(results, DemandResult{
+				Demand:          demand,
+				Summary:         summary,
+				InTimePerSecond: float64(inTimeCount) / float64(seeds) / options.Duration.Seconds(),
 			})
 		}
 	}
@@ -76,7 +76,7 @@
 }
 
 // PlotDemand writes an SVG plot of the requests answered in time against demand, with one line per policy.
-func PlotDemand(out io.Writer, results []DemandFigures) error {
+func PlotDemand(out io.Writer, results []DemandResult) error {
 	chart := plot.New()
 	chart.X.Label.Text = "demand, times the capacity of the engines"
 	chart.Y.Label.Text = "requests a second answered in time"
@@ -88,7 +88,7 @@
 		if lines[name] == nil {
 			policies = append(policies, name)
 		}
-		lines[name] = append(lines[name], plotter.XY{X: result.Demand, Y: result.InTime})
+		lines[name] = append(lines[name], plotter.XY{X: result.Demand, Y: result.InTimePerSecond})
 	}
 	for index, name := range policies {
 		line, err := plotter.NewLine(lines[name])
--- a/internal/experiment/demand_test.go
+++ b/internal/experiment/demand_test.go
@@ -14,12 +14,12 @@
 // demandTestOptions returns a small fleet of engines with few slots, so that demand exceeds their capacity within a short run.
 func demandTestOptions() Options {
 	return Options{
-		Regions: 3,
-		Relays:  6,
-		Engines: 6,
-		Engine:  emulator.EngineOptions{ChunkTokens: 4096, Slots: 16},
-		For:     10 * time.Second,
-		Seed:    1,
+		Regions:  3,
+		Relays:   6,
+		Engines:  6,
+		Engine:   emulator.EngineOptions{ChunkTokens: 4096, Slots: 16},
+		Duration: 10 * time.Second,
+		Seed:     1,
 	}
 }
 
@@ -32,7 +32,7 @@
 	assert.NilError(t, err)
 	inTime := map[string][]float64{}
 	for _, result := range results {
-		inTime[result.Summary.Policy] = append(inTime[result.Summary.Policy], result.InTime)
+		inTime[result.Summary.Policy] = append(inTime[result.Summary.Policy], result.InTimePerSecond)
 	}
 	t.Logf("%v", inTime)
 	selectorInTime, leastInTime := inTime[PolicySelector], inTime[PolicyLeastOutstanding]
@@ -44,7 +44,7 @@
 func TestGoodputRecoversSoonAfterBurst(t *testing.T) {
 	t.Parallel()
 	options := demandTestOptions()
-	options.For = 14 * time.Second
+	options.Duration = 14 * time.Second
 	options.Load = DefaultLoad(options.Engines, 0.5*Capacity(options.Engine))
 	options.Burst = Burst{Start: 4 * time.Second, End: 7 * time.Second, Factor: 5}
 	options.MeasureAfter = 10 * time.Second
@@ -58,7 +58,7 @@
 	t.Parallel()
 	options := demandTestOptions()
 	options.Load = DefaultLoad(options.Engines, 0.4*Capacity(options.Engine))
-	options.Lost, options.MeasureAfter = 4*time.Second, 7*time.Second
+	options.RegionFailureAt, options.MeasureAfter = 4*time.Second, 7*time.Second
 	result, err := Run(PolicySelector, options)
 	assert.NilError(t, err)
 	assert.Assert(t, result.GoodputAfter > 0.85, "%+v", result)
@@ -68,7 +68,7 @@
 func TestSelectorLearnsEngineSpeeds(t *testing.T) {
 	t.Parallel()
 	options := demandTestOptions()
-	options.Unlike = []float64{1, 2, 1, 2, 3, 1}
+	options.Slowdowns = []float64{1, 2, 1, 2, 3, 1}
 	options.Load = DefaultLoad(options.Engines, 0.4*Capacity(options.Engine))
 	selectorResult, err := Run(PolicySelector, options)
 	assert.NilError(t, err)
@@ -81,9 +81,9 @@
 func TestPlotDemandWritesSVG(t *testing.T) {
 	t.Parallel()
 	var out bytes.Buffer
-	assert.NilError(t, PlotDemand(&out, []DemandFigures{
-		{Demand: 1, InTime: 10, Summary: Summary{Policy: "selector"}}, {Demand: 2, InTime: 9, Summary: Summary{Policy: "selector"}},
-		{Demand: 1, InTime: 8, Summary: Summary{Policy: "oracle"}},
+	assert.NilError(t, PlotDemand(&out, []DemandResult{
+		{Demand: 1, InTimePerSecond: 10, Summary: Summary{Policy: "selector"}}, {Demand: 2, InTimePerSecond: 9, Summary: Summary{Policy: "selector"}},
+		{Demand: 1, InTimePerSecond: 8, Summary: Summary{Policy: "oracle"}},
 	}))
 	assert.Assert(t, strings.HasPrefix(out.String(), "<?xml") && out.Len() > 1000)
 }
--- a/internal/experiment/load_sharing.go
+++ b/internal/experiment/load_sharing.go
@@ -22,7 +22,7 @@
 // startLoadSharing starts the periodic exchange. It continues until the last request must have ended.
 func startLoadSharing(sim *simulation, selectors []*selector.Selector) {
 	s := &loadSharing{sim: sim, selectors: selectors, relayIndexes: map[string]int{},
-		stopAt: sim.now.Add(sim.options.For + sim.options.longestTimeout())}
+		stopAt: sim.now.Add(sim.options.Duration + sim.options.longestTimeout())}
 	var members []workload.Member
 	for relay := range selectors {
 		members = append(members, workload.Member{Address: relayAddress(relay), Zone: zoneName(sim.regionOfRelay(relay))})
--- a/internal/experiment/options.go
+++ b/internal/experiment/options.go
@@ -10,18 +10,18 @@
 
 // Options configure a simulation run.
 type Options struct {
-	Regions int
-	Relays  int // total, spread over the regions
-	Engines int // total, spread over the regions
-	Engine  emulator.EngineOptions
-	Load    []RequestKind
-	For     time.Duration // virtual time during which requests arrive
-	Seed    uint64
+	Regions  int
+	Relays   int // total, spread over the regions
+	Engines  int // total, spread over the regions
+	Engine   emulator.EngineOptions
+	Load     []RequestKind
+	Duration time.Duration // virtual time during which requests arrive
+	Seed     uint64
 
-	Unlike       []float64     // slowdown factors, assigned to engines in rotation; empty: all engines run at the speed of Engine
-	Burst        Burst         // an interval with a different arrival rate
-	MeasureAfter time.Duration // start of the requests that Result.GoodputAfter counts; 0: none
-	Lost         time.Duration // when all engines of the last region fail; 0: never
+	Slowdowns       []float64     // slowdown factors, assigned to engines in rotation; empty: all engines run at the speed of Engine
+	Burst           Burst         // an interval with a different arrival rate
+	MeasureAfter    time.Duration // start of the requests that Result.GoodputAfter counts; 0: none
+	RegionFailureAt time.Duration // when all engines of the last region fail; 0: never
 }
 
 // Burst is an interval in which the arrival rate is multiplied by Factor.
@@ -42,10 +42,10 @@
 // engineOptions returns the options of the engine at an index, with its slowdown applied.
 func (o *Options) engineOptions(index int) emulator.EngineOptions {
 	engine := o.Engine
-	if len(o.Unlike) == 0 {
+	if len(o.Slowdowns) == 0 {
 		return engine
 	}
-	slowdown := o.Unlike[index%len(o.Unlike)]
+	slowdown := o.Slowdowns[index%len(o.Slowdowns)]
 	engine.PrefillPerMs /= slowdown
 	engine.StepTime = time.Duration(float64(engine.StepTime) * slowdown)
 	engine.StepTimePerJob = time.Duration(float64(engine.StepTimePerJob) * slowdown)
@@ -109,7 +109,7 @@
 		return trace.Wrap(&OptionsError{Option: "relays", Requirement: "at least one in each region"})
 	case o.Engines < o.Regions:
 		return trace.Wrap(&OptionsError{Option: "engines", Requirement: "at least one in each region"})
-	case o.For <= 0:
+	case o.Duration <= 0:
 		return trace.Wrap(&OptionsError{Option: "for", Requirement: "a time above 0"})
 	case len(o.Load) == 0:
 		return trace.Wrap(&OptionsError{Option: "load", Requirement: "at least one kind of request"})
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -13,13 +13,13 @@
 func runOptions(seed uint64, loadFactor float64) Options {
 	const engines = 12
 	return Options{
-		Regions: 3,
-		Relays:  6,
-		Engines: engines,
-		Engine:  emulator.EngineOptions{ChunkTokens: 4096},
-		Load:    DefaultLoad(engines, loadFactor),
-		For:     10 * time.Second,
-		Seed:    seed,
+		Regions:  3,
+		Relays:   6,
+		Engines:  engines,
+		Engine:   emulator.EngineOptions{ChunkTokens: 4096},
+		Load:     DefaultLoad(engines, loadFactor),
+		Duration: 10 * time.Second,
+		Seed:     seed,
 	}
 }
 
@@ -58,7 +58,7 @@
 		"regions: at least 1":                 func(o *Options) { o.Regions = 0 },
 		"relays: at least one in each region": func(o *Options) { o.Relays = 1 },
 		"engines: at least":                   func(o *Options) { o.Engines = 2 },
-		"for: a time":                         func(o *Options) { o.For = 0 },
+		"for: a time":                         func(o *Options) { o.Duration = 0 },
 		"load: at least":                      func(o *Options) { o.Load = nil },
 	} {
 		options := runOptions(1, 1)
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -81,8 +81,8 @@
 // run processes events until none is left; every request has then ended.
 func (sim *simulation) run() {
 	sim.scheduleArrivals()
-	if sim.options.Lost > 0 {
-		sim.schedule(startTime.Add(sim.options.Lost), sim.loseLastRegion)
+	if sim.options.RegionFailureAt > 0 {
+		sim.schedule(startTime.Add(sim.options.RegionFailureAt), sim.loseLastRegion)
 	}
 	for {
 		at, runEvent, ok := sim.events.First()
@@ -97,7 +97,7 @@
 // scheduleArrivals schedules the arrival and the deadline of the next request. Each arrival schedules the one after it.
 func (sim *simulation) scheduleArrivals() {
 	next := sim.generator.nextRequest()
-	if next.arrived.Sub(startTime) > sim.options.For {
+	if next.arrived.Sub(startTime) > sim.options.Duration {
 		return
 	}
 	sim.schedule(next.arrived, func() {
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -8,16 +8,16 @@
 
 // Summary aggregates the results of one policy over several seeds.
 type Summary struct {
-	Policy      string        `json:"policy"`
-	Goodput     float64       `json:"goodput"` // mean over the seeds
-	GoodputLow  float64       `json:"goodputLow"`
-	GoodputHigh float64       `json:"goodputHigh"`
-	OfBest      float64       `json:"ofBest"` // goodput relative to the best policy
-	ByKind      []KindResult  `json:"byKind"`
-	FirstP50    time.Duration `json:"firstP50"` // mean of the quantiles of all seeds
-	FirstP99    time.Duration `json:"firstP99"`
-	GapP99      time.Duration `json:"gapP99"`
-	Read        uint64        `json:"read"` // tokens prefilled by all engines, mean over the seeds
+	Policy          string        `json:"policy"`
+	Goodput         float64       `json:"goodput"` // mean over the seeds
+	GoodputLow      float64       `json:"goodputLow"`
+	GoodputHigh     float64       `json:"goodputHigh"`
+	RelativeGoodput float64       `json:"ofBest"` // goodput relative to the best policy
+	ByKind          []KindResult  `json:"byKind"`
+	FirstTokenP50   time.Duration `json:"firstP50"` // mean of the quantiles of all seeds
+	FirstTokenP99   time.Duration `json:"firstP99"`
+	GapP99          time.Duration `json:"gapP99"`
+	PrefilledTokens uint64        `json:"read"` // tokens prefilled by all engines, mean over the seeds
 }
 
 // Sweep runs each policy with the given number of consecutive seeds, starting with options.Seed.
@@ -36,7 +36,7 @@
 	}
 	for index := range summaries {
 		if best > 0 {
-			summaries[index].OfBest = summaries[index].Goodput / best
+			summaries[index].RelativeGoodput = summaries[index].Goodput / best
 		}
 	}
 	return summaries, nil
@@ -74,10 +74,10 @@
 		summary.Goodput += result.Goodput / float64(count)
 		summary.GoodputLow = min(summary.GoodputLow, result.Goodput)
 		summary.GoodputHigh = max(summary.GoodputHigh, result.Goodput)
-		summary.FirstP50 += result.FirstTokenP50 / time.Duration(count)
-		summary.FirstP99 += result.FirstTokenP99 / time.Duration(count)
+		summary.FirstTokenP50 += result.FirstTokenP50 / time.Duration(count)
+		summary.FirstTokenP99 += result.FirstTokenP99 / time.Duration(count)
 		summary.GapP99 += result.GapP99 / time.Duration(count)
-		summary.Read += result.PrefilledTokens / uint64(count)
+		summary.PrefilledTokens += result.PrefilledTokens / uint64(count)
 		summary.addKindResults(result.ByKind)
 	}
 	for index := range summary.ByKind {
--- a/internal/smallsystem/endpoints.go
+++ b/internal/smallsystem/endpoints.go
@@ -25,7 +25,7 @@
 	engine := emulator.DefaultEngine()
 	return []service{
 		{name: serviceModel, perZone: enginesPerZone, options: emulator.Options{Engine: &engine, Model: modelName, MaxConns: modelConns}},
-		{name: serviceRegister, perZone: 1, options: emulator.Options{Work: registerWork, AnswerBytes: registerAnswer, MaxConns: registerConns}},
+		{name: serviceRegister, perZone: 1, options: emulator.Options{ServiceTime: registerWork, ResponseBytes: registerAnswer, MaxConns: registerConns}},
 	}
 }
 
@@ -39,8 +39,8 @@
 			options.Listen = fmt.Sprintf("%s.%d:%d", l.subnet, firstEndpoint+len(endpoints), portEndpoint)
 			options.Zone = places[i%len(places)].zone
 			options.HealthPath = healthPath
-			options.Control = l.seeds()
-			options.Heartbeat = heartbeatMs * time.Millisecond
+			options.ControlAddresses = l.seeds()
+			options.HeartbeatInterval = heartbeatMs * time.Millisecond
 			options.Log = log
 			endpoint, err := emulator.Start(options)
 			if err != nil {
--- a/internal/smallsystem/system.go
+++ b/internal/smallsystem/system.go
@@ -264,7 +264,7 @@
 	var leaving sync.WaitGroup
 	for _, endpoint := range s.endpoints {
 		leaving.Go(func() {
-			if err := endpoint.Leave(ctx); err != nil {
+			if err := endpoint.Deregister(ctx); err != nil {
 				s.options.Log.Info("endpoint's leave was not acknowledged", "endpoint", endpoint.ID(), "error", err)
 			}
 			endpoint.Close()
--- a/internal/trial/harness.go
+++ b/internal/trial/harness.go
@@ -44,28 +44,28 @@
 
 // Options are the parameters of a trial.
 type Options struct {
-	Load     *load.Load
-	Seed     uint64
-	For      time.Duration // length of the load
-	Relay    string        // path of the relay program
-	Program  string        // path of the wallflow program, for list servers and agents
-	Dir      string        // for folders, logs and the history; empty: a temporary folder
-	Plan     *Plan         // replaces the scenario's plan; may be nil
-	Keeper   func() *exec.Cmd
-	Log      *slog.Logger
-	Progress func(Progress) // called once a second; may be nil
+	Load         *load.Load
+	Seed         uint64
+	LoadDuration time.Duration // length of the load
+	Relay        string        // path of the relay program
+	Program      string        // path of the wallflow program, for list servers and agents
+	Dir          string        // for folders, logs and the history; empty: a temporary folder
+	Plan         *Plan         // replaces the scenario's plan; may be nil
+	Keeper       func() *exec.Cmd
+	Log          *slog.Logger
+	Progress     func(Progress) // called once a second; may be nil
 
 	freeAddr func(host string) (addr string, err error) // replaces the function freeAddr in tests
 }
 
 // Progress describes the state of a running trial.
 type Progress struct {
-	Time    time.Duration
-	Of      time.Duration
-	Handed  int // messages submitted
-	Ended   int // messages that have ended
-	Running int // relays that serve clients
-	Doing   string
+	Time      time.Duration
+	Total     time.Duration
+	Submitted int // messages submitted
+	Finished  int // messages that have ended
+	Running   int // relays that serve clients
+	LastFault string
 }
 
 // Result is the result of a trial.
@@ -73,13 +73,13 @@
 	Scenario string
 	Plan     *Plan
 	Verdict  check.Verdict
-	Figures  report.Figures
+	Metrics  report.Metrics
 	Lag      Lag
 	Dir      string // folder with the trial's files; empty: removed
 }
 
-// ErrNotPlayed means that a trial could not be run as intended and has no verdict.
-var ErrNotPlayed = errors.New("not played")
+// ErrNoVerdict means that a trial could not be run as intended and has no verdict.
+var ErrNoVerdict = errors.New("not played")
 
 // Harness is one running trial.
 type Harness struct {
@@ -110,10 +110,10 @@
 // Run runs a scenario.
 func Run(ctx context.Context, sc *Scenario, opts Options) (res *Result, err error) {
 	if _, err := exec.LookPath(opts.Relay); err != nil {
-		return nil, fmt.Errorf("%w: the relay's program: %w", ErrNotPlayed, err)
+		return nil, fmt.Errorf("%w: the relay's program: %w", ErrNoVerdict, err)
 	}
 	if _, err := exec.LookPath(opts.Program); sc.Lists > 0 && err != nil {
-		return nil, fmt.Errorf("%w: the list servers' program: %w", ErrNotPlayed, err)
+		return nil, fmt.Errorf("%w: the list servers' program: %w", ErrNoVerdict, err)
 	}
 	if opts.freeAddr == nil {
 		opts.freeAddr = freeAddr
@@ -124,28 +124,28 @@
 		reachedEndpoint: map[string]bool{}}
 	if opts.Keeper != nil {
 		if h.keeper, err = proc.StartKeeper(opts.Keeper()); err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrNotPlayed, err)
+			return nil, fmt.Errorf("%w: %w", ErrNoVerdict, err)
 		}
 		defer func() { err = errors.Join(err, h.keeper.Done()) }()
 	}
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "wallflow-trial-"); err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrNotPlayed, err)
+			return nil, fmt.Errorf("%w: %w", ErrNoVerdict, err)
 		}
 		defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
 		if h.keeper != nil {
-			if err := h.keeper.Folder(dir); err != nil {
-				return nil, fmt.Errorf("%w: %w", ErrNotPlayed, err)
+			if err := h.keeper.AddFolder(dir); err != nil {
+				return nil, fmt.Errorf("%w: %w", ErrNoVerdict, err)
 			}
 		}
 	} else if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNotPlayed, err)
+		return nil, fmt.Errorf("%w: %w", ErrNoVerdict, err)
 	}
 	file, err := os.OpenFile(filepath.Join(dir, "history.jsonl"), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if errors.Is(err, fs.ErrExist) {
-		return nil, fmt.Errorf("%w: folder %s already contains a trial, and programs would continue from its files", ErrNotPlayed, dir)
+		return nil, fmt.Errorf("%w: folder %s already contains a trial, and programs would continue from its files", ErrNoVerdict, dir)
 	} else if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNotPlayed, err)
+		return nil, fmt.Errorf("%w: %w", ErrNoVerdict, err)
 	}
 	defer func() { err = errors.Join(err, file.Close()) }()
 	return res, h.runTrial(ctx, sc, res, dir, file)
@@ -160,7 +160,7 @@
 	// The recorder's header needs the environment, and the callback of the environment needs the recorder.
 	var recorder *history.Recorder
 	h.usesPolicy = sc.Policy
-	h.environment = stand.NewEnvironment(h.load, h.opts.Seed, h.opts.For, func(p *stand.Partner) {
+	h.environment = stand.NewEnvironment(h.load, h.opts.Seed, h.opts.LoadDuration, func(p *stand.Partner) {
 		recorder.Add(history.Event{Kind: history.Fault, Dest: p.Cell, Note: "fell over"})
 	})
 	defer h.environment.Close()
@@ -176,33 +176,33 @@
 	defer h.closeLinks()
 	defer h.endRelays()
 	if err := h.build(ctx, dir); err != nil {
-		return fmt.Errorf("%w: %w", ErrNotPlayed, err)
+		return fmt.Errorf("%w: %w", ErrNoVerdict, err)
 	}
 	if sc.Lists > 0 {
 		defer h.endLists()
 		if err := h.buildLists(dir, sc.Lists, rand.New(rand.NewPCG(h.opts.Seed, 0x6c697374))); err != nil {
-			return fmt.Errorf("%w: %w", ErrNotPlayed, err)
+			return fmt.Errorf("%w: %w", ErrNoVerdict, err)
 		}
 	}
 	plan := h.opts.Plan
 	if plan == nil {
-		plan = &Plan{Scenario: sc.Name, Load: h.load.Name, Seed: h.opts.Seed, For: units.Duration{Duration: h.opts.For}}
-		plan.Steps = sc.Steps(rand.New(rand.NewPCG(h.opts.Seed, seedFromName(sc.Name))), h, h.opts.For)
+		plan = &Plan{Scenario: sc.Name, Load: h.load.Name, Seed: h.opts.Seed, For: units.Duration{Duration: h.opts.LoadDuration}}
+		plan.Steps = sc.Steps(rand.New(rand.NewPCG(h.opts.Seed, seedFromName(sc.Name))), h, h.opts.LoadDuration)
 	}
 	res.Plan = plan
 	if err := h.checkTargets(plan); err != nil {
-		return fmt.Errorf("%w: %w", ErrNotPlayed, err)
+		return fmt.Errorf("%w: %w", ErrNoVerdict, err)
 	}
 	if err := plan.Write(filepath.Join(dir, "plan.toml")); err != nil {
-		return fmt.Errorf("%w: %w", ErrNotPlayed, err)
+		return fmt.Errorf("%w: %w", ErrNoVerdict, err)
 	}
 	if h.listService != nil {
 		if err := h.startLists(ctx); err != nil {
-			return fmt.Errorf("%w: %w", ErrNotPlayed, err)
+			return fmt.Errorf("%w: %w", ErrNoVerdict, err)
 		}
 	}
 	if err := h.startRelays(ctx); err != nil {
-		return fmt.Errorf("%w: %w", ErrNotPlayed, err)
+		return fmt.Errorf("%w: %w", ErrNoVerdict, err)
 	}
 	h.sampleAll("before")
 	cpuBefore := report.ProcessCPUTime()
@@ -215,15 +215,15 @@
 	if err != nil {
 		// A relay that crashes or does not start again violates an invariant; the trial has a verdict.
 		if v := check.Check(header.Rules, h.recorder.Events()); ctx.Err() == nil && v.Violated(check.StaysUp) {
-			res.Verdict, res.Figures = v, report.Summarize(header, h.recorder.Events())
+			res.Verdict, res.Metrics = v, report.Summarize(header, h.recorder.Events())
 			return nil
 		}
-		return fmt.Errorf("%w: %w", ErrNotPlayed, err)
+		return fmt.Errorf("%w: %w", ErrNoVerdict, err)
 	}
 	h.closeIdleConnections()
 	h.sampleAll("after")
 	if err := h.firstFailure(); err != nil {
-		return fmt.Errorf("%w: %w", ErrNotPlayed, err)
+		return fmt.Errorf("%w: %w", ErrNoVerdict, err)
 	}
 	res.Lag = lag.result()
 	cpuUsed := report.ProcessCPUTime() - cpuBefore
@@ -233,10 +233,10 @@
 	}
 	events := h.recorder.Events()
 	res.Verdict = check.Check(header.Rules, events)
-	res.Figures = report.Summarize(header, events)
-	res.Figures.HarnessCPU, res.Figures.LagP99, res.Figures.LagMax = cpuUsed.Seconds(), res.Lag.P99.Seconds(), res.Lag.Max.Seconds()
+	res.Metrics = report.Summarize(header, events)
+	res.Metrics.HarnessCPU, res.Metrics.LagP99, res.Metrics.LagMax = cpuUsed.Seconds(), res.Lag.P99.Seconds(), res.Lag.Max.Seconds()
 	if reason := res.Lag.excess(); reason != "" {
-		return fmt.Errorf("%w: the machine is too slow: %s", ErrNotPlayed, reason)
+		return fmt.Errorf("%w: the machine is too slow: %s", ErrNoVerdict, reason)
 	}
 	return nil
 }
@@ -452,7 +452,7 @@
 		}
 		h.clients[a.Relay].Submit(loading, a)
 	}
-	sleepUntil(ctx, began.Add(h.opts.For))
+	sleepUntil(ctx, began.Add(h.opts.LoadDuration))
 	h.recorder.Add(history.Event{Kind: history.Fault, Note: report.LoadEnds})
 	err := <-planned // runPlan returns after its steps, also if ctx is canceled
 	if h.listService != nil {
@@ -507,8 +507,8 @@
 	tracker := report.NewUnfinishedTracker()
 	for sleep(ctx, progressInterval) {
 		unfinished := tracker.Update(h.recorder.Events())
-		p := Progress{Time: time.Since(began), Of: h.opts.For, Handed: tracker.Submitted, Ended: tracker.Submitted - unfinished,
-			Doing: tracker.LastFault}
+		p := Progress{Time: time.Since(began), Total: h.opts.LoadDuration, Submitted: tracker.Submitted, Finished: tracker.Submitted - unfinished,
+			LastFault: tracker.LastFault}
 		for _, r := range h.relays {
 			if l := r.currentProcess(); l != nil && l.Running() && l.servingAddr() != "" {
 				p.Running++
--- a/internal/trial/main_test.go
+++ b/internal/trial/main_test.go
@@ -20,7 +20,7 @@
 // The test binary also serves as the keeper process.
 func TestMain(m *testing.M) {
 	if os.Getenv("TRIAL_TEST_KEEPER") != "" {
-		if err := proc.Keep(os.Stdin); err != nil {
+		if err := proc.RunKeeper(os.Stdin); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -158,7 +158,7 @@
 		if err == nil {
 			return res
 		}
-		if !errors.Is(err, ErrNotPlayed) || res == nil || res.Lag.excess() == "" {
+		if !errors.Is(err, ErrNoVerdict) || res == nil || res.Lag.excess() == "" {
 			t.Fatal(err)
 		}
 		t.Log(err)
@@ -175,5 +175,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{Load: l, Seed: seed, For: length, Relay: relay, Dir: t.TempDir()}
+	return Options{Load: l, Seed: seed, LoadDuration: length, Relay: relay, Dir: t.TempDir()}
 }
--- a/internal/trial/plan.go
+++ b/internal/trial/plan.go
@@ -135,8 +135,8 @@
 
 func millis(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
-// Doings returns a line of text for each action.
-func Doings() []string {
+// ActionLines returns a line of text for each action.
+func ActionLines() []string {
 	var all []string
 	for name, d := range actions {
 		on := map[byte]string{'r': "relays", 'e': "endpoints", 'p': "links", 'l': "lists", 'f': "fleet"}[d.targetKind]
--- a/internal/trial/proc/keeper.go
+++ b/internal/trial/proc/keeper.go
@@ -49,8 +49,8 @@
 func (k *Keeper) addProcess(pid int)    { k.send("pid %d %s", pid, startTime(pid)) }
 func (k *Keeper) removeProcess(pid int) { k.send("gone %d", pid) }
 
-// Folder makes the keeper remove dir and its contents if the trial dies.
-func (k *Keeper) Folder(dir string) error {
+// AddFolder makes the keeper remove dir and its contents if the trial dies.
+func (k *Keeper) AddFolder(dir string) error {
 	if err := os.WriteFile(filepath.Join(dir, MarkFile), nil, 0o600); err != nil {
 		return fmt.Errorf("keeper: %w", err)
 	}
@@ -71,10 +71,10 @@
 	return errors.Join(input.Close(), k.cmd.Wait())
 }
 
-// Keep runs the keeper. It reads from in which processes and folders the trial has, until the trial says that it is done
+// RunKeeper runs the keeper. It reads from in which processes and folders the trial has, until the trial says that it is done
 // or its end of the pipe is closed. In the second case it kills the remaining processes, each only if it still has the
 // start time that was reported, and removes the folders.
-func Keep(input io.Reader) error {
+func RunKeeper(input io.Reader) error {
 	pids, dirs := map[int]string{}, []string{}
 	lines := bufio.NewScanner(input)
 	for lines.Scan() {
--- a/internal/trial/proc/proc_test.go
+++ b/internal/trial/proc/proc_test.go
@@ -18,7 +18,7 @@
 	case "":
 		os.Exit(m.Run())
 	case "keeper":
-		if err := Keep(os.Stdin); err != nil {
+		if err := RunKeeper(os.Stdin); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -28,7 +28,7 @@
 	case "trial":
 		keep, err := StartKeeper(testBinary("keeper"))
 		if err == nil {
-			err = keep.Folder(os.Getenv("PROC_TEST_DIR"))
+			err = keep.AddFolder(os.Getenv("PROC_TEST_DIR"))
 		}
 		var p *Process
 		if err == nil {
@@ -154,19 +154,19 @@
 	if err := os.WriteFile(unmarked, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := Keep(strings.NewReader(fmt.Sprintf("pid %d 1\npid 1 1\npid x y\ndir %s\n", other.Pid(), dir))); err != nil {
+	if err := RunKeeper(strings.NewReader(fmt.Sprintf("pid %d 1\npid 1 1\npid x y\ndir %s\n", other.Pid(), dir))); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(unmarked); err != nil || !other.Running() {
 		t.Errorf("file: %v, running: %v", err, other.Running())
 	}
-	if err := Keep(strings.NewReader(fmt.Sprintf("pid %d %s\ngone %d\n", other.Pid(), startTime(other.Pid()), other.Pid()))); err != nil {
+	if err := RunKeeper(strings.NewReader(fmt.Sprintf("pid %d %s\ngone %d\n", other.Pid(), startTime(other.Pid()), other.Pid()))); err != nil {
 		t.Fatal(err)
 	}
 	if !other.Running() {
 		t.Error("a process was killed after it was reported as ended")
 	}
-	if err := Keep(strings.NewReader(fmt.Sprintf("pid %d %s\ndone\n", other.Pid(), startTime(other.Pid())))); err != nil {
+	if err := RunKeeper(strings.NewReader(fmt.Sprintf("pid %d %s\ndone\n", other.Pid(), startTime(other.Pid())))); err != nil {
 		t.Fatal(err)
 	}
 	if !other.Running() {
--- a/internal/trial/report/html.go
+++ b/internal/trial/report/html.go
@@ -48,7 +48,7 @@
 `))
 
 // HTML writes the report as one file that contains its plots.
-func HTML(w io.Writer, title string, f *Figures, breaches []check.Violation) error {
+func HTML(w io.Writer, title string, f *Metrics, breaches []check.Violation) error {
 	type drawn struct {
 		Name string
 		SVG  template.HTML
@@ -93,7 +93,7 @@
 	return page.Execute(w, map[string]any{"Title": title, "Breaches": lines, "Text": text.String(), "Plots": plots})
 }
 
-func drawCurves(f *Figures, unit string, top float64, lines []line) (template.HTML, error) {
+func drawCurves(f *Metrics, unit string, top float64, lines []line) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "s", unit
 	p.X.Min, p.X.Max, p.Y.Min = 0, max(1, f.Seconds), 0
@@ -125,7 +125,7 @@
 }
 
 // drawFaults draws a bar for each fault, in one row for each target.
-func drawFaults(f *Figures) (template.HTML, error) {
+func drawFaults(f *Metrics) (template.HTML, error) {
 	var rows []string
 	for _, m := range f.Faults {
 		if !slices.Contains(rows, m.On) && len(rows) < maxRows {
--- a/internal/trial/report/report.go
+++ b/internal/trial/report/report.go
@@ -43,14 +43,14 @@
 	P999         float64 `json:"p99_9_ms"`
 }
 
-// Figures holds the metrics of one trial.
-type Figures struct {
+// Metrics holds the metrics of one trial.
+type Metrics struct {
 	Seconds            float64 `json:"seconds"` // length of the load
 	Relays             int     `json:"relays"`
 	Classes            []Class `json:"classes"`
 	Service            float64 `json:"service"`            // value delivered over value wanted
 	Worst              float64 `json:"service_worst_2s"`   // in the worst 2 s
-	HandIns            int     `json:"hand_ins"`           // submissions, with repeats
+	Submissions        int     `json:"hand_ins"`           // submissions, with repeats
 	Unanswered         int     `json:"hand_ins_no_answer"` // within the clients' timeout
 	RefusedSubmissions int     `json:"hand_ins_refused"`
 	Deferred           int     `json:"notices_deferred"`
@@ -114,8 +114,8 @@
 }
 
 // Summarize computes the metrics of a history.
-func Summarize(h history.Header, events []history.Event) Figures {
-	f := Figures{Relays: len(h.Relays), Lists: listMetrics(events)}
+func Summarize(h history.Header, events []history.Event) Metrics {
+	f := Metrics{Relays: len(h.Relays), Lists: listMetrics(events)}
 	byFirstID, byID := map[string]*wantedMessage{}, map[string]*wantedMessage{}
 	var messages []*wantedMessage
 	var began, ended int64
@@ -144,7 +144,7 @@
 			byFirstID[e.FirstID] = w
 			messages = append(messages, w)
 		case history.Submit:
-			f.HandIns++
+			f.Submissions++
 			if w := byFirstID[e.FirstID]; w != nil {
 				w.submitted = true
 				byID[e.ID] = w
@@ -251,7 +251,7 @@
 	return max(share, c.LateValue)
 }
 
-func (f *Figures) addClasses(h history.Header, messages []*wantedMessage, began int64) {
+func (f *Metrics) addClasses(h history.Header, messages []*wantedMessage, began int64) {
 	type sum struct{ delivered, wanted float64 }
 	var total sum
 	windows := map[int64]*sum{}
@@ -304,7 +304,7 @@
 	return all[i]
 }
 
-func (f *Figures) addPoints(h history.Header, messages []*wantedMessage, calls map[int]int64, refused map[int]bool, began, ended int64) {
+func (f *Metrics) addPoints(h history.Header, messages []*wantedMessage, calls map[int]int64, refused map[int]bool, began, ended int64) {
 	n := int((ended - began) / pointInterval) // an incomplete interval at the end is left out
 	if n < 1 {
 		return
@@ -364,7 +364,7 @@
 }
 
 // Text writes the metrics as text.
-func (f *Figures) Text(w io.Writer) {
+func (f *Metrics) Text(w io.Writer) {
 	fmt.Fprintf(w, "load      %.1f s, %d relays; service %.3f, in the worst 2 s %.3f\n", f.Seconds, f.Relays, f.Service, f.Worst)
 	fmt.Fprintf(w, "%-16s %7s %7s %6s %8s %7s %5s %8s %9s %9s %9s\n", "class", "wanted", "in aim", "late", "refused", "failed", "away",
 		"service", "p50 ms", "p99 ms", "p99.9 ms")
@@ -373,7 +373,7 @@
 			c.NotSubmitted, c.Service,
 			c.P50, c.P99, c.P999)
 	}
-	fmt.Fprintf(w, "hand-ins  %d, refused %d, no answer %d; notices: deferred %d, undeliverable %d\n", f.HandIns, f.RefusedSubmissions,
+	fmt.Fprintf(w, "hand-ins  %d, refused %d, no answer %d; notices: deferred %d, undeliverable %d\n", f.Submissions, f.RefusedSubmissions,
 		f.Unanswered, f.Deferred, f.Undeliverable)
 	fmt.Fprintf(w, "calls     %d, refused %d, broken %d messages; %.2f sends a message taken on\n", f.Calls, f.CallsRefused, f.CallsBroken,
 		f.AttemptsPerMessage)
--- a/internal/trial/report/report_test.go
+++ b/internal/trial/report/report_test.go
@@ -74,7 +74,7 @@
 	if !almostEqual(f.Service, 2.5/7) || !almostEqual(f.Worst, 2.5/7) || f.Seconds != 2 {
 		t.Errorf("service %v, worst %v, %v s", f.Service, f.Worst, f.Seconds)
 	}
-	if f.HandIns != 6 || f.RefusedSubmissions != 1 || f.Deferred != 1 || f.Undeliverable != 1 || f.Calls != 4 || f.CallsRefused != 1 ||
+	if f.Submissions != 6 || f.RefusedSubmissions != 1 || f.Deferred != 1 || f.Undeliverable != 1 || f.Calls != 4 || f.CallsRefused != 1 ||
 		f.CallsBroken != 1 || !almostEqual(f.AttemptsPerMessage, 1) {
 		t.Errorf("%+v", f)
 	}
@@ -119,7 +119,7 @@
 		t.Errorf("%d plots in %.300s", strings.Count(page, "<svg"), page)
 	}
 	// A trial that ended at once has a report too.
-	if err := HTML(&b, "x", &Figures{}, nil); err != nil {
+	if err := HTML(&b, "x", &Metrics{}, nil); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -29,7 +29,7 @@
 			if n := res.Verdict.Judged[check.TakenIsEnded]; n < 50 {
 				t.Errorf("only %d messages were judged", n)
 			}
-			if sc.Name != "calm" && len(res.Figures.Faults) == 0 {
+			if sc.Name != "calm" && len(res.Metrics.Faults) == 0 {
 				t.Error("no fault was injected")
 			}
 		})
@@ -111,7 +111,7 @@
 	opts := options(t, relayProgram(t, "relay"), "small", 1, time.Second)
 	opts.Plan = &Plan{Steps: []Step{{Do: "kill", On: []string{"n7"}, For: roundToMillis(time.Second)}}}
 	sc, _ := Find("calm")
-	if _, err := Run(context.Background(), sc, opts); !errors.Is(err, ErrNotPlayed) ||
+	if _, err := Run(context.Background(), sc, opts); !errors.Is(err, ErrNoVerdict) ||
 		!strings.Contains(err.Error(), `the fleet has no "n7"`) {
 		t.Errorf("an unknown relay: %v", err)
 	}
@@ -124,16 +124,16 @@
 		_, err := Run(ctx, sc, options(t, relay, "small", 1, time.Minute))
 		return err
 	}
-	if err := play(context.Background(), filepath.Join(t.TempDir(), "none")); !errors.Is(err, ErrNotPlayed) {
+	if err := play(context.Background(), filepath.Join(t.TempDir(), "none")); !errors.Is(err, ErrNoVerdict) {
 		t.Errorf("no program: %v", err)
 	}
-	if err := play(context.Background(), "/bin/false"); !errors.Is(err, ErrNotPlayed) ||
+	if err := play(context.Background(), "/bin/false"); !errors.Is(err, ErrNoVerdict) ||
 		!strings.Contains(err.Error(), "ended before it was ready") {
 		t.Errorf("a program that exits: %v", err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	if err := play(ctx, relayProgram(t, "relay")); !errors.Is(err, ErrNotPlayed) {
+	if err := play(ctx, relayProgram(t, "relay")); !errors.Is(err, ErrNoVerdict) {
 		t.Errorf("canceled: %v", err)
 	}
 }
