--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// VersionMost is the last version: what reads a list may hold numbers as floating point, which tells whole ones
-	// apart up to here. A restored catalog begins RestoreJump above its backup.
+	// VersionMost is the highest version. Readers may hold numbers as 64-bit floating point, which represents integers
+	// exactly only up to this value.
 	VersionMost = 1<<53 - 1
-	RestoreJump = 1 << 32
+	// RestoreVersionOffset is added to the version of a backup when it is restored.
+	RestoreVersionOffset = 1 << 32
 
-	ChangesMost = 1024   // in one write
-	EntriesMost = 200000 // in a catalog
-	keysKept    = 4096   // idempotency keys, the last ones
-	keyMost     = 256    // bytes of one
-	historyKept = 8192   // changes, by default
+	MaxChangesPerWrite   = 1024   // changes in one write
+	MaxEntries           = 200000 // entries in a catalog
+	maxIdempotencyKeys   = 4096   // idempotency keys whose results are kept, the most recent ones
+	maxKeyBytes          = 256    // length of an idempotency key in bytes
+	defaultHistoryLength = 8192   // changes kept in the history unless configured otherwise
 )
 
-// Errors of a write. None of them leaves a part of it behind.
+// Errors of a write. A write that fails changes nothing.
 var (
 	ErrVersion   = errors.New("the list has another version")
 	ErrExhausted = errors.New("versions are used up: restore a snapshot into a new cluster")
@@ -31,94 +32,95 @@
 	ErrTooMany   = errors.New("too many entries")
 )
 
-// Change is one entry as it is to be, or, where Remove is set, the id of one that is to go.
+// Change sets one entry to the given values, or removes the entry with the given ID if Remove is set.
 type Change struct {
 	Entry  Entry `json:"entry"`
 	Remove bool  `json:"remove,omitempty"`
 }
 
-// Write is several changes that are taken on together or not at all.
+// Write is a set of changes that is applied atomically.
 type Write struct {
 	Key     string   `json:"key,omitempty"`      // idempotency key; empty: none
-	IfMatch *int64   `json:"if_match,omitempty"` // the version that the list has to have
+	IfMatch *int64   `json:"if_match,omitempty"` // the version that the list must have
 	Changes []Change `json:"changes"`
 }
 
-// Result is what came of a write.
+// Result is the outcome of a successful write.
 type Result struct {
-	Version  int64 `json:"version"`            // after it
-	Changed  int   `json:"changed"`            // entries that were not as the write has them already
-	Repeated bool  `json:"repeated,omitempty"` // it had been taken on before, under its key; the rest is of that time
+	Version  int64 `json:"version"`            // version after the write
+	Changed  int   `json:"changed"`            // number of entries that the write altered
+	Repeated bool  `json:"repeated,omitempty"` // already applied under its key; the other fields are those of the first time
 }
 
-// List is a list in the platform's form: whole, or the changes since a version.
+// List is the list of endpoints in the platform's format: either the full list or the changes since a version.
 type List struct {
 	Version int64   `json:"version"`
 	Full    bool    `json:"full"`
 	Servers []Entry `json:"servers"`
 }
 
-// Catalog is the list. Its methods may not be called at the same time.
+// Catalog holds the list of endpoints with its recent history. It is not safe for concurrent use.
 type Catalog struct {
-	cluster string
-	version int64
-	floor   int64 // the history has every change after this version
-	keep    int   // changes of the history
-	entries map[string]Entry
-	history []Stamped
-	keys    map[string]Keyed
-	order   []string // of keys, the oldest first
+	cluster       string
+	version       int64
+	floor         int64 // the history contains every change after this version
+	historyLength int   // number of changes to keep in the history
+	entries       map[string]Entry
+	history       []VersionedEntry
+	results       map[string]KeyedResult
+	keyOrder      []string // idempotency keys, the oldest first
 }
 
-// Stamped is a change under its version.
-type Stamped struct {
+// VersionedEntry is an entry of the history: a change and the version that it produced.
+type VersionedEntry struct {
 	Version int64 `json:"version"`
-	Entry   Entry `json:"entry"` // state gone: removed
+	Entry   Entry `json:"entry"` // state "gone" if the entry was removed
 }
 
-// Keyed is what came of a write with an idempotency key.
-type Keyed struct {
+// KeyedResult is the stored result of a write with an idempotency key.
+type KeyedResult struct {
 	Digest string `json:"digest"`
 	Result Result `json:"result"`
 }
 
-// New returns an empty catalog of a cluster, which keeps so many changes; 0: as many as is usual.
-func New(cluster string, keep int) *Catalog {
-	if keep <= 0 {
-		keep = historyKept
+// New returns an empty catalog of a cluster. It keeps historyLength changes in its history, or the default number if
+// historyLength is 0.
+func New(cluster string, historyLength int) *Catalog {
+	if historyLength <= 0 {
+		historyLength = defaultHistoryLength
 	}
-	return &Catalog{cluster: cluster, keep: keep, entries: map[string]Entry{}, keys: map[string]Keyed{}}
+	return &Catalog{cluster: cluster, historyLength: historyLength, entries: map[string]Entry{}, results: map[string]KeyedResult{}}
 }
 
-// Cluster is the id of the cluster whose versions these are. Versions of two clusters have nothing to do with each other.
+// Cluster returns the ID of the cluster that assigned the versions. Versions of different clusters are unrelated.
 func (c *Catalog) Cluster() string { return c.cluster }
 
-// Version is that of the last change; 0: there was none.
+// Version returns the version of the last change, or 0 if there has been none.
 func (c *Catalog) Version() int64 { return c.version }
 
-// Len is how many entries there are.
+// Len returns the number of entries.
 func (c *Catalog) Len() int { return len(c.entries) }
 
-// Get returns an entry.
+// Get returns the entry with the given ID.
 func (c *Catalog) Get(id string) (Entry, bool) {
 	e, ok := c.entries[id]
 	return e, ok
 }
 
-// Apply takes a write on, whole or not at all. An entry that is already as the write has it is no change: who writes
-// the same again and again makes no versions.
+// Apply applies a write atomically. An entry that already has the values of the write does not count as a change, so
+// writing the same values repeatedly creates no versions.
 func (c *Catalog) Apply(w Write) (Result, error) {
 	digest := ""
 	if w.Key != "" {
-		if len(w.Key) > keyMost {
-			return Result{}, fmt.Errorf("idempotency key: %d bytes, at most are %d", len(w.Key), keyMost)
+		if len(w.Key) > maxKeyBytes {
+			return Result{}, fmt.Errorf("idempotency key: %d bytes, at most are %d", len(w.Key), maxKeyBytes)
 		}
 		digest = w.digest()
-		if was, ok := c.keys[w.Key]; ok {
-			if was.Digest != digest {
+		if previous, ok := c.results[w.Key]; ok {
+			if previous.Digest != digest {
 				return Result{}, ErrKeyReused
 			}
-			r := was.Result
+			r := previous.Result
 			r.Repeated = true
 			return r, nil
 		}
@@ -126,7 +128,7 @@
 	if w.IfMatch != nil && *w.IfMatch != c.version {
 		return Result{}, fmt.Errorf("%w: %d, not %d", ErrVersion, c.version, *w.IfMatch)
 	}
-	changes, err := c.effective(w.Changes)
+	changes, err := c.effectiveChanges(w.Changes)
 	if err != nil {
 		return Result{}, err
 	}
@@ -140,104 +142,105 @@
 		} else {
 			c.entries[e.ID] = e
 		}
-		c.history = append(c.history, Stamped{c.version, e})
+		c.history = append(c.history, VersionedEntry{c.version, e})
 	}
-	c.trim()
+	c.trimHistory()
 	r := Result{Version: c.version, Changed: len(changes)}
 	if w.Key != "" {
-		c.remember(w.Key, Keyed{digest, r})
+		c.storeResult(w.Key, KeyedResult{digest, r})
 	}
 	return r, nil
 }
 
-// effective checks changes and returns those that change anything.
-func (c *Catalog) effective(changes []Change) ([]Entry, error) {
-	if len(changes) > ChangesMost {
-		return nil, fmt.Errorf("%d changes in one write, at most are %d", len(changes), ChangesMost)
+// effectiveChanges validates changes and returns those that alter the list.
+func (c *Catalog) effectiveChanges(changes []Change) ([]Entry, error) {
+	if len(changes) > MaxChangesPerWrite {
+		return nil, fmt.Errorf("%d changes in one write, at most are %d", len(changes), MaxChangesPerWrite)
 	}
-	var all []Entry
+	var effective []Entry
 	seen := make(map[string]bool, len(changes))
-	more := 0
+	added := 0
 	for i, ch := range changes {
 		e := ch.Entry
 		if seen[e.ID] {
-			return nil, &FieldError{fmt.Sprintf("%d", i+1), "id", fmt.Sprintf("%q stands twice in one write", clip(e.ID))}
+			return nil, &FieldError{fmt.Sprintf("%d", i+1), "id", fmt.Sprintf("%q stands twice in one write", truncate(e.ID))}
 		}
 		seen[e.ID] = true
-		was, there := c.entries[e.ID]
+		current, exists := c.entries[e.ID]
 		if ch.Remove {
-			if there {
-				was.State = Gone
-				all = append(all, was)
-				more--
+			if exists {
+				current.State = Gone
+				effective = append(effective, current)
+				added--
 			}
 			continue
 		}
 		if err := e.Check(); err != nil {
 			return nil, err
 		}
-		if there && was.Cell != e.Cell {
-			// A relay that has calls out to it would take one partner's endpoint for another's.
-			return nil, &FieldError{fmt.Sprintf("%q", clip(e.ID)), "cell", fmt.Sprintf("%d, but the list has it in cell %d: remove it first", e.Cell, was.Cell)}
+		if exists && current.Cell != e.Cell {
+			// A relay with calls in flight to the entry would mistake one partner's endpoint for another's.
+			return nil, &FieldError{fmt.Sprintf("%q", truncate(e.ID)), "cell", fmt.Sprintf("%d, but the list has it in cell %d: remove it first", e.Cell, current.Cell)}
 		}
-		if there && was.Equal(e) {
+		if exists && current.Equal(e) {
 			continue
 		}
-		if !there {
-			more++
+		if !exists {
+			added++
 		}
-		all = append(all, e)
+		effective = append(effective, e)
 	}
-	if len(c.entries)+more > EntriesMost {
-		return nil, fmt.Errorf("%w: %d and %d more, at most are %d", ErrTooMany, len(c.entries), more, EntriesMost)
+	if len(c.entries)+added > MaxEntries {
+		return nil, fmt.Errorf("%w: %d and %d more, at most are %d", ErrTooMany, len(c.entries), added, MaxEntries)
 	}
-	return all, nil
+	return effective, nil
 }
 
-// digest tells one write from another under the same key.
+// digest returns a hash of the write without its key, which detects a key that is reused for a different write.
 func (w Write) digest() string {
 	w.Key = ""
 	data, err := json.Marshal(w)
-	if err != nil { // an entry with a weight that is no number: it is turned down before it is kept
+	if err != nil { // a weight is NaN or infinite; Apply rejects the write before the digest is stored
 		return "unreadable"
 	}
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
 
-func (c *Catalog) remember(key string, k Keyed) {
-	c.keys[key] = k
-	c.order = append(c.order, key)
-	if more := len(c.order) - keysKept; more > 0 {
-		for _, old := range c.order[:more] {
-			delete(c.keys, old)
+// storeResult keeps the result of a keyed write and drops the oldest results beyond maxIdempotencyKeys.
+func (c *Catalog) storeResult(key string, k KeyedResult) {
+	c.results[key] = k
+	c.keyOrder = append(c.keyOrder, key)
+	if excess := len(c.keyOrder) - maxIdempotencyKeys; excess > 0 {
+		for _, old := range c.keyOrder[:excess] {
+			delete(c.results, old)
 		}
-		c.order = slices.Clone(c.order[more:])
+		c.keyOrder = slices.Clone(c.keyOrder[excess:])
 	}
 }
 
-// trim lets the oldest changes go, a quarter at a time.
-func (c *Catalog) trim() {
-	if len(c.history) <= c.keep+c.keep/4 {
+// trimHistory drops the oldest changes once the history exceeds its length by a quarter, which amortizes the copying.
+func (c *Catalog) trimHistory() {
+	if len(c.history) <= c.historyLength+c.historyLength/4 {
 		return
 	}
-	cut := len(c.history) - c.keep
+	cut := len(c.history) - c.historyLength
 	c.floor = c.history[cut-1].Version
 	c.history = slices.Clone(c.history[cut:])
 }
 
-// Whole returns all entries, by id.
+// Whole returns the full list, sorted by ID.
 func (c *Catalog) Whole() List {
 	l := List{Version: c.version, Full: true, Servers: make([]Entry, 0, len(c.entries))}
 	for _, e := range c.entries {
 		l.Servers = append(l.Servers, e)
 	}
-	byID(l.Servers)
+	sortByID(l.Servers)
 	return l
 }
 
-// Since returns what has changed after a version, each entry once and as it is now, or the whole list where the history
-// does not reach back so far or the version is none of this catalog's. changed is false if there is nothing to tell.
+// Since returns the entries that changed after a version, each once and with its current values. It returns the full list
+// if the history does not reach back to the version or the catalog never had it. changed is false if the version is current.
 func (c *Catalog) Since(version int64) (l List, changed bool) {
 	if version == c.version && version > 0 {
 		return List{Version: c.version}, false
@@ -245,34 +248,35 @@
 	if version <= 0 || version < c.floor || version > c.version {
 		return c.Whole(), true
 	}
-	from, _ := slices.BinarySearchFunc(c.history, version+1, func(s Stamped, v int64) int { return cmp.Compare(s.Version, v) })
-	last := make(map[string]Entry)
+	from, _ := slices.BinarySearchFunc(c.history, version+1, func(s VersionedEntry, v int64) int { return cmp.Compare(s.Version, v) })
+	latest := make(map[string]Entry)
 	for _, s := range c.history[from:] {
-		last[s.Entry.ID] = s.Entry
+		latest[s.Entry.ID] = s.Entry
 	}
-	l = List{Version: c.version, Servers: make([]Entry, 0, len(last))}
-	for _, e := range last {
+	l = List{Version: c.version, Servers: make([]Entry, 0, len(latest))}
+	for _, e := range latest {
 		l.Servers = append(l.Servers, e)
 	}
-	byID(l.Servers)
+	sortByID(l.Servers)
 	return l, true
 }
 
-func byID(all []Entry) {
+// sortByID sorts entries by ID, so that equal lists are encoded equally.
+func sortByID(all []Entry) {
 	slices.SortFunc(all, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Follow takes a list on in the place of one who follows: whole, or changes to what it holds.
-func Follow(held map[string]Entry, l List) map[string]Entry {
+// Follow applies a list, full or incremental, to a reader's copy of the entries and returns the updated copy.
+func Follow(entries map[string]Entry, l List) map[string]Entry {
 	if l.Full {
-		held = make(map[string]Entry, len(l.Servers))
+		entries = make(map[string]Entry, len(l.Servers))
 	}
 	for _, e := range l.Servers {
 		if e.State == Gone {
-			delete(held, e.ID)
+			delete(entries, e.ID)
 		} else {
-			held[e.ID] = e
+			entries[e.ID] = e
 		}
 	}
-	return held
+	return entries
 }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -28,8 +28,8 @@
 	return r
 }
 
-// text is a list as a reader sees it.
-func text(t interface{ Fatal(...any) }, l List) string {
+// jsonText returns a list as it is encoded for readers.
+func jsonText(t interface{ Fatal(...any) }, l List) string {
 	data, err := json.Marshal(l)
 	if err != nil {
 		t.Fatal(err)
@@ -37,23 +37,23 @@
 	return string(data)
 }
 
-func TestTheFormIsThePlatforms(t *testing.T) {
+func TestListFormat(t *testing.T) {
 	c := New("x", 0)
 	apply(t, c, put(Entry{ID: "s-5be2a07c", Addr: "10.1.0.18:3000", Zone: "a", Kind: "m2", Cell: 3, State: Ready, Weight: 1, StartedMS: 0}))
 	want := `{"version":1,"full":true,"servers":[{"id":"s-5be2a07c","addr":"10.1.0.18:3000","zone":"a","kind":"m2","cell":3,"state":"ready","weight":1,"started_ms":0}]}`
-	if got := text(t, c.Whole()); got != want {
+	if got := jsonText(t, c.Whole()); got != want {
 		t.Errorf("%s\nwant\n%s", got, want)
 	}
 	apply(t, c, remove("s-5be2a07c"))
 	if l, _ := c.Since(1); l.Full || len(l.Servers) != 1 || l.Servers[0].State != Gone || l.Version != 2 {
-		t.Errorf("after its end: %+v", l)
+		t.Errorf("after the removal: %+v", l)
 	}
 	if l := c.Whole(); len(l.Servers) != 0 {
-		t.Errorf("gone in a whole list: %+v", l)
+		t.Errorf("removed entry in a full list: %+v", l)
 	}
 }
 
-// What this build does not know of an entry is passed on as it came.
+// Unknown fields of an entry are passed on unchanged.
 func TestUnknownFieldsSurvive(t *testing.T) {
 	in := `{"id":"s-1","addr":"10.1.0.18:3000","zone":"a","kind":"m2","cell":3,"state":"ready","weight":1,"started_ms":0,"rack":{"row":7},"zeal":[1,2]}`
 	var e Entry
@@ -62,17 +62,17 @@
 	}
 	c := New("x", 0)
 	apply(t, c, put(e))
-	if got := text(t, c.Whole()); !strings.Contains(got, in) {
+	if got := jsonText(t, c.Whole()); !strings.Contains(got, in) {
 		t.Errorf("%s has no %s", got, in)
 	}
 	e.Extra = nil
 	if r := apply(t, c, put(e)); r.Changed != 1 {
-		t.Error("a field less is no change")
+		t.Error("removing an unknown field is not a change")
 	}
 }
 
-func TestNonsenseIsNamedAndLeavesNothing(t *testing.T) {
-	for field, spoil := range map[string]func(*Entry){
+func TestInvalidWriteIsRejectedWhole(t *testing.T) {
+	for field, invalidate := range map[string]func(*Entry){
 		"id": func(e *Entry) { e.ID = "" }, "zone": func(e *Entry) { e.Zone = "a b" }, "kind": func(e *Entry) { e.Kind = strings.Repeat("x", 65) },
 		"cell": func(e *Entry) { e.Cell = -1 }, "state": func(e *Entry) { e.State = Gone }, "started_ms": func(e *Entry) { e.StartedMS = -1 },
 		"weight": func(e *Entry) { e.Weight = math.NaN() }, "addr": func(e *Entry) { e.Addr = "10.1.0.18" },
@@ -82,31 +82,31 @@
 	} {
 		c := New("x", 0)
 		apply(t, c, put(entry("s-0", 3)))
-		before := text(t, c.Whole())
+		before := jsonText(t, c.Whole())
 		bad := entry("s-2", 3)
-		spoil(&bad)
+		invalidate(&bad)
 		_, err := c.Apply(Write{Changes: []Change{put(entry("s-1", 3)), put(bad), remove("s-0")}})
 		var f *FieldError
 		if !errors.As(err, &f) || f.Field != field {
 			t.Errorf("%s: error %v", field, err)
 		}
-		if after := text(t, c.Whole()); after != before {
-			t.Errorf("%s: half taken on: %s", field, after)
+		if after := jsonText(t, c.Whole()); after != before {
+			t.Errorf("%s: partially applied: %s", field, after)
 		}
 	}
 	for _, addr := range []string{"", ":3000", "h:", "h:0", "h:65536", "h:x", "h:3000:1", "a b:1", strings.Repeat("h", 300) + ":1"} {
 		e := entry("s-1", 3)
 		e.Addr = addr
 		if e.Check() == nil {
-			t.Errorf("address %q was taken", addr)
+			t.Errorf("address %q was accepted", addr)
 		}
 	}
 	c := New("x", 0)
 	apply(t, c, put(entry("s-1", 3)))
 	for name, w := range map[string]Write{
 		"cell": {Changes: []Change{put(entry("s-1", 4))}}, "twice": {Changes: []Change{put(entry("s-9", 4)), remove("s-9")}},
-		"other version": {IfMatch: new(int64), Changes: []Change{remove("s-1")}}, "too many": {Changes: make([]Change, ChangesMost+1)},
-		"key": {Key: strings.Repeat("k", keyMost+1)},
+		"other version": {IfMatch: new(int64), Changes: []Change{remove("s-1")}}, "too many": {Changes: make([]Change, MaxChangesPerWrite+1)},
+		"key": {Key: strings.Repeat("k", maxKeyBytes+1)},
 	} {
 		if _, err := c.Apply(w); err == nil || c.Version() != 1 {
 			t.Errorf("%s: error %v, version %d", name, err, c.Version())
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestARepeatedWriteIsTakenOnce(t *testing.T) {
+func TestRepeatedWriteIsAppliedOnce(t *testing.T) {
 	c := New("x", 0)
 	w := Write{Key: "k1", Changes: []Change{put(entry("s-1", 3))}}
 	first, err := c.Apply(w)
@@ -128,31 +128,31 @@
 	}
 	w.Changes = []Change{put(entry("s-2", 3))}
 	if _, err := c.Apply(w); !errors.Is(err, ErrKeyReused) {
-		t.Errorf("another write under the key: %v", err)
+		t.Errorf("another write under the same key: %v", err)
 	}
-	for i := range keysKept { // the key is forgotten in the end, and memory is bounded
+	for i := range maxIdempotencyKeys { // the key is forgotten eventually, which bounds memory
 		if _, err := c.Apply(Write{Key: fmt.Sprint("n", i)}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(c.keys) != keysKept || len(c.order) != keysKept || c.keys["k1"].Digest != "" {
-		t.Errorf("%d keys, %d in order", len(c.keys), len(c.order))
+	if len(c.results) != maxIdempotencyKeys || len(c.keyOrder) != maxIdempotencyKeys || c.results["k1"].Digest != "" {
+		t.Errorf("%d keys, %d in order", len(c.results), len(c.keyOrder))
 	}
 }
 
-func TestVersionsEndInOrder(t *testing.T) {
+func TestVersionsExhausted(t *testing.T) {
 	c := New("x", 0)
 	c.version = VersionMost - 1
 	apply(t, c, put(entry("s-1", 3)))
 	if _, err := c.Apply(Write{Changes: []Change{put(entry("s-2", 3))}}); !errors.Is(err, ErrExhausted) || c.Len() != 1 {
 		t.Errorf("%v, %d entries", err, c.Len())
 	}
-	if _, err := Rebuild(Snapshot{Format: SnapshotFormat, Cluster: "x", Version: VersionMost, Floor: VersionMost}, "y", 0); !errors.Is(err, ErrExhausted) {
-		t.Errorf("restored: %v", err)
+	if _, err := NewFromBackup(Snapshot{Format: SnapshotFormat, Cluster: "x", Version: VersionMost, Floor: VersionMost}, "y", 0); !errors.Is(err, ErrExhausted) {
+		t.Errorf("restore: %v", err)
 	}
 }
 
-// drawWrite draws a write that may or may not change something.
+// drawWrite draws a random write, which may have no effect.
 func drawWrite(t *rapid.T) Write {
 	n := rapid.IntRange(1, 4).Draw(t, "changes")
 	var w Write
@@ -175,12 +175,12 @@
 	return w
 }
 
-// Whichever way one follows, however seldom, over snapshots and restores from backups: one ends with the same list as
-// one who asked for all of it. Versions rise, and a version names one content.
-func TestAnyWayOfFollowingEqualsTheWholeList(t *testing.T) {
+// Readers that follow the list at any intervals, across snapshots and restored backups, end with the same entries as the full
+// list. Versions never decrease, and a version always has the same content.
+func TestIncrementalReadsMatchFullList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		keep := rapid.IntRange(1, 12).Draw(t, "keep")
-		c := New("c0", keep)
+		historyLength := rapid.IntRange(1, 12).Draw(t, "keep")
+		c := New("c0", historyLength)
 		clusters := 0
 		type follower struct {
 			held    map[string]Entry
@@ -188,14 +188,14 @@
 		}
 		followers := make([]follower, 3)
 		contents := map[int64]string{}
-		look := func(when string) {
-			got := text(t, c.Whole())
+		checkVersion := func(when string) {
+			got := jsonText(t, c.Whole())
 			if was, ok := contents[c.Version()]; ok && was != got {
-				t.Fatalf("%s: version %d names\n%s\nand\n%s", when, c.Version(), was, got)
+				t.Fatalf("%s: version %d has the content\n%s\nand\n%s", when, c.Version(), was, got)
 			}
 			contents[c.Version()] = got
 		}
-		look("empty")
+		checkVersion("empty")
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			before := c.Version()
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
@@ -205,20 +205,20 @@
 				if err != nil || r.Version != c.Version() || r.Version-before != int64(r.Changed) {
 					t.Fatalf("%+v, %v, version %d after %d", r, err, c.Version(), before)
 				}
-				look("written")
+				checkVersion("written")
 			case 5, 6, 7:
 				f := &followers[rapid.IntRange(0, len(followers)-1).Draw(t, "follower")]
 				l, changed := c.Since(f.version)
 				if l.Version < f.version {
-					t.Fatalf("told version %d after %d", l.Version, f.version)
+					t.Fatalf("received version %d after %d", l.Version, f.version)
 				}
 				if !changed && f.version != c.Version() {
-					t.Fatalf("nothing told at %d to one who is at %d", c.Version(), f.version)
+					t.Fatalf("no change reported at version %d to a follower at %d", c.Version(), f.version)
 				}
 				if changed {
 					f.held, f.version = Follow(f.held, l), l.Version
 				}
-			case 8: // a replica that starts from a snapshot goes on as the others do
+			case 8: // a replica starts from a snapshot
 				var b bytes.Buffer
 				if _, err := c.Snapshot().WriteTo(&b); err != nil {
 					t.Fatal(err)
@@ -227,23 +227,23 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if c, err = Load(s, keep); err != nil {
+				if c, err = Load(s, historyLength); err != nil {
 					t.Fatal(err)
 				}
-				look("loaded")
-			case 9: // all servers are lost, and a backup is restored into a new cluster
+				checkVersion("loaded")
+			case 9: // a backup is restored into a new cluster
 				clusters++
 				var err error
-				if c, err = Rebuild(c.Snapshot(), fmt.Sprint("c", clusters), keep); err != nil {
+				if c, err = NewFromBackup(c.Snapshot(), fmt.Sprint("c", clusters), historyLength); err != nil {
 					t.Fatal(err)
 				}
-				look("restored")
+				checkVersion("restored")
 			}
 			if c.Version() < before {
 				t.Fatalf("version %d after %d", c.Version(), before)
 			}
-			if len(c.history) > keep+keep/4+4 {
-				t.Fatalf("%d changes are kept, %d are wanted", len(c.history), keep)
+			if len(c.history) > historyLength+historyLength/4+4 {
+				t.Fatalf("%d changes in the history, want about %d", len(c.history), historyLength)
 			}
 		}
 		for i := range followers {
@@ -255,15 +255,15 @@
 			for _, e := range f.held {
 				got.Servers = append(got.Servers, e)
 			}
-			byID(got.Servers)
-			if text(t, got) != text(t, c.Whole()) {
-				t.Fatalf("follower %d, from version %d, has\n%s\nand the list is\n%s", i, f.version, text(t, got), text(t, c.Whole()))
+			sortByID(got.Servers)
+			if jsonText(t, got) != jsonText(t, c.Whole()) {
+				t.Fatalf("follower %d, from version %d, has\n%s\nand the list is\n%s", i, f.version, jsonText(t, got), jsonText(t, c.Whole()))
 			}
 		}
 	})
 }
 
-// Two replicas that are given the same writes hold the same, to the byte of their snapshots.
+// Two replicas that apply the same writes have byte-identical snapshots.
 func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New("x", 7), New("x", 7)
@@ -275,7 +275,7 @@
 			ra, ea := a.Apply(w)
 			rb, eb := b.Apply(w)
 			if ra != rb || fmt.Sprint(ea) != fmt.Sprint(eb) {
-				t.Fatalf("%+v %v, and %+v %v", ra, ea, rb, eb)
+				t.Fatalf("results differ: %+v %v, and %+v %v", ra, ea, rb, eb)
 			}
 		}
 		var x, y bytes.Buffer
@@ -291,8 +291,8 @@
 	})
 }
 
-// A snapshot that does not fit together is named and not taken on.
-func TestASpoiltSnapshotIsTurnedDown(t *testing.T) {
+// An inconsistent snapshot is rejected with an error that names the fault.
+func TestCorruptSnapshotIsRejected(t *testing.T) {
 	c := New("x", 4)
 	for i := range 9 {
 		apply(t, c, put(entry(fmt.Sprint("s-", i), i)))
@@ -304,8 +304,8 @@
 	if _, err := c.Snapshot().WriteTo(&b); err != nil {
 		t.Fatal(err)
 	}
-	sound := b.String()
-	if _, err := ReadSnapshot(strings.NewReader(sound)); err != nil {
+	valid := b.String()
+	if _, err := ReadSnapshot(strings.NewReader(valid)); err != nil {
 		t.Fatal(err)
 	}
 	for _, s := range []struct{ old, new, want string }{
@@ -321,17 +321,17 @@
 		{`"format":1`, `"format":1,"what":2`, "what"},
 		{`}}}`, ``, "unexpected EOF"},
 	} {
-		spoilt := strings.Replace(sound, s.old, s.new, 1)
-		if spoilt == sound {
+		corrupt := strings.Replace(valid, s.old, s.new, 1)
+		if corrupt == valid {
 			t.Fatalf("%q is not in the snapshot", s.old)
 		}
-		if _, err := ReadSnapshot(strings.NewReader(spoilt)); err == nil || !strings.Contains(err.Error(), s.want) {
+		if _, err := ReadSnapshot(strings.NewReader(corrupt)); err == nil || !strings.Contains(err.Error(), s.want) {
 			t.Errorf("%q: %v, want %q", s.new, err, s.want)
 		}
 	}
 }
 
-// Whatever bytes come, reading does not panic, and what is taken on is sound.
+// Reading arbitrary bytes does not panic, and every snapshot that is accepted can be loaded and written to.
 func FuzzReadSnapshot(f *testing.F) {
 	c := New("x", 4)
 	if _, err := c.Apply(Write{Key: "k", Changes: []Change{put(entry("s-1", 1)), put(entry("s-2", 2))}}); err != nil {
@@ -350,7 +350,7 @@
 		}
 		c, err := Load(s, 4)
 		if err != nil {
-			t.Fatalf("read, and not loaded: %v", err)
+			t.Fatalf("snapshot was read but cannot be loaded: %v", err)
 		}
 		if _, err := c.Apply(Write{Changes: []Change{put(entry("s-3", 3))}}); err != nil && !errors.Is(err, ErrExhausted) {
 			var f *FieldError
--- a/internal/catalog/entry.go
+++ b/internal/catalog/entry.go
@@ -1,5 +1,5 @@
-// Package catalog holds the list of endpoints: entries, one rising version for each change, and the changes since a
-// version. It has no sockets and no clock, so that every replica that is given the same writes holds the same list.
+// Package catalog holds the list of endpoints: its entries, a version that increases with each change, and a history of
+// recent changes. It uses neither the network nor a clock, so replicas that apply the same writes hold the same list.
 package catalog
 
 import (
@@ -12,26 +12,26 @@
 	"strings"
 )
 
-// State is what an endpoint wants of relays.
+// State is the state of an endpoint, which tells relays whether to send it new requests.
 type State string
 
-// The states of an entry. Gone appears among changes only.
+// The states of an entry. Gone appears only in incremental lists and the history, for an entry that was removed.
 const (
 	Ready    State = "ready"
 	Draining State = "draining"
 	Gone     State = "gone"
 )
 
-// Bounds of an entry's fields.
+// Limits on the fields of an entry. Lengths are in bytes.
 const (
-	idMost    = 128 // bytes of an id
-	nameMost  = 64  // of a zone or a kind
-	addrMost  = 256
-	cellMost  = 1 << 20
-	extraMost = 4 << 10 // of the fields that this build does not know
+	maxIDBytes    = 128 // length of an ID
+	maxNameBytes  = 64  // length of a zone or a kind
+	maxAddrBytes  = 256
+	maxCell       = 1 << 20
+	maxExtraBytes = 4 << 10 // total length of the names and values in Extra
 )
 
-// Entry is one endpoint, in the platform's form.
+// Entry is one endpoint, in the platform's format.
 type Entry struct {
 	ID        string
 	Addr      string
@@ -42,12 +42,12 @@
 	Weight    float64
 	StartedMS int64
 
-	// Extra are fields that this build does not know: they are kept and passed on, so that an old build between two
-	// new ones loses nothing.
+	// Extra holds fields that this build does not know. They are stored and passed on, so that an old build between
+	// two newer ones loses nothing.
 	Extra map[string]json.RawMessage
 }
 
-// entryJSON is the form of the known fields.
+// entryJSON is the JSON encoding of the known fields.
 type entryJSON struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -59,22 +59,22 @@
 	StartedMS int64   `json:"started_ms"`
 }
 
-var known = []string{"id", "addr", "zone", "kind", "cell", "state", "weight", "started_ms"}
+var knownFields = []string{"id", "addr", "zone", "kind", "cell", "state", "weight", "started_ms"}
 
-// MarshalJSON writes the known fields in their order, and then the others by name.
+// MarshalJSON writes the known fields in a fixed order, followed by the extra fields sorted by name.
 func (e Entry) MarshalJSON() ([]byte, error) {
 	data, err := json.Marshal(entryJSON{e.ID, e.Addr, e.Zone, e.Kind, &e.Cell, e.State, e.Weight, e.StartedMS})
 	if err != nil || len(e.Extra) == 0 {
 		return data, err
 	}
-	extra, err := json.Marshal(e.Extra) // sorted by name
+	extra, err := json.Marshal(e.Extra) // json.Marshal sorts map keys
 	if err != nil {
 		return nil, err
 	}
 	return append(append(data[:len(data)-1], ','), extra[1:]...), nil
 }
 
-// UnmarshalJSON reads an entry; it does not judge its values.
+// UnmarshalJSON decodes an entry without validating its values; see Check. A missing cell becomes -1, which is invalid.
 func (e *Entry) UnmarshalJSON(data []byte) error {
 	var j entryJSON
 	if err := json.Unmarshal(data, &j); err != nil {
@@ -89,8 +89,8 @@
 		e.Cell = *j.Cell
 	}
 	for name, raw := range all {
-		// The library takes a known field in any case; what it took is no other field.
-		if !isKnown(name) {
+		// json.Unmarshal matches field names case-insensitively, so a field that it consumed is not an extra one.
+		if !isKnownField(name) {
 			if e.Extra == nil {
 				e.Extra = map[string]json.RawMessage{}
 			}
@@ -100,8 +100,8 @@
 	return nil
 }
 
-func isKnown(name string) bool {
-	for _, k := range known {
+func isKnownField(name string) bool {
+	for _, k := range knownFields {
 		if strings.EqualFold(k, name) {
 			return true
 		}
@@ -109,7 +109,7 @@
 	return false
 }
 
-// Equal tells whether two entries are the same in every field.
+// Equal reports whether two entries are equal in every field.
 func (e Entry) Equal(o Entry) bool {
 	x, y := e, o
 	x.Extra, y.Extra = nil, nil
@@ -117,19 +117,19 @@
 		x.StartedMS == y.StartedMS && maps.EqualFunc(e.Extra, o.Extra, func(a, b json.RawMessage) bool { return string(a) == string(b) })
 }
 
-// FieldError says which field of which entry is wrong.
+// FieldError reports an invalid field of an entry.
 type FieldError struct {
-	Entry string // its id, or its place among several
+	Entry string // its quoted ID, or its 1-based position in a write
 	Field string
 	Why   string
 }
 
 func (e *FieldError) Error() string { return fmt.Sprintf("entry %s: %s: %s", e.Entry, e.Field, e.Why) }
 
-// Check judges an entry's values.
+// Check validates the values of an entry.
 func (e Entry) Check() error {
-	wrong := func(field, format string, args ...any) error {
-		return &FieldError{strconv.Quote(clip(e.ID)), field, fmt.Sprintf(format, args...)}
+	fieldError := func(field, format string, args ...any) error {
+		return &FieldError{strconv.Quote(truncate(e.ID)), field, fmt.Sprintf(format, args...)}
 	}
 	size := 0
 	for name, raw := range e.Extra {
@@ -137,51 +137,52 @@
 	}
 	switch {
 	case e.ID == "":
-		return wrong("id", "is missing")
-	case len(e.ID) > idMost:
-		return wrong("id", "has %d bytes, at most are %d", len(e.ID), idMost)
-	case !plain(e.ID):
-		return wrong("id", "may hold printable ASCII without spaces and slashes alone")
-	case e.Zone == "" || len(e.Zone) > nameMost || !plain(e.Zone):
-		return wrong("zone", "%q, wanted are 1 to %d bytes of printable ASCII without spaces and slashes", clip(e.Zone), nameMost)
-	case e.Kind == "" || len(e.Kind) > nameMost || !plain(e.Kind):
-		return wrong("kind", "%q, wanted are 1 to %d bytes of printable ASCII without spaces and slashes", clip(e.Kind), nameMost)
-	case e.Cell < 0 || e.Cell > cellMost:
-		return wrong("cell", "wanted is a whole number from 0 to %d", cellMost)
+		return fieldError("id", "is missing")
+	case len(e.ID) > maxIDBytes:
+		return fieldError("id", "has %d bytes, at most are %d", len(e.ID), maxIDBytes)
+	case !isPlainName(e.ID):
+		return fieldError("id", "may hold printable ASCII without spaces and slashes alone")
+	case e.Zone == "" || len(e.Zone) > maxNameBytes || !isPlainName(e.Zone):
+		return fieldError("zone", "%q, wanted are 1 to %d bytes of printable ASCII without spaces and slashes", truncate(e.Zone), maxNameBytes)
+	case e.Kind == "" || len(e.Kind) > maxNameBytes || !isPlainName(e.Kind):
+		return fieldError("kind", "%q, wanted are 1 to %d bytes of printable ASCII without spaces and slashes", truncate(e.Kind), maxNameBytes)
+	case e.Cell < 0 || e.Cell > maxCell:
+		return fieldError("cell", "wanted is a whole number from 0 to %d", maxCell)
 	case e.State != Ready && e.State != Draining:
-		return wrong("state", "%q, wanted is ready or draining; what is gone is removed", clip(string(e.State)))
+		return fieldError("state", "%q, wanted is ready or draining; what is gone is removed", truncate(string(e.State)))
 	case math.IsNaN(e.Weight) || math.IsInf(e.Weight, 0) || e.Weight < 0:
-		return wrong("weight", "%v, wanted is a number of 0 or more", e.Weight)
+		return fieldError("weight", "%v, wanted is a number of 0 or more", e.Weight)
 	case e.StartedMS < 0:
-		return wrong("started_ms", "%d is below 0", e.StartedMS)
-	case size > extraMost:
-		return wrong("other fields", "have %d bytes, at most are %d", size, extraMost)
+		return fieldError("started_ms", "%d is below 0", e.StartedMS)
+	case size > maxExtraBytes:
+		return fieldError("other fields", "have %d bytes, at most are %d", size, maxExtraBytes)
 	}
-	if why := address(e.Addr); why != "" {
-		return wrong("addr", "%q: %s", clip(e.Addr), why)
+	if why := addressProblem(e.Addr); why != "" {
+		return fieldError("addr", "%q: %s", truncate(e.Addr), why)
 	}
 	return nil
 }
 
-// address tells why an address is none; empty: it is one.
-func address(addr string) string {
+// addressProblem describes why an address is invalid, or returns "" if it is valid.
+func addressProblem(addr string) string {
 	host, port, err := net.SplitHostPort(addr)
-	n, bad := strconv.ParseUint(port, 10, 16)
+	n, portErr := strconv.ParseUint(port, 10, 16)
 	switch {
-	case len(addr) > addrMost:
+	case len(addr) > maxAddrBytes:
 		return "too long"
 	case err != nil:
 		return "wanted is host:port, such as 10.1.0.18:3000"
-	case host == "" || !plain(host):
+	case host == "" || !isPlainName(host):
 		return "its host is missing or no name"
-	case bad != nil || n == 0:
+	case portErr != nil || n == 0:
 		return "its port is no number from 1 to 65535"
 	}
 	return ""
 }
 
-// plain is printable ASCII without spaces and slashes: it can stand in a path, a log line and a table.
-func plain(text string) bool {
+// isPlainName reports whether text consists of printable ASCII without spaces and slashes, so that it can be used in a
+// path, a log line and a table.
+func isPlainName(text string) bool {
 	for _, c := range []byte(text) {
 		if c <= ' ' || c > '~' || c == '/' {
 			return false
@@ -190,7 +191,8 @@
 	return true
 }
 
-func clip(text string) string {
+// truncate shortens text to 64 bytes for an error message.
+func truncate(text string) string {
 	if len(text) > 64 {
 		return text[:64] + "…"
 	}
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -8,25 +8,25 @@
 	"slices"
 )
 
-// SnapshotFormat is the form of snapshot that this package writes and reads.
+// SnapshotFormat is the version of the snapshot format that this package writes and reads.
 const SnapshotFormat = 1
 
-// Snapshot is all of a catalog. Framing and checksums are for who keeps it.
+// Snapshot is the complete state of a catalog. Framing and checksums are left to the code that stores it.
 type Snapshot struct {
-	Format  int              `json:"format"`
-	Cluster string           `json:"cluster"`
-	Version int64            `json:"version"`
-	Floor   int64            `json:"floor"`
-	Entries []Entry          `json:"entries"`
-	History []Stamped        `json:"history,omitempty"`
-	Keys    []string         `json:"keys,omitempty"` // in their order
-	Results map[string]Keyed `json:"results,omitempty"`
+	Format  int                    `json:"format"`
+	Cluster string                 `json:"cluster"`
+	Version int64                  `json:"version"`
+	Floor   int64                  `json:"floor"`
+	Entries []Entry                `json:"entries"`
+	History []VersionedEntry       `json:"history,omitempty"`
+	Keys    []string               `json:"keys,omitempty"` // idempotency keys, the oldest first
+	Results map[string]KeyedResult `json:"results,omitempty"`
 }
 
-// Snapshot copies the catalog: what is done to it later does not show.
+// Snapshot returns a copy of the state, which later writes do not affect.
 func (c *Catalog) Snapshot() Snapshot {
 	return Snapshot{Format: SnapshotFormat, Cluster: c.cluster, Version: c.version, Floor: c.floor, Entries: c.Whole().Servers,
-		History: slices.Clone(c.history), Keys: slices.Clone(c.order), Results: maps.Clone(c.keys)}
+		History: slices.Clone(c.history), Keys: slices.Clone(c.keyOrder), Results: maps.Clone(c.results)}
 }
 
 // WriteTo writes the snapshot as JSON.
@@ -39,7 +39,7 @@
 	return int64(n), err
 }
 
-// ReadSnapshot reads and judges a snapshot: nothing of one that does not fit together is taken on.
+// ReadSnapshot decodes a snapshot and validates it.
 func ReadSnapshot(r io.Reader) (s Snapshot, err error) {
 	d := json.NewDecoder(r)
 	d.DisallowUnknownFields()
@@ -49,6 +49,7 @@
 	return s, s.check()
 }
 
+// check validates that the parts of a snapshot are consistent with each other.
 func (s *Snapshot) check() error {
 	switch {
 	case s.Format != SnapshotFormat:
@@ -67,7 +68,7 @@
 			return fmt.Errorf("snapshot: %w", err)
 		}
 		if i > 0 && s.Entries[i-1].ID >= e.ID {
-			return fmt.Errorf("snapshot: entries: %q stands after %q", clip(e.ID), clip(s.Entries[i-1].ID))
+			return fmt.Errorf("snapshot: entries: %q stands after %q", truncate(e.ID), truncate(s.Entries[i-1].ID))
 		}
 	}
 	for i, h := range s.History {
@@ -80,45 +81,46 @@
 	}
 	for _, k := range s.Keys {
 		if _, ok := s.Results[k]; !ok {
-			return fmt.Errorf("snapshot: results: none of key %q", clip(k))
+			return fmt.Errorf("snapshot: results: none of key %q", truncate(k))
 		}
 	}
 	return nil
 }
 
-// Load returns the catalog of a snapshot.
-func Load(s Snapshot, keep int) (*Catalog, error) {
+// Load returns a catalog with the state of a snapshot.
+func Load(s Snapshot, historyLength int) (*Catalog, error) {
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	c := New(s.Cluster, keep)
+	c := New(s.Cluster, historyLength)
 	c.version, c.floor = s.Version, s.Floor
 	for _, e := range s.Entries {
 		c.entries[e.ID] = e
 	}
-	c.history, c.order = slices.Clone(s.History), slices.Clone(s.Keys)
+	c.history, c.keyOrder = slices.Clone(s.History), slices.Clone(s.Keys)
 	if s.Results != nil {
-		c.keys = maps.Clone(s.Results)
+		c.results = maps.Clone(s.Results)
 	}
 	return c, nil
 }
 
-// Rebuild returns the catalog of a backup, for a new cluster. Its version lies above any that the old one may have told
-// since, and its history is empty: whoever followed the old cluster gets the whole list, and never a mix.
-func Rebuild(s Snapshot, cluster string, keep int) (*Catalog, error) {
+// NewFromBackup returns a catalog for a new cluster with the entries of a backup. Its version is higher than any that the old
+// cluster can have published since the backup, and its history is empty, so that readers of the old cluster get the full
+// list and never a mix of both.
+func NewFromBackup(s Snapshot, cluster string, historyLength int) (*Catalog, error) {
 	switch {
 	case cluster == "" || cluster == s.Cluster:
 		return nil, fmt.Errorf("restore: the new cluster needs an id of its own, not %q", cluster)
-	case s.Version > VersionMost-RestoreJump:
+	case s.Version > VersionMost-RestoreVersionOffset:
 		return nil, fmt.Errorf("restore: %w", ErrExhausted)
 	}
-	c, err := Load(s, keep)
+	c, err := Load(s, historyLength)
 	if err != nil {
 		return nil, err
 	}
 	c.cluster = cluster
-	c.version += RestoreJump
+	c.version += RestoreVersionOffset
 	c.floor, c.history = c.version, nil
-	c.keys, c.order = map[string]Keyed{}, nil
+	c.results, c.keyOrder = map[string]KeyedResult{}, nil
 	return c, nil
 }
--- a/internal/durable/whole.go
+++ b/internal/durable/checkedfile.go
@@ -11,15 +11,15 @@
 	"path/filepath"
 )
 
-// WriteWhole puts a file in the place of another, so that whatever happens there is either the one or the other, whole. form names
-// what is in it; its length and checksum stand in its first line.
-func WriteWhole(path, form string, data []byte) error {
+// WriteWhole replaces a file atomically: after a crash there is either the old content or the new. The first line of the
+// file holds the name of the format and the length and checksum of data.
+func WriteWhole(path, format string, data []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
 	if err != nil {
 		return err
 	}
 	sum := sha256.Sum256(data)
-	_, err = fmt.Fprintf(f, "%s %d %s\n", form, len(data), hex.EncodeToString(sum[:]))
+	_, err = fmt.Fprintf(f, "%s %d %s\n", format, len(data), hex.EncodeToString(sum[:]))
 	if err == nil {
 		_, err = f.Write(data)
 	}
@@ -33,7 +33,7 @@
 	return syncDir(filepath.Dir(path))
 }
 
-// syncDir makes names last.
+// syncDir syncs a directory, so that a rename in it is durable.
 func syncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
@@ -42,8 +42,8 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// ReadWhole reads a file that WriteWhole wrote. What is not as it was written is ErrDamaged.
-func ReadWhole(path, form string) ([]byte, error) {
+// ReadWhole reads a file that WriteWhole wrote. It returns ErrDamaged if the header does not match the content.
+func ReadWhole(path, format string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -53,10 +53,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("read %s: %w", path, err)
 	}
-	head, data, ok := bytes.Cut(all, []byte("\n"))
+	header, data, ok := bytes.Cut(all, []byte("\n"))
 	sum := sha256.Sum256(data)
-	if want := fmt.Sprintf("%s %d %s", form, len(data), hex.EncodeToString(sum[:])); !ok || string(head) != want {
-		return nil, fmt.Errorf("%w: %s: its first line is %.100q, and what follows asks for %q", ErrDamaged, path, head, want)
+	if want := fmt.Sprintf("%s %d %s", format, len(data), hex.EncodeToString(sum[:])); !ok || string(header) != want {
+		return nil, fmt.Errorf("%w: %s: the header is %.100q, but the content requires %q", ErrDamaged, path, header, want)
 	}
 	return data, nil
 }
--- a/internal/durable/snapshot.go
+++ b/internal/durable/snapshot.go
@@ -16,23 +16,24 @@
 )
 
 const (
-	pieceSize     = 128 << 10
-	snapshotsKept = 2 // the last one, and the one before in case it cannot be read
+	chunkSize    = 128 << 10 // bytes
+	maxSnapshots = 2         // the latest, and the previous one in case the latest cannot be read
 )
 
-// meta is what is kept of a snapshot beside its pieces.
-type meta struct {
+// snapshotMeta is the stored description of a snapshot; the content is stored in chunks.
+type snapshotMeta struct {
 	Raft   raft.SnapshotMeta `json:"raft"`
-	Pieces uint32            `json:"pieces"`
+	Chunks uint32            `json:"pieces"`
 }
 
-func metaKey(id string) []byte { return append([]byte{keyMeta}, id...) }
+func metaKey(id string) []byte { return append([]byte{prefixSnapshotMeta}, id...) }
 
-func pieceKey(id string, n uint32) []byte {
-	return binary.BigEndian.AppendUint32(append(append([]byte{keyData}, id...), 0), n)
+func chunkKey(id string, n uint32) []byte {
+	return binary.BigEndian.AppendUint32(append(append([]byte{prefixSnapshotChunk}, id...), 0), n)
 }
 
-// Create begins a snapshot. There is none until it is closed: what a crash leaves of one is cleared away at the next.
+// Create starts writing a snapshot, which does not exist until it is closed. Chunks that an interrupted attempt left under
+// the same ID are deleted first.
 func (s *Store) Create(version raft.SnapshotVersion, index, term uint64, configuration raft.Configuration, configurationIndex uint64,
 	_ raft.Transport) (raft.SnapshotSink, error) {
 	if version != 1 {
@@ -40,14 +41,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.broken(); err != nil {
+	if err := s.checkUsable(); err != nil {
 		return nil, err
 	}
-	all, err := s.metas()
+	all, err := s.snapshotMetas()
 	if err != nil {
 		return nil, err
 	}
-	// Sorted as text they are sorted by index; the number tells two of one index apart.
+	// IDs sort as text in the order of their index. The number distinguishes snapshots of the same index.
 	number := 0
 	for _, m := range all {
 		if m.Raft.Index == index {
@@ -55,17 +56,17 @@
 		}
 	}
 	id := fmt.Sprintf("%020d-%010d-%04d", index, term, number)
-	if err := s.clear(id); err != nil {
+	if err := s.deleteSnapshot(id); err != nil {
 		return nil, err
 	}
-	return &sink{store: s, meta: meta{Raft: raft.SnapshotMeta{Version: version, ID: id, Index: index, Term: term, Configuration: configuration,
+	return &snapshotSink{store: s, meta: snapshotMeta{Raft: raft.SnapshotMeta{Version: version, ID: id, Index: index, Term: term, Configuration: configuration,
 		ConfigurationIndex: configurationIndex}}}, nil
 }
 
-// clear removes what is left of a snapshot.
-func (s *Store) clear(id string) error {
+// deleteSnapshot deletes the description and the chunks of a snapshot.
+func (s *Store) deleteSnapshot(id string) error {
 	b := s.db.NewBatch()
-	if err := remove(b, id); err != nil {
+	if err := addSnapshotDeletion(b, id); err != nil {
 		return err
 	}
 	if err := s.commit(b); err != nil {
@@ -74,16 +75,16 @@
 	return nil
 }
 
-// remove adds a snapshot's end to a batch.
-func remove(b *pebble.Batch, id string) error {
-	return errors.Join(b.Delete(metaKey(id), nil), b.DeleteRange(pieceKey(id, 0), append([]byte{keyData}, id+"\x01"...), nil))
+// addSnapshotDeletion adds the deletion of a snapshot to a batch.
+func addSnapshotDeletion(b *pebble.Batch, id string) error {
+	return errors.Join(b.Delete(metaKey(id), nil), b.DeleteRange(chunkKey(id, 0), append([]byte{prefixSnapshotChunk}, id+"\x01"...), nil))
 }
 
-// metas returns what snapshots there are, the newest first. One whose description is damaged is passed over with a word:
-// an older one may be whole.
-func (s *Store) metas() (all []meta, err error) {
-	err = s.do(func() (err error) {
-		all, err = s.readMetas()
+// snapshotMetas returns the descriptions of all snapshots, the newest first. Damaged descriptions are logged and skipped,
+// because an older snapshot may be intact.
+func (s *Store) snapshotMetas() (all []snapshotMeta, err error) {
+	err = s.run(func() (err error) {
+		all, err = s.readSnapshotMetas()
 		return err
 	})
 	if err != nil {
@@ -92,70 +93,71 @@
 	return all, nil
 }
 
-func (s *Store) readMetas() (all []meta, err error) {
-	it, err := s.db.NewIter(&pebble.IterOptions{LowerBound: []byte{keyMeta}, UpperBound: []byte{keyMeta + 1}})
+// readSnapshotMetas reads the descriptions from the database; see snapshotMetas.
+func (s *Store) readSnapshotMetas() (all []snapshotMeta, err error) {
+	it, err := s.db.NewIter(&pebble.IterOptions{LowerBound: []byte{prefixSnapshotMeta}, UpperBound: []byte{prefixSnapshotMeta + 1}})
 	if err != nil {
 		return nil, err
 	}
 	for ok := it.First(); ok; ok = it.Next() {
-		var m meta
+		var m snapshotMeta
 		value, err := unframe(it.Key(), it.Value())
 		if err == nil {
 			err = json.Unmarshal(value, &m)
 		}
 		if err != nil {
-			s.log.Error("snapshot passed over", "id", string(it.Key()[1:]), "err", err)
+			s.log.Error("skipping damaged snapshot", "id", string(it.Key()[1:]), "err", err)
 			continue
 		}
 		all = append(all, m)
 	}
-	slices.SortFunc(all, func(a, b meta) int {
+	slices.SortFunc(all, func(a, b snapshotMeta) int {
 		return cmp.Or(cmp.Compare(b.Raft.Term, a.Raft.Term), cmp.Compare(b.Raft.Index, a.Raft.Index), strings.Compare(b.Raft.ID, a.Raft.ID))
 	})
 	return all, it.Close()
 }
 
-// List returns the snapshots, the newest first.
+// List returns the metadata of all snapshots, the newest first.
 func (s *Store) List() ([]*raft.SnapshotMeta, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.broken(); err != nil {
+	if err := s.checkUsable(); err != nil {
 		return nil, err
 	}
-	all, err := s.metas()
+	all, err := s.snapshotMetas()
 	if err != nil {
 		return nil, err
 	}
-	out := make([]*raft.SnapshotMeta, len(all))
+	metas := make([]*raft.SnapshotMeta, len(all))
 	for i := range all {
-		out[i] = &all[i].Raft
+		metas[i] = &all[i].Raft
 	}
-	return out, nil
+	return metas, nil
 }
 
-// Open reads a snapshot. It is read whole before any of it is passed on: a state machine must not be given the half of
-// one that turns out to be damaged.
+// Open returns the content of a snapshot. It is read and verified completely first, so that a state machine is never given
+// part of a damaged snapshot.
 func (s *Store) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.broken(); err != nil {
+	if err := s.checkUsable(); err != nil {
 		return nil, nil, err
 	}
 	value, err := s.get(metaKey(id))
 	if err != nil || value == nil {
 		return nil, nil, fmt.Errorf("snapshot %s: %w", id, cmp.Or(err, errors.New("there is none")))
 	}
-	var m meta
+	var m snapshotMeta
 	if err := json.Unmarshal(value, &m); err != nil {
 		return nil, nil, fmt.Errorf("snapshot %s: %w", id, err)
 	}
 	data := make([]byte, 0, m.Raft.Size)
-	for n := range m.Pieces {
-		piece, err := s.get(pieceKey(id, n))
+	for n := range m.Chunks {
+		chunk, err := s.get(chunkKey(id, n))
 		if err != nil {
 			return nil, nil, fmt.Errorf("snapshot %s: piece %d: %w", id, n, err)
 		}
-		data = append(data, piece...)
+		data = append(data, chunk...)
 	}
 	if int64(len(data)) != m.Raft.Size {
 		return nil, nil, fmt.Errorf("snapshot %s: %w: %d bytes of %d", id, ErrDamaged, len(data), m.Raft.Size)
@@ -163,26 +165,26 @@
 	return &m.Raft, io.NopCloser(bytes.NewReader(data)), nil
 }
 
-// sink takes a snapshot in.
-type sink struct {
-	store *Store
-	meta  meta
-	piece []byte
-	over  bool
+// snapshotSink writes a snapshot in chunks; it implements raft.SnapshotSink.
+type snapshotSink struct {
+	store  *Store
+	meta   snapshotMeta
+	chunk  []byte // buffered content of the current chunk
+	closed bool   // by Close or Cancel
 }
 
-func (k *sink) ID() string { return k.meta.Raft.ID }
+func (sink *snapshotSink) ID() string { return sink.meta.Raft.ID }
 
-func (k *sink) Write(p []byte) (int, error) {
-	if k.over {
+func (sink *snapshotSink) Write(p []byte) (int, error) {
+	if sink.closed {
 		return 0, errors.New("the snapshot is closed")
 	}
 	for rest := p; len(rest) > 0; {
-		n := min(len(rest), pieceSize-len(k.piece))
-		k.piece = append(k.piece, rest[:n]...)
+		n := min(len(rest), chunkSize-len(sink.chunk))
+		sink.chunk = append(sink.chunk, rest[:n]...)
 		rest = rest[n:]
-		if len(k.piece) == pieceSize {
-			if err := k.flush(); err != nil {
+		if len(sink.chunk) == chunkSize {
+			if err := sink.flushChunk(); err != nil {
 				return 0, err
 			}
 		}
@@ -190,79 +192,80 @@
 	return len(p), nil
 }
 
-// flush writes a piece. It need not last before the description does, which comes after it in the same log of writes.
-func (k *sink) flush() error {
-	s := k.store
+// flushChunk writes the buffered chunk. The description follows it in the database's write-ahead log, so the chunk is
+// durable whenever the description is.
+func (sink *snapshotSink) flushChunk() error {
+	s := sink.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.broken(); err != nil {
+	if err := s.checkUsable(); err != nil {
 		return err
 	}
-	key := pieceKey(k.ID(), k.meta.Pieces)
+	key := chunkKey(sink.ID(), sink.meta.Chunks)
 	b := s.db.NewBatch()
-	if err := b.Set(key, frame(key, k.piece), nil); err != nil {
+	if err := b.Set(key, frame(key, sink.chunk), nil); err != nil {
 		return err
 	}
 	if err := s.commit(b); err != nil {
-		return fmt.Errorf("snapshot %s: piece %d: %w", k.ID(), k.meta.Pieces, err)
+		return fmt.Errorf("snapshot %s: piece %d: %w", sink.ID(), sink.meta.Chunks, err)
 	}
-	k.meta.Raft.Size += int64(len(k.piece))
-	k.meta.Pieces++
-	k.piece = k.piece[:0]
+	sink.meta.Raft.Size += int64(len(sink.chunk))
+	sink.meta.Chunks++
+	sink.chunk = sink.chunk[:0]
 	return nil
 }
 
-// Close makes the snapshot one, and lets those go that are too old.
-func (k *sink) Close() error {
-	if k.over {
+// Close completes the snapshot and deletes the oldest ones beyond maxSnapshots.
+func (sink *snapshotSink) Close() error {
+	if sink.closed {
 		return nil
 	}
-	k.over = true
-	if len(k.piece) > 0 {
-		if err := k.flush(); err != nil {
+	sink.closed = true
+	if len(sink.chunk) > 0 {
+		if err := sink.flushChunk(); err != nil {
 			return err
 		}
 	}
-	value, err := json.Marshal(k.meta)
+	value, err := json.Marshal(sink.meta)
 	if err != nil {
-		return fmt.Errorf("snapshot %s: %w", k.ID(), err)
+		return fmt.Errorf("snapshot %s: %w", sink.ID(), err)
 	}
-	s := k.store
+	s := sink.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.broken(); err != nil {
+	if err := s.checkUsable(); err != nil {
 		return err
 	}
-	all, err := s.metas()
+	all, err := s.snapshotMetas()
 	if err != nil {
 		return err
 	}
-	// At one moment the new one is there and the oldest is not.
+	// One batch adds the new snapshot and deletes the old ones atomically.
 	b := s.db.NewBatch()
-	if err := b.Set(metaKey(k.ID()), frame(metaKey(k.ID()), value), nil); err != nil {
+	if err := b.Set(metaKey(sink.ID()), frame(metaKey(sink.ID()), value), nil); err != nil {
 		return err
 	}
-	for _, m := range all[min(len(all), snapshotsKept-1):] {
-		if err := remove(b, m.Raft.ID); err != nil {
+	for _, m := range all[min(len(all), maxSnapshots-1):] {
+		if err := addSnapshotDeletion(b, m.Raft.ID); err != nil {
 			return err
 		}
 	}
 	if err := s.commit(b); err != nil {
-		return fmt.Errorf("snapshot %s: %w", k.ID(), err)
+		return fmt.Errorf("snapshot %s: %w", sink.ID(), err)
 	}
 	return nil
 }
 
-// Cancel gives the snapshot up.
-func (k *sink) Cancel() error {
-	if k.over {
+// Cancel discards the snapshot.
+func (sink *snapshotSink) Cancel() error {
+	if sink.closed {
 		return nil
 	}
-	k.over = true
-	k.store.mu.Lock()
-	defer k.store.mu.Unlock()
-	if err := k.store.broken(); err != nil {
+	sink.closed = true
+	sink.store.mu.Lock()
+	defer sink.store.mu.Unlock()
+	if err := sink.store.checkUsable(); err != nil {
 		return err
 	}
-	return k.store.clear(k.ID())
+	return sink.store.deleteSnapshot(sink.ID())
 }
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -14,42 +14,42 @@
 	"github.com/hashicorp/raft"
 )
 
-// The kinds of key. What follows one sorts as its numbers do.
+// Key prefixes. The rest of a key, given below, is encoded so that keys sort in numerical order.
 const (
-	keyLog    = 'l' // index
-	keyStable = 's' // raft's own name
-	keyMeta   = 'm' // snapshot's id: written last, and only then is there a snapshot
-	keyData   = 'd' // snapshot's id, 0, place
+	prefixLog           = 'l' // log index, 8 bytes big-endian
+	prefixStable        = 's' // name that raft gives the value
+	prefixSnapshotMeta  = 'm' // snapshot ID; written last, and a snapshot exists only once this is written
+	prefixSnapshotChunk = 'd' // snapshot ID, a zero byte, chunk number
 )
 
 const (
-	memTable   = 4 << 20
-	blockCache = 8 << 20
-	logHead    = 8 + 1 + 8 + 4 // term, type, time, length of the data
+	memTableBytes   = 4 << 20       // size of pebble's memtable
+	blockCacheBytes = 8 << 20       // size of pebble's block cache
+	logHeaderSize   = 8 + 1 + 8 + 4 // bytes of term, type, time and data length
 )
 
-// Options say where and how a store is kept.
+// Options configure a store.
 type Options struct {
 	Dir string
-	FS  vfs.FS // nil: the machine's
+	FS  vfs.FS // nil means the operating system's
 	Log *slog.Logger
 
-	// Failed is called once, in a goroutine of its own, when the disk has failed a write: the process is to step down, to
-	// say so and to end. Nil: only those hear of it who use the store.
-	Failed func(error)
+	// OnFailure is called once, in its own goroutine, when a write to the disk fails, so that the process can step down. If it is
+	// nil, the failure is only reported to callers of the store.
+	OnFailure func(error)
 }
 
-// Store keeps raft's log, stable values and snapshots. All that was answered without an error lasts over a loss of power.
+// Store stores raft's log, stable values and snapshots. A write that returned without an error survives a loss of power.
 type Store struct {
-	db    *pebble.DB
-	fs    *stopFS
-	log   *slog.Logger
-	cache *pebble.Cache
-	over  chan struct{} // closed by Close
+	db     *pebble.DB
+	fs     *failStopFS
+	log    *slog.Logger
+	cache  *pebble.Cache
+	closed chan struct{} // closed by Close
 
 	mu          sync.Mutex
-	failed      error // set by the first write that failed, for good
-	first, last uint64
+	failure     error  // permanent error: a failed write or Close
+	first, last uint64 // indexes of the oldest and newest log entry; 0 if the log is empty
 }
 
 var (
@@ -58,7 +58,7 @@
 	_ raft.SnapshotStore = (*Store)(nil)
 )
 
-// Open opens or makes a store, and looks through its log: a server whose log is damaged must not vote on it.
+// Open opens or creates a store and verifies its whole log, because a server with a damaged log must not vote.
 func Open(o Options) (*Store, error) {
 	if o.FS == nil {
 		o.FS = vfs.Default
@@ -66,8 +66,8 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	s := &Store{fs: newStopFS(o.FS), log: o.Log, cache: pebble.NewCache(blockCache), over: make(chan struct{})}
-	opts := &pebble.Options{FS: s.fs, Logger: logger{o.Log}, Cache: s.cache, MemTableSize: memTable,
+	s := &Store{fs: newFailStopFS(o.FS), log: o.Log, cache: pebble.NewCache(blockCacheBytes), closed: make(chan struct{})}
+	opts := &pebble.Options{FS: s.fs, Logger: pebbleLogger{o.Log}, Cache: s.cache, MemTableSize: memTableBytes,
 		FormatMajorVersion: pebble.FormatNewest}
 	db, err := pebble.Open(o.Dir, opts)
 	if err != nil {
@@ -75,26 +75,27 @@
 		return nil, fmt.Errorf("store %s: %w", o.Dir, err)
 	}
 	s.db = db
-	if err := s.look(); err != nil {
+	if err := s.scanLog(); err != nil {
 		return nil, errors.Join(fmt.Errorf("store %s: %w", o.Dir, err), s.Close())
 	}
 	s.fs.armed.Store(true)
-	go func() { // ends with the store, or with its disk
+	go func() { // ends when the store is closed or the disk fails
 		select {
-		case <-s.over:
+		case <-s.closed:
 		case <-s.fs.failed:
 			s.log.Error("disk failed", "err", s.fs.err)
-			if o.Failed != nil {
-				o.Failed(fmt.Errorf("%w: %w", ErrFailed, s.fs.err))
+			if o.OnFailure != nil {
+				o.OnFailure(fmt.Errorf("%w: %w", ErrFailed, s.fs.err))
 			}
 		}
 	}()
 	return s, nil
 }
 
-// look reads the whole log once: its ends, that it has no gap, and every checksum.
-func (s *Store) look() error {
-	it, err := s.db.NewIter(&pebble.IterOptions{LowerBound: []byte{keyLog}, UpperBound: []byte{keyLog + 1}})
+// scanLog reads the whole log once: it finds the first and last index and verifies that there is no gap and that every
+// checksum matches.
+func (s *Store) scanLog() error {
+	it, err := s.db.NewIter(&pebble.IterOptions{LowerBound: []byte{prefixLog}, UpperBound: []byte{prefixLog + 1}})
 	if err != nil {
 		return err
 	}
@@ -117,59 +118,59 @@
 	return it.Close()
 }
 
-// Close closes the store. One whose disk failed is left as it is: closing would write.
+// Close closes the store. After a disk failure it does nothing, because closing would write.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.broken() != nil {
+	if s.checkUsable() != nil {
 		return nil
 	}
-	s.failed = errors.New("the store is closed")
-	close(s.over)
+	s.failure = errors.New("the store is closed")
+	close(s.closed)
 	s.fs.armed.Store(false)
 	err := s.db.Close()
 	s.cache.Unref()
 	return err
 }
 
-// broken tells whether the disk has failed, or the store is closed.
-func (s *Store) broken() error {
+// checkUsable returns an error if the disk has failed or the store is closed.
+func (s *Store) checkUsable() error {
 	select {
 	case <-s.fs.failed:
-		if s.failed == nil {
-			s.failed = fmt.Errorf("%w: %w", ErrFailed, s.fs.err)
+		if s.failure == nil {
+			s.failure = fmt.Errorf("%w: %w", ErrFailed, s.fs.err)
 		}
 	default:
 	}
-	return s.failed
+	return s.failure
 }
 
-// do uses the database. Where the disk fails meanwhile the database stands still, for good, and its user does not.
-func (s *Store) do(use func() error) error {
-	if err := s.broken(); err != nil {
+// run executes op on the database. If the disk fails meanwhile, op blocks forever in the background and run returns an error.
+func (s *Store) run(op func() error) error {
+	if err := s.checkUsable(); err != nil {
 		return err
 	}
 	done := make(chan error, 1)
-	go func() { done <- use() }() // ends with use, or never: see stopFS
+	go func() { done <- op() }() // ends with op, or never after a disk failure: see failStopFS
 	select {
 	case err := <-done:
 		return err
 	case <-s.fs.failed:
-		return s.broken()
+		return s.checkUsable()
 	}
 }
 
-// commit writes a batch, and returns once it lasts. A write that failed may lie there in part: whatever comes after it
-// would build on that, so that nothing comes after it.
-// A batch whose commit never returns is in the database's hands for good: it must not go back to the pool of batches, and
-// so is closed only where its commit has returned.
+// commit writes a batch and returns once it is synced to disk. A failed write may have reached the disk in part, so no
+// write may follow it.
+// If a commit never returns, the database still owns the batch. It must not return to the pool of batches, so a batch is
+// closed only after its commit has returned.
 func (s *Store) commit(b *pebble.Batch) error {
-	return s.do(func() error { return errors.Join(b.Commit(pebble.Sync), b.Close()) })
+	return s.run(func() error { return errors.Join(b.Commit(pebble.Sync), b.Close()) })
 }
 
-// get reads and checks a value; nil if there is none.
+// get reads and verifies a value. It returns nil if the key does not exist.
 func (s *Store) get(key []byte) (value []byte, err error) {
-	err = s.do(func() error {
+	err = s.run(func() error {
 		raw, closer, err := s.db.Get(key)
 		if errors.Is(err, pebble.ErrNotFound) {
 			return nil
@@ -186,25 +187,25 @@
 	return value, nil
 }
 
-// FirstIndex is that of the oldest entry; 0: there is none.
+// FirstIndex returns the index of the oldest log entry, or 0 if the log is empty.
 func (s *Store) FirstIndex() (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.first, s.broken()
+	return s.first, s.checkUsable()
 }
 
-// LastIndex is that of the newest entry; 0: there is none.
+// LastIndex returns the index of the newest log entry, or 0 if the log is empty.
 func (s *Store) LastIndex() (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.last, s.broken()
+	return s.last, s.checkUsable()
 }
 
-// GetLog reads an entry.
+// GetLog reads a log entry.
 func (s *Store) GetLog(index uint64, l *raft.Log) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.broken(); err != nil {
+	if err := s.checkUsable(); err != nil {
 		return err
 	}
 	value, err := s.get(logKey(index))
@@ -217,17 +218,17 @@
 	return decodeLog(index, value, l)
 }
 
-// StoreLog adds an entry.
+// StoreLog appends a log entry; see StoreLogs.
 func (s *Store) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
 
-// StoreLogs adds entries, all or none. One that is there already gives way.
+// StoreLogs appends log entries atomically, replacing entries of the same index.
 func (s *Store) StoreLogs(logs []*raft.Log) error {
 	if len(logs) == 0 {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.broken(); err != nil {
+	if err := s.checkUsable(); err != nil {
 		return err
 	}
 	b := s.db.NewBatch()
@@ -252,49 +253,49 @@
 	return nil
 }
 
-// DeleteRange removes entries from least to most. They are one end of the log, or all of it.
-func (s *Store) DeleteRange(least, most uint64) error {
+// DeleteRange deletes the log entries from from to to, inclusive. The range must include the start or the end of the log.
+func (s *Store) DeleteRange(from, to uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.broken(); err != nil {
+	if err := s.checkUsable(); err != nil {
 		return err
 	}
-	if s.last == 0 || most < s.first || least > s.last {
+	if s.last == 0 || to < s.first || from > s.last {
 		return nil
 	}
-	if least > s.first && most < s.last {
-		return fmt.Errorf("log entries %d to %d are neither end of %d to %d", least, most, s.first, s.last)
+	if from > s.first && to < s.last {
+		return fmt.Errorf("cannot delete log entries %d to %d from the middle of %d to %d", from, to, s.first, s.last)
 	}
 	b := s.db.NewBatch()
-	if err := b.DeleteRange(logKey(least), append(logKey(most), 0), nil); err != nil {
+	if err := b.DeleteRange(logKey(from), append(logKey(to), 0), nil); err != nil {
 		return err
 	}
 	if err := s.commit(b); err != nil {
-		return fmt.Errorf("delete log entries %d to %d: %w", least, most, err)
+		return fmt.Errorf("delete log entries %d to %d: %w", from, to, err)
 	}
 	switch {
-	case least <= s.first && most >= s.last:
+	case from <= s.first && to >= s.last:
 		s.first, s.last = 0, 0
-	case least <= s.first:
-		s.first = most + 1
+	case from <= s.first:
+		s.first = to + 1
 	default:
-		s.last = least - 1
+		s.last = from - 1
 	}
 	return nil
 }
 
-// IsMonotonic tells raft that the log has no gaps: a snapshot that was installed begins it anew.
+// IsMonotonic tells raft that the log must not have gaps, so that raft clears it after installing a snapshot.
 func (s *Store) IsMonotonic() bool { return true }
 
-// Set keeps one of raft's own values.
+// Set stores one of raft's stable values.
 func (s *Store) Set(name, value []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.broken(); err != nil {
+	if err := s.checkUsable(); err != nil {
 		return err
 	}
 	b := s.db.NewBatch()
-	key := append([]byte{keyStable}, name...)
+	key := append([]byte{prefixStable}, name...)
 	if err := b.Set(key, frame(key, value), nil); err != nil {
 		return err
 	}
@@ -304,26 +305,26 @@
 	return nil
 }
 
-// Get reads one of them; nothing if there is none.
+// Get reads a stable value. It returns nil if there is none.
 func (s *Store) Get(name []byte) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.broken(); err != nil {
+	if err := s.checkUsable(); err != nil {
 		return nil, err
 	}
-	value, err := s.get(append([]byte{keyStable}, name...))
+	value, err := s.get(append([]byte{prefixStable}, name...))
 	if err != nil {
 		return nil, fmt.Errorf("value %q: %w", name, err)
 	}
 	return value, nil
 }
 
-// SetUint64 keeps a number.
+// SetUint64 stores a stable value that is a number.
 func (s *Store) SetUint64(name []byte, n uint64) error {
 	return s.Set(name, binary.BigEndian.AppendUint64(nil, n))
 }
 
-// GetUint64 reads a number; 0 if there is none.
+// GetUint64 reads a stable value that is a number. It returns 0 if there is none.
 func (s *Store) GetUint64(name []byte) (uint64, error) {
 	value, err := s.Get(name)
 	switch {
@@ -335,8 +336,9 @@
 	return binary.BigEndian.Uint64(value), nil
 }
 
-func logKey(index uint64) []byte { return binary.BigEndian.AppendUint64([]byte{keyLog}, index) }
+func logKey(index uint64) []byte { return binary.BigEndian.AppendUint64([]byte{prefixLog}, index) }
 
+// logIndex returns the index in the key of a log entry.
 func logIndex(key []byte) (uint64, error) {
 	if len(key) != 9 {
 		return 0, fmt.Errorf("%w: key %x", ErrDamaged, key)
@@ -344,31 +346,33 @@
 	return binary.BigEndian.Uint64(key[1:]), nil
 }
 
+// encodeLog encodes a log entry: term, type, time in Unix nanoseconds, length of the data, data, extensions.
 func encodeLog(l *raft.Log) []byte {
-	out := make([]byte, 0, logHead+len(l.Data)+len(l.Extensions))
-	out = binary.BigEndian.AppendUint64(out, l.Term)
-	out = append(out, byte(l.Type))
-	at := int64(0)
+	encoded := make([]byte, 0, logHeaderSize+len(l.Data)+len(l.Extensions))
+	encoded = binary.BigEndian.AppendUint64(encoded, l.Term)
+	encoded = append(encoded, byte(l.Type))
+	unixNano := int64(0)
 	if !l.AppendedAt.IsZero() {
-		at = l.AppendedAt.UnixNano()
+		unixNano = l.AppendedAt.UnixNano()
 	}
-	out = binary.BigEndian.AppendUint64(out, uint64(at))
-	out = binary.BigEndian.AppendUint32(out, uint32(len(l.Data)))
-	return append(append(out, l.Data...), l.Extensions...)
+	encoded = binary.BigEndian.AppendUint64(encoded, uint64(unixNano))
+	encoded = binary.BigEndian.AppendUint32(encoded, uint32(len(l.Data)))
+	return append(append(encoded, l.Data...), l.Extensions...)
 }
 
+// decodeLog decodes into l the value of the log entry at index. l refers to value afterwards.
 func decodeLog(index uint64, value []byte, l *raft.Log) error {
-	if len(value) < logHead {
+	if len(value) < logHeaderSize {
 		return fmt.Errorf("log entry %d: %w: %d bytes", index, ErrDamaged, len(value))
 	}
 	n := uint64(binary.BigEndian.Uint32(value[17:]))
-	rest := value[logHead:]
+	rest := value[logHeaderSize:]
 	if n > uint64(len(rest)) {
 		return fmt.Errorf("log entry %d: %w: data of %d bytes in %d", index, ErrDamaged, n, len(rest))
 	}
 	*l = raft.Log{Index: index, Term: binary.BigEndian.Uint64(value), Type: raft.LogType(value[8])}
-	if at := int64(binary.BigEndian.Uint64(value[9:])); at != 0 {
-		l.AppendedAt = time.Unix(0, at)
+	if unixNano := int64(binary.BigEndian.Uint64(value[9:])); unixNano != 0 {
+		l.AppendedAt = time.Unix(0, unixNano)
 	}
 	if n > 0 {
 		l.Data = rest[:n:n]
@@ -379,19 +383,19 @@
 	return nil
 }
 
-// logger passes the database's words on.
-type logger struct{ log *slog.Logger }
+// pebbleLogger forwards the database's log messages.
+type pebbleLogger struct{ log *slog.Logger }
 
-func (l logger) Infof(format string, args ...any) {
+func (l pebbleLogger) Infof(format string, args ...any) {
 	l.log.Debug("database", "says", fmt.Sprintf(format, args...))
 }
-func (l logger) Errorf(format string, args ...any) {
+func (l pebbleLogger) Errorf(format string, args ...any) {
 	l.log.Warn("database", "says", fmt.Sprintf(format, args...))
 }
 
-// Fatalf is called where the database finds itself wrong. Failures of the disk do not come to it; what does is a fault
-// that no more work may build on.
-func (l logger) Fatalf(format string, args ...any) {
+// Fatalf panics. Pebble calls it when it detects an internal inconsistency, after which it must not continue. Failed
+// writes do not get here: see failStopFS.
+func (l pebbleLogger) Fatalf(format string, args ...any) {
 	panic(fmt.Sprintf("database: "+format, args...))
 }
 
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -27,12 +27,12 @@
 	return s
 }
 
-func entryOf(index, term uint64, size int) *raft.Log {
+func logEntry(index, term uint64, size int) *raft.Log {
 	data := bytes.Repeat([]byte{byte(index), byte(term)}, size)
 	return &raft.Log{Index: index, Term: term, Type: raft.LogCommand, Data: data, AppendedAt: time.Unix(int64(index), int64(term))}
 }
 
-// contents is all that a store holds, as text.
+// contents returns the log, stable values and snapshots of a store as text.
 func contents(s *Store) (string, error) {
 	var b strings.Builder
 	first, err1 := s.FirstIndex()
@@ -73,66 +73,66 @@
 	return b.String(), nil
 }
 
-// acts draws what raft does with a store, one act after the other; the same seed draws the same.
-func acts(seed uint64, n int) (all []func(*Store) error) {
+// randomOps returns n random operations as raft performs them on a store. The same seed gives the same operations.
+func randomOps(seed uint64, n int) (ops []func(*Store) error) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	first, last, term := uint64(0), uint64(0), uint64(1)
 	for range n {
-		switch k := rng.IntN(10); {
-		case k < 5 || last == 0:
+		switch kind := rng.IntN(10); {
+		case kind < 5 || last == 0:
 			var logs []*raft.Log
 			for range 1 + rng.IntN(4) {
 				last++
 				if first == 0 {
 					first = last
 				}
-				logs = append(logs, entryOf(last, term, 1+rng.IntN(40)))
+				logs = append(logs, logEntry(last, term, 1+rng.IntN(40)))
 			}
-			all = append(all, func(s *Store) error { return s.StoreLogs(logs) })
-		case k == 5: // a new leader's log wins over the end of ours
+			ops = append(ops, func(s *Store) error { return s.StoreLogs(logs) })
+		case kind == 5: // a new leader overwrites the end of the log
 			term++
 			from := first + rng.Uint64N(last-first+1)
 			to := last
-			all = append(all, func(s *Store) error { return s.DeleteRange(from, to) })
+			ops = append(ops, func(s *Store) error { return s.DeleteRange(from, to) })
 			if last = from - 1; from == first {
-				first, last = 0, to // the next entry goes on from there: raft leaves no index out
+				first, last = 0, to // the log is empty now, and raft continues with the next index
 			}
-		case k == 6 && last > first: // behind a snapshot
+		case kind == 6 && last > first: // compaction after a snapshot
 			from, to := first, first+rng.Uint64N(last-first)
-			all = append(all, func(s *Store) error { return s.DeleteRange(from, to) })
+			ops = append(ops, func(s *Store) error { return s.DeleteRange(from, to) })
 			first = to + 1
-		case k == 7 || k == 6:
+		case kind == 7 || kind == 6:
 			n := term + rng.Uint64N(3)
-			all = append(all, func(s *Store) error { return s.SetUint64([]byte("CurrentTerm"), n) })
-		case k == 8:
+			ops = append(ops, func(s *Store) error { return s.SetUint64([]byte("CurrentTerm"), n) })
+		case kind == 8:
 			n := term
-			all = append(all, func(s *Store) error { return s.SetUint64([]byte("LastVoteTerm"), n) })
+			ops = append(ops, func(s *Store) error { return s.SetUint64([]byte("LastVoteTerm"), n) })
 		default:
-			index, term, size, fill := last, term, rng.IntN(pieceSize+pieceSize/4), byte(rng.IntN(256))
-			all = append(all, func(s *Store) error {
-				k, err := s.Create(1, index, term, raft.Configuration{}, 1, nil)
+			index, term, size, fill := last, term, rng.IntN(chunkSize+chunkSize/4), byte(rng.IntN(256))
+			ops = append(ops, func(s *Store) error {
+				kind, err := s.Create(1, index, term, raft.Configuration{}, 1, nil)
 				if err != nil {
 					return err
 				}
-				if _, err := k.Write(bytes.Repeat([]byte{fill}, size)); err != nil {
-					return errors.Join(err, k.Cancel())
+				if _, err := kind.Write(bytes.Repeat([]byte{fill}, size)); err != nil {
+					return errors.Join(err, kind.Cancel())
 				}
-				return k.Close()
+				return kind.Close()
 			})
 		}
 	}
-	return all
+	return ops
 }
 
-// moments plays acts in a store whose power may be lost before any write or sync. It returns what a store holds after
-// each act, and calls lost before each write or sync with how many acts were answered by then.
-func moments(t *testing.T, seed uint64, n int, lost func(fs *vfs.MemFS, answered int)) (states []string) {
+// runWithCrashPoints performs random operations on a store. It calls onWrite before each write or sync with the number of
+// operations completed so far, and returns the contents of the store at the start and after each operation.
+func runWithCrashPoints(t *testing.T, seed uint64, n int, onWrite func(fs *vfs.MemFS, completed int)) (states []string) {
 	t.Helper()
 	mem := vfs.NewCrashableMem()
-	answered := -1 // not yet
+	completed := -1 // onWrite is not called yet
 	fs := errorfs.Wrap(mem, errorfs.InjectorFunc(func(op errorfs.Op) error {
-		if answered >= 0 && op.Kind.ReadOrWrite() == errorfs.OpIsWrite {
-			lost(mem, answered)
+		if completed >= 0 && op.Kind.ReadOrWrite() == errorfs.OpIsWrite {
+			onWrite(mem, completed)
 		}
 		return nil
 	}))
@@ -143,23 +143,23 @@
 		t.Fatal(err)
 	}
 	states = append(states, state)
-	answered = 0
-	for i, act := range acts(seed, n) {
-		if err := act(s); err != nil {
-			t.Fatalf("act %d: %v", i, err)
+	completed = 0
+	for i, op := range randomOps(seed, n) {
+		if err := op(s); err != nil {
+			t.Fatalf("operation %d: %v", i, err)
 		}
-		answered++
+		completed++
 		if state, err = contents(s); err != nil {
 			t.Fatal(err)
 		}
 		states = append(states, state)
 	}
-	answered = -1
+	completed = -1
 	return states
 }
 
-// returns looks whether a store that lost its power has one of two states, and goes on.
-func returns(fs vfs.FS, want, next string) error {
+// checkRecovery opens a store after a power loss and checks that it has one of two states and can be written.
+func checkRecovery(fs vfs.FS, want, next string) error {
 	s, err := Open(Options{Dir: "store", FS: fs})
 	if err != nil {
 		return err
@@ -174,30 +174,30 @@
 	return errors.Join(s.SetUint64([]byte("CurrentTerm"), 99), s.Close())
 }
 
-// Whenever power is lost, before any write or sync, and whatever of the unsynced lasts: what was answered is there, and
-// of the act that was on, all or nothing.
-func TestPowerLostAtEveryWrite(t *testing.T) {
+// A power loss before any write or sync, with any share of the unsynced data kept, loses no completed operation, and the
+// operation in progress is either complete or absent.
+func TestPowerLossAtEveryWrite(t *testing.T) {
 	type crash struct {
-		fs       *vfs.MemFS
-		answered int
+		fs        *vfs.MemFS
+		completed int
 	}
 	points := 0
 	for seed := range uint64(3) {
 		var crashes []crash
 		rng := rand.New(rand.NewPCG(seed, 2))
-		states := moments(t, seed, 45, func(fs *vfs.MemFS, answered int) {
+		states := runWithCrashPoints(t, seed, 45, func(fs *vfs.MemFS, completed int) {
 			for _, percent := range []int{0, 50, 100} {
-				crashes = append(crashes, crash{fs.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: percent, RNG: rng}), answered})
+				crashes = append(crashes, crash{fs.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: percent, RNG: rng}), completed})
 			}
 		})
 		var wg sync.WaitGroup
-		room := make(chan struct{}, runtime.GOMAXPROCS(0))
+		slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 		for i, c := range crashes {
-			room <- struct{}{}
+			slots <- struct{}{}
 			wg.Go(func() {
-				defer func() { <-room }()
-				if err := returns(c.fs, states[c.answered], states[min(c.answered+1, len(states)-1)]); err != nil {
-					t.Errorf("seed %d, crash %d, after %d acts: %v", seed, i, c.answered, err)
+				defer func() { <-slots }()
+				if err := checkRecovery(c.fs, states[c.completed], states[min(c.completed+1, len(states)-1)]); err != nil {
+					t.Errorf("seed %d, crash %d, after %d operations: %v", seed, i, c.completed, err)
 				}
 			})
 		}
@@ -205,23 +205,23 @@
 		points += len(crashes)
 	}
 	if points < 1000 {
-		t.Errorf("power was lost at %d points alone", points)
+		t.Errorf("power was lost at only %d points", points)
 	}
-	t.Logf("%d losses of power", points)
+	t.Logf("%d power losses", points)
 }
 
-// A write that fails, whichever it is, ends the store's service in this process: nothing is answered after it, and what
-// was answered before is there at the next start.
-func TestAFailedWriteIsTheLast(t *testing.T) {
+// After any write fails, the store rejects all further operations, also once the disk works again, and everything completed
+// before is there at the next start.
+func TestFailedWriteStopsStore(t *testing.T) {
 	for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
-		for fails := 1; fails <= 120; fails += 7 {
+		for failAt := 1; failAt <= 120; failAt += 7 {
 			mem := vfs.NewCrashableMem()
-			writes, on := 0, false
+			writes, failing := 0, false
 			fs := errorfs.Wrap(mem, errorfs.InjectorFunc(func(op errorfs.Op) error {
-				if !on || op.Kind.ReadOrWrite() != errorfs.OpIsWrite {
+				if !failing || op.Kind.ReadOrWrite() != errorfs.OpIsWrite {
 					return nil
 				}
-				if writes++; writes >= fails {
+				if writes++; writes >= failAt {
 					return cause
 				}
 				return nil
@@ -233,12 +233,12 @@
 				t.Fatal(err)
 			}
 			states = append(states, state)
-			on = true
+			failing = true
 			var failed error
-			all := acts(uint64(fails), 60)
-			for i, act := range all {
-				if failed = act(s); failed != nil {
-					all = all[i:]
+			ops := randomOps(uint64(failAt), 60)
+			for i, op := range ops {
+				if failed = op(s); failed != nil {
+					ops = ops[i:]
 					break
 				}
 				if state, err = contents(s); err != nil {
@@ -247,19 +247,19 @@
 				states = append(states, state)
 			}
 			if failed == nil {
-				t.Fatalf("write %d never failed", fails)
+				t.Fatalf("write %d never failed", failAt)
 			}
 			if !errors.Is(failed, ErrFailed) || !errors.Is(failed, cause) {
-				t.Errorf("write %d: %v", fails, failed)
+				t.Errorf("write %d: %v", failAt, failed)
 			}
-			on = false // the disk is well again; the store must not go on as if nothing had been
-			for _, act := range all {
-				if err := act(s); !errors.Is(err, ErrFailed) {
-					t.Fatalf("write %d: answered %v after it", fails, err)
+			failing = false // the disk works again, but the store must stay stopped
+			for _, op := range ops {
+				if err := op(s); !errors.Is(err, ErrFailed) {
+					t.Fatalf("write %d: a later operation returned %v", failAt, err)
 				}
 			}
 			if _, err := contents(s); !errors.Is(err, ErrFailed) {
-				t.Fatalf("write %d: read %v after it", fails, err)
+				t.Fatalf("write %d: a later read returned %v", failAt, err)
 			}
 			again := open(t, mem.CrashClone(vfs.CrashCloneCfg{}))
 			got, err := contents(again)
@@ -267,20 +267,20 @@
 				t.Fatal(err)
 			}
 			if got != states[len(states)-1] {
-				t.Errorf("write %d:\n%.300s\nwant\n%.300s", fails, got, states[len(states)-1])
+				t.Errorf("write %d:\n%.300s\nwant\n%.300s", failAt, got, states[len(states)-1])
 			}
 			again.Close()
 		}
 	}
 }
 
-// A bit that flips on the disk is an error, or it was of no consequence; it is never another value.
-func TestAFlippedBitIsNeverAnotherValue(t *testing.T) {
+// A flipped bit in a file of the store either causes an error or changes nothing that is read.
+func TestFlippedBitIsDetected(t *testing.T) {
 	mem := vfs.NewMem()
 	s := open(t, mem)
-	for i, act := range acts(3, 30) {
-		if err := act(s); err != nil {
-			t.Fatalf("act %d: %v", i, err)
+	for i, op := range randomOps(3, 30) {
+		if err := op(s); err != nil {
+			t.Fatalf("operation %d: %v", i, err)
 		}
 	}
 	want, err := contents(s)
@@ -295,49 +295,49 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	found, flips := 0, 0
+	detected, flips := 0, 0
 	for _, name := range names {
 		path := mem.PathJoin("store", name)
-		sound := read(t, mem, path)
-		for range min(len(sound), 10) {
+		intact := readFile(t, mem, path)
+		for range min(len(intact), 10) {
 			flips++
-			spoilt := bytes.Clone(sound)
-			spoilt[rng.IntN(len(spoilt))] ^= 1 << rng.IntN(8)
+			corrupt := bytes.Clone(intact)
+			corrupt[rng.IntN(len(corrupt))] ^= 1 << rng.IntN(8)
 			copied := vfs.NewMem()
 			if err := copied.MkdirAll("store", 0o700); err != nil {
 				t.Fatal(err)
 			}
 			for _, other := range names {
-				data := read(t, mem, mem.PathJoin("store", other))
+				data := readFile(t, mem, mem.PathJoin("store", other))
 				if other == name {
-					data = spoilt
+					data = corrupt
 				}
-				write(t, copied, mem.PathJoin("store", other), data)
+				writeFile(t, copied, mem.PathJoin("store", other), data)
 			}
 			s, err := Open(Options{Dir: "store", FS: copied})
 			if err != nil {
-				found++
+				detected++
 				continue
 			}
 			got, err := contents(s)
 			s.Close()
 			if err != nil {
-				found++
+				detected++
 			} else if got != want {
-				// The end of the database's own log of writes is cut at what cannot be read, as after a loss of power.
+				// Pebble truncates its write-ahead log at an unreadable record, as after a power loss.
 				if !strings.HasSuffix(name, ".log") {
 					t.Errorf("%s: read\n%.300s\nwant\n%.300s", name, got, want)
 				}
 			}
 		}
 	}
-	if found == 0 {
-		t.Errorf("none of %d flips was found", flips)
+	if detected == 0 {
+		t.Errorf("none of %d flipped bits was detected", flips)
 	}
-	t.Logf("%d flips, %d found", flips, found)
+	t.Logf("%d flipped bits, %d detected", flips, detected)
 }
 
-func read(t *testing.T, fs vfs.FS, path string) []byte {
+func readFile(t *testing.T, fs vfs.FS, path string) []byte {
 	t.Helper()
 	f, err := fs.Open(path)
 	if err != nil {
@@ -351,7 +351,7 @@
 	return data
 }
 
-func write(t *testing.T, fs vfs.FS, path string, data []byte) {
+func writeFile(t *testing.T, fs vfs.FS, path string, data []byte) {
 	t.Helper()
 	f, err := fs.Create(path, vfs.WriteCategoryUnspecified)
 	if err != nil {
@@ -365,11 +365,11 @@
 	}
 }
 
-// A value under another's key, as an old or foreign block would have it, is found by its checksum.
-func TestAValueInAnothersPlaceIsFound(t *testing.T) {
+// A value stored under another key, as after a misdirected write, is detected by its checksum.
+func TestValueUnderAnotherKeyIsDetected(t *testing.T) {
 	s := open(t, vfs.NewMem())
 	defer s.Close()
-	if err := s.StoreLogs([]*raft.Log{entryOf(1, 1, 4), entryOf(2, 1, 4)}); err != nil {
+	if err := s.StoreLogs([]*raft.Log{logEntry(1, 1, 4), logEntry(2, 1, 4)}); err != nil {
 		t.Fatal(err)
 	}
 	raw, closer, err := s.db.Get(logKey(1))
@@ -389,15 +389,15 @@
 		t.Error(err)
 	}
 	if err := s.GetLog(3, &l); !errors.Is(err, raft.ErrLogNotFound) {
-		t.Errorf("one that is not there: %v", err)
+		t.Errorf("missing entry: %v", err)
 	}
 }
 
-// A snapshot that was begun and not closed is none; one whose piece is damaged is an error, and the one before stays.
-func TestSnapshotsAreWholeOrNone(t *testing.T) {
+// A snapshot exists only once it is closed. Opening one with a damaged chunk is an error, and the others stay readable.
+func TestSnapshotsAreAtomic(t *testing.T) {
 	s := open(t, vfs.NewMem())
 	defer s.Close()
-	make := func(index uint64, data []byte) string {
+	writeSnapshot := func(index uint64, data []byte) string {
 		t.Helper()
 		k, err := s.Create(1, index, 1, raft.Configuration{Servers: []raft.Server{{ID: "a"}}}, 1, nil)
 		if err != nil {
@@ -411,14 +411,14 @@
 		}
 		return k.ID()
 	}
-	big := bytes.Repeat([]byte("0123456789abcdef"), pieceSize/16*2+1)
-	first := make(10, big[:pieceSize])
-	second := make(20, big)
-	begun, err := s.Create(1, 30, 1, raft.Configuration{}, 1, nil)
+	big := bytes.Repeat([]byte("0123456789abcdef"), chunkSize/16*2+1)
+	first := writeSnapshot(10, big[:chunkSize])
+	second := writeSnapshot(20, big)
+	unfinished, err := s.Create(1, 30, 1, raft.Configuration{}, 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := begun.Write(big); err != nil {
+	if _, err := unfinished.Write(big); err != nil {
 		t.Fatal(err)
 	}
 	check := func(want ...string) {
@@ -434,7 +434,7 @@
 		}
 	}
 	check(second, first)
-	if err := begun.Cancel(); err != nil {
+	if err := unfinished.Cancel(); err != nil {
 		t.Fatal(err)
 	}
 	check(second, first)
@@ -445,48 +445,48 @@
 	if data, err := io.ReadAll(r); err != nil || !bytes.Equal(data, big) || m.Size != int64(len(big)) || m.Configuration.Servers[0].ID != "a" {
 		t.Errorf("%d bytes, %v, %+v", len(data), err, m)
 	}
-	third := make(20, nil) // the same index once more, and empty
+	third := writeSnapshot(20, nil) // same index as the second, and empty
 	check(third, second)
 	if _, _, err := s.Open(first); err == nil {
-		t.Error("one that was let go can be read")
+		t.Error("a deleted snapshot can be opened")
 	}
-	raw, closer, err := s.db.Get(pieceKey(second, 1))
+	raw, closer, err := s.db.Get(chunkKey(second, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	spoilt := bytes.Clone(raw)
+	corrupt := bytes.Clone(raw)
 	closer.Close()
-	spoilt[len(spoilt)-1] ^= 1
-	if err := s.db.Set(pieceKey(second, 1), spoilt, nil); err != nil {
+	corrupt[len(corrupt)-1] ^= 1
+	if err := s.db.Set(chunkKey(second, 1), corrupt, nil); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := s.Open(second); !errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), "piece 1") {
-		t.Errorf("a damaged piece: %v", err)
+		t.Errorf("damaged chunk: %v", err)
 	}
 	if _, _, err := s.Open(third); err != nil {
 		t.Error(err)
 	}
 }
 
-// The log takes no entry that leaves a gap, and lets go of its ends alone.
-func TestTheLogHasNoGaps(t *testing.T) {
+// The log rejects an entry that would leave a gap, and deletes entries only at its ends.
+func TestLogRejectsGaps(t *testing.T) {
 	s := open(t, vfs.NewMem())
 	defer s.Close()
-	if err := s.StoreLogs([]*raft.Log{entryOf(5, 1, 1), entryOf(6, 1, 1), entryOf(7, 1, 1), entryOf(8, 1, 1)}); err != nil {
+	if err := s.StoreLogs([]*raft.Log{logEntry(5, 1, 1), logEntry(6, 1, 1), logEntry(7, 1, 1), logEntry(8, 1, 1)}); err != nil {
 		t.Fatal(err)
 	}
 	for what, err := range map[string]error{
-		"an entry beyond the end":      s.StoreLog(entryOf(10, 1, 1)),
-		"an entry before the start":    s.StoreLog(entryOf(4, 1, 1)),
-		"a hole in the middle":         s.DeleteRange(6, 7),
-		"a snapshot of another form":   func() error { _, err := s.Create(0, 1, 1, raft.Configuration{}, 1, nil); return err }(),
-		"a snapshot that is not there": func() error { _, _, err := s.Open("none"); return err }(),
+		"an entry beyond the end":     s.StoreLog(logEntry(10, 1, 1)),
+		"an entry before the start":   s.StoreLog(logEntry(4, 1, 1)),
+		"a range in the middle":       s.DeleteRange(6, 7),
+		"an unknown snapshot version": func() error { _, err := s.Create(0, 1, 1, raft.Configuration{}, 1, nil); return err }(),
+		"a missing snapshot":          func() error { _, _, err := s.Open("none"); return err }(),
 	} {
 		if err == nil || errors.Is(err, ErrFailed) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	if err := s.DeleteRange(1, 3); err != nil { // nothing of it is there
+	if err := s.DeleteRange(1, 3); err != nil { // none of these entries exists
 		t.Fatal(err)
 	}
 	first, _ := s.FirstIndex()
--- a/internal/listsvc/backup.go
+++ b/internal/listsvc/backup.go
@@ -11,27 +11,28 @@
 	"wallflow/internal/catalog"
 )
 
-// A backup is a line that says what follows, its length and its checksum, and a catalog's snapshot.
-const backupForm = "wallflow list backup 1"
+// backupHeader begins the first line of a backup. The length and SHA-256 checksum of the catalog snapshot follow on the
+// same line, and the snapshot after it.
+const backupHeader = "wallflow list backup 1"
 
-// Backup copies the list; ok is false where there is none yet.
+// Backup returns a snapshot of the list. ok is false if the cluster has not been founded yet.
 func (m *Machine) Backup() (s catalog.Snapshot, ok bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	if m.cat == nil {
+	if m.catalog == nil {
 		return s, false
 	}
-	return m.cat.Snapshot(), true
+	return m.catalog.Snapshot(), true
 }
 
-// WriteBackup writes a backup.
+// WriteBackup writes a snapshot in the backup format.
 func WriteBackup(w io.Writer, s catalog.Snapshot) error {
 	var b bytes.Buffer
 	if _, err := s.WriteTo(&b); err != nil {
 		return err
 	}
 	sum := sha256.Sum256(b.Bytes())
-	if _, err := fmt.Fprintf(w, "%s %d %s\n", backupForm, b.Len(), hex.EncodeToString(sum[:])); err != nil {
+	if _, err := fmt.Fprintf(w, "%s %d %s\n", backupHeader, b.Len(), hex.EncodeToString(sum[:])); err != nil {
 		return fmt.Errorf("backup: %w", err)
 	}
 	if _, err := b.WriteTo(w); err != nil {
@@ -40,17 +41,17 @@
 	return nil
 }
 
-// ReadBackup reads a backup, whole and sound or not at all.
+// ReadBackup reads a backup and verifies its length, checksum and content.
 func ReadBackup(r io.Reader) (s catalog.Snapshot, err error) {
-	in := bufio.NewReader(io.LimitReader(r, snapshotMost+256))
+	in := bufio.NewReader(io.LimitReader(r, maxSnapshotBytes+256))
 	head, err := in.ReadString('\n')
 	if err != nil {
 		return s, fmt.Errorf("backup: its first line: %w", err)
 	}
 	var size int64
 	var sum string
-	if n, err := fmt.Sscanf(head, backupForm+" %d %s\n", &size, &sum); err != nil || n != 2 {
-		return s, fmt.Errorf("backup: its first line is %.80q, wanted is %q with a length and a checksum", head, backupForm)
+	if n, err := fmt.Sscanf(head, backupHeader+" %d %s\n", &size, &sum); err != nil || n != 2 {
+		return s, fmt.Errorf("backup: its first line is %.80q, wanted is %q with a length and a checksum", head, backupHeader)
 	}
 	data, err := io.ReadAll(in)
 	if err != nil {
--- a/internal/listsvc/control.go
+++ b/internal/listsvc/control.go
@@ -19,120 +19,122 @@
 )
 
 const (
-	answerFor    = 30 * time.Second // to take an answer, or to send a body
-	changeFor    = 5 * time.Second  // a change of the cluster's servers
-	caughtUp     = 64               // entries that a new server may be behind when it gets its vote
-	snapshotMost = 256 << 20
+	requestTimeout    = 30 * time.Second // to read a response, or to send a body
+	membershipTimeout = 5 * time.Second  // for a change of the cluster's servers
+	maxVoterLag       = 64               // log entries that a nonvoter may be behind when it becomes a voter
+	maxSnapshotBytes  = 256 << 20        // bytes
 )
 
-// Roles of a server, as its report has them. Others are raft's own.
+// Roles of a server in its report, in addition to raft's own.
 const (
-	RoleNew    = "new"    // part of no cluster yet
-	RoleFailed = "failed" // its disk failed: it answers reads from memory
+	RoleNew    = "new"    // not a member of a cluster yet
+	RoleFailed = "failed" // its disk failed; it serves reads from memory
 )
 
-// Report is what a server says of itself.
+// Report is the status of a server.
 type Report struct {
 	Name     string    `json:"name"`
 	ID       string    `json:"id"`
 	HTTP     string    `json:"http"`
 	Raft     string    `json:"raft"`
 	Role     string    `json:"role"`
-	Leader   string    `json:"leader,omitempty"` // id
+	Leader   string    `json:"leader,omitempty"` // server ID
 	Cluster  string    `json:"cluster,omitempty"`
 	Term     uint64    `json:"term"`
 	Last     uint64    `json:"last_index"`
 	Commit   uint64    `json:"commit_index"`
 	Applied  uint64    `json:"applied_index"`
-	List     string    `json:"list_cluster,omitempty"` // whose versions these are: another one after a restore
+	List     string    `json:"list_cluster,omitempty"` // ID of the list; a restore changes it
 	Version  int64     `json:"version"`
 	Entries  int       `json:"entries"`
 	AgeMS    int64     `json:"age_ms"`
 	Watches  int64     `json:"watches"`
 	Members  []Member  `json:"members,omitempty"`
-	Names    []string  `json:"names,omitempty"`    // of a first start
+	Names    []string  `json:"names,omitempty"`    // configured initial servers, while there is no cluster
 	Founding *Founding `json:"founding,omitempty"` // while there is no cluster
 	Failure  string    `json:"failure,omitempty"`
 	Broken   int64     `json:"invariants_broken,omitempty"`
 }
 
-// Member is a server as the cluster has it.
+// Member is a server in raft's configuration.
 type Member struct {
 	Peer
 	Voter bool `json:"voter"`
 }
 
-// Report returns what the server says of itself.
+// Report returns the status of the server.
 func (s *Server) Report() Report {
-	own, st := s.own(), s.m.Status()
-	r := Report{Name: s.o.Name, ID: own.ID, HTTP: s.o.AdvertiseHTTP, Raft: s.o.AdvertiseRaft, Role: strings.ToLower(s.raft.State().String()), Cluster: own.Cluster,
-		Term: s.raft.CurrentTerm(), Last: s.raft.LastIndex(), Commit: s.raft.CommitIndex(), Applied: s.raft.AppliedIndex(), List: st.Cluster, Version: st.Version,
-		Entries: st.Entries, AgeMS: s.Age().Milliseconds(), Broken: invariant.Broken(), Watches: s.face.watches.Load()}
+	identity, status := s.currentIdentity(), s.machine.Status()
+	r := Report{Name: s.opts.Name, ID: identity.ID, HTTP: s.opts.AdvertiseHTTP, Raft: s.opts.AdvertiseRaft, Role: strings.ToLower(s.raft.State().String()), Cluster: identity.Cluster,
+		Term: s.raft.CurrentTerm(), Last: s.raft.LastIndex(), Commit: s.raft.CommitIndex(), Applied: s.raft.AppliedIndex(), List: status.Cluster, Version: status.Version,
+		Entries: status.Entries, AgeMS: s.Age().Milliseconds(), Broken: invariant.Broken(), Watches: s.api.watches.Load()}
 	if _, id := s.raft.LeaderWithID(); id != "" {
 		r.Leader = string(id)
 	}
 	for _, x := range s.raft.GetConfiguration().Configuration().Servers {
-		p, ok := s.m.Server(string(x.ID))
+		p, ok := s.machine.Server(string(x.ID))
 		if !ok {
 			p = Peer{ID: string(x.ID), Raft: string(x.Address)}
 		}
 		r.Members = append(r.Members, Member{p, x.Suffrage == raft.Voter})
 	}
 	if len(r.Members) == 0 {
-		r.Role, r.Names, r.Founding = RoleNew, s.o.names(), own.Founding
+		r.Role, r.Names, r.Founding = RoleNew, s.opts.names(), identity.Founding
 	}
-	if err := s.failed(); err != nil {
+	if err := s.diskError(); err != nil {
 		r.Role, r.Leader, r.Failure = RoleFailed, "", err.Error()
 	}
 	return r
 }
 
-// handler is all that a server answers.
+// handler returns the HTTP handler for all paths of the server.
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("/catalog/", s.face.Handler())
-	mux.HandleFunc("GET /cluster/status", func(w http.ResponseWriter, _ *http.Request) { tell(w, s.Report()) })
-	mux.HandleFunc("POST /cluster/founding", s.promise)
-	mux.HandleFunc("POST /cluster/servers", s.takeIn)
-	mux.HandleFunc("DELETE /cluster/servers/{name}", s.letGo)
-	mux.HandleFunc("GET /cluster/snapshot", s.save)
-	mux.HandleFunc("PUT /cluster/snapshot", s.restore)
-	s.fleetHandlers(mux)
+	mux.Handle("/catalog/", s.api.Handler())
+	mux.HandleFunc("GET /cluster/status", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Report()) })
+	mux.HandleFunc("POST /cluster/founding", s.handleFounding)
+	mux.HandleFunc("POST /cluster/servers", s.handleAddServer)
+	mux.HandleFunc("DELETE /cluster/servers/{name}", s.handleRemoveServer)
+	mux.HandleFunc("GET /cluster/snapshot", s.handleBackup)
+	mux.HandleFunc("PUT /cluster/snapshot", s.handleRestore)
+	s.registerFleetHandlers(mux)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := http.NewResponseController(w)
-		c.SetWriteDeadline(time.Now().Add(answerFor)) // a watch sets its own
+		c.SetWriteDeadline(time.Now().Add(requestTimeout)) // a watch sets its own deadline
 		if r.Method != http.MethodGet {
-			c.SetReadDeadline(time.Now().Add(answerFor))
+			c.SetReadDeadline(time.Now().Add(requestTimeout))
 		}
 		mux.ServeHTTP(w, r)
 	})
 }
 
-func tell(w http.ResponseWriter, v any) {
-	w.Header().Set("Content-Type", contentsType)
+// writeJSON writes v as the body of a successful response.
+func writeJSON(w http.ResponseWriter, v any) {
+	w.Header().Set("Content-Type", contentTypeJSON)
 	json.NewEncoder(w).Encode(v)
 }
 
-// promise takes part in a founding, for good.
-func (s *Server) promise(w http.ResponseWriter, r *http.Request) {
+// handleFounding makes this server part of a founding, which is permanent.
+func (s *Server) handleFounding(w http.ResponseWriter, r *http.Request) {
 	var f Founding
-	if _, status, err := body(w, r, &f); err != nil {
-		s.face.fail(w, status, err)
+	if _, status, err := readBody(w, r, &f); err != nil {
+		s.api.writeError(w, status, err)
 		return
 	}
-	if err := s.takePart(&f); err != nil {
-		s.face.fail(w, http.StatusConflict, err)
+	if err := s.acceptFounding(&f); err != nil {
+		s.api.writeError(w, http.StatusConflict, err)
 		return
 	}
-	tell(w, s.Report())
+	writeJSON(w, s.Report())
 }
 
-func (s *Server) takePart(f *Founding) error {
-	return s.keep(func(i *identity) error {
+// acceptFounding validates a founding and stores it in the server's identity.
+func (s *Server) acceptFounding(f *Founding) error {
+	return s.updateIdentity(func(i *identity) error {
 		if i.Founding != nil && i.Founding.equal(f) {
 			return nil
 		}
-		if err := f.check(*i, s.o.names(), len(s.raft.GetConfiguration().Configuration().Servers) > 0); err != nil {
+		if err := f.check(*i, s.opts.names(), len(s.raft.GetConfiguration().Configuration().Servers) > 0); err != nil {
 			return err
 		}
 		i.Cluster, i.Founding = f.Cluster, f
@@ -140,8 +142,8 @@
 	})
 }
 
-// ask asks another server.
-func (s *Server) ask(ctx context.Context, method, addr, path string, in, out any) error {
+// callPeer sends a request to another server and decodes its response into out.
+func (s *Server) callPeer(ctx context.Context, method, addr, path string, in, out any) error {
 	var data []byte
 	if in != nil {
 		var err error
@@ -149,169 +151,172 @@
 			return err
 		}
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.via(addr)+path, bytes.NewReader(data))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.dialAddress(addr)+path, bytes.NewReader(data))
 	if err != nil {
 		return err
 	}
-	res, err := s.peers.Do(req)
+	res, err := s.peerClient.Do(req)
 	if err != nil {
 		return err
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(res.Body, bodyMost))
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxBodyBytes))
 	if err != nil {
 		return err
 	}
 	if res.StatusCode != http.StatusOK {
-		var p problem
-		if json.Unmarshal(text, &p) != nil || p.Error == "" {
-			p.Error = res.Status
+		var problem errorResponse
+		if json.Unmarshal(text, &problem) != nil || problem.Error == "" {
+			problem.Error = res.Status
 		}
 		if res.StatusCode == http.StatusGone {
-			return fmt.Errorf("%w: %s", ErrRemoved, p.Error)
+			return fmt.Errorf("%w: %s", ErrRemoved, problem.Error)
 		}
-		return errors.New(p.Error)
+		return errors.New(problem.Error)
 	}
 	return json.Unmarshal(text, out)
 }
 
-// settle brings a server with an empty folder into a cluster, and tells it when it is no part of its own any more.
-func (s *Server) settle(ctx context.Context) {
-	said := ""
-	for !pauseEnds(ctx, settleEach) {
+// runMembership founds or joins a cluster if the server is not a member of one yet. Afterwards it keeps the membership up to
+// date, and stops the server if the cluster has removed it.
+func (s *Server) runMembership(ctx context.Context) {
+	lastLogged := ""
+	for !sleepInterrupted(ctx, membershipInterval) {
 		var err error
-		switch has := len(s.raft.GetConfiguration().Configuration().Servers) > 0; {
-		case s.failed() != nil:
+		switch isMember := len(s.raft.GetConfiguration().Configuration().Servers) > 0; {
+		case s.diskError() != nil:
 			return
-		case has:
-			err = s.keepIn(ctx)
-		case len(s.o.Join) > 0:
-			err = s.join(ctx)
+		case isMember:
+			err = s.maintainMembership(ctx)
+		case len(s.opts.Join) > 0:
+			err = s.joinCluster(ctx)
 		default:
-			err = s.found(ctx)
+			err = s.foundCluster(ctx)
 		}
-		if errors.Is(err, ErrClusterThere) || errors.Is(err, ErrRemoved) {
-			s.end(err)
+		if errors.Is(err, ErrClusterExists) || errors.Is(err, ErrRemoved) {
+			s.exitWith(err)
 			return
 		}
-		if err != nil && err.Error() != said && ctx.Err() == nil {
-			said = err.Error()
-			s.log.Warn("not settled yet", "err", err)
+		if err != nil && err.Error() != lastLogged && ctx.Err() == nil {
+			lastLogged = err.Error()
+			s.log.Warn("cluster membership is not established yet", "err", err)
 		}
 	}
 }
 
-// pauseEnds waits; true if the context ended meanwhile.
-func pauseEnds(ctx context.Context, d time.Duration) bool { return !pause(ctx, ctx, d) }
+// sleepInterrupted sleeps for d and reports whether the context ended first.
+func sleepInterrupted(ctx context.Context, d time.Duration) bool { return !sleep(ctx, ctx, d) }
 
-// found takes part in the first start of a cluster. The first by name founds it, once every server has promised itself.
-func (s *Server) found(ctx context.Context) error {
-	own := s.own()
-	if own.Cluster != "" && own.Founding == nil {
-		return fmt.Errorf("it was taken into cluster %s: waiting for its leader", own.Cluster)
-	}
-	peers := []Peer{s.peer()}
-	for _, f := range s.o.Servers {
-		if f.Name == own.Name {
+// foundCluster takes part in the first start of a cluster. The server whose name sorts first founds the cluster once every
+// server has promised to take part.
+func (s *Server) foundCluster(ctx context.Context) error {
+	identity := s.currentIdentity()
+	if identity.Cluster != "" && identity.Founding == nil {
+		return fmt.Errorf("this server was added to cluster %s: waiting for its leader", identity.Cluster)
+	}
+	peers := []Peer{s.ownPeer()}
+	for _, initial := range s.opts.Servers {
+		if initial.Name == identity.Name {
 			continue
 		}
-		var r Report
-		if err := s.ask(ctx, http.MethodGet, f.HTTP, "/cluster/status", nil, &r); err != nil {
-			return fmt.Errorf("waiting for server %s: %w", f.Name, err)
+		var report Report
+		if err := s.callPeer(ctx, http.MethodGet, initial.HTTP, "/cluster/status", nil, &report); err != nil {
+			return fmt.Errorf("waiting for server %s: %w", initial.Name, err)
 		}
-		if r.Role != RoleNew {
-			if !slices.ContainsFunc(r.Members, func(m Member) bool { return m.ID == own.ID }) {
-				return fmt.Errorf("%w: server %s at %s is of cluster %s; start this one with --join to take it in", ErrClusterThere, f.Name, f.HTTP, r.Cluster)
+		if report.Role != RoleNew {
+			if !slices.ContainsFunc(report.Members, func(m Member) bool { return m.ID == identity.ID }) {
+				return fmt.Errorf("%w: server %s at %s belongs to cluster %s; start this server with --join to join it", ErrClusterExists, initial.Name, initial.HTTP, report.Cluster)
 			}
-			return nil // it is founded, and its leader will come
+			return nil // the cluster is founded, and its leader will contact this server
 		}
-		if r.Name != f.Name {
-			return fmt.Errorf("at %s is server %q, not %q", f.HTTP, r.Name, f.Name)
+		if report.Name != initial.Name {
+			return fmt.Errorf("the server at %s is %q, not %q", initial.HTTP, report.Name, initial.Name)
 		}
-		peers = append(peers, Peer{r.ID, r.Name, r.HTTP, r.Raft})
+		peers = append(peers, Peer{report.ID, report.Name, report.HTTP, report.Raft})
 	}
 	slices.SortFunc(peers, byName)
-	if peers[0].ID != own.ID {
+	if peers[0].ID != identity.ID {
 		return fmt.Errorf("waiting for server %s to found the cluster", peers[0].Name)
 	}
-	f := own.Founding
+	founding := identity.Founding
 	switch {
-	case f == nil:
-		f = &Founding{Cluster: draw(), Founder: own.ID, Round: 1, Servers: peers}
-	case f.Founder == own.ID && !slices.Equal(f.Servers, peers):
-		f = &Founding{Cluster: draw(), Founder: own.ID, Round: f.Round + 1, Servers: peers}
+	case founding == nil:
+		founding = &Founding{Cluster: randomID(), Founder: identity.ID, Round: 1, Servers: peers}
+	case founding.Founder == identity.ID && !slices.Equal(founding.Servers, peers):
+		founding = &Founding{Cluster: randomID(), Founder: identity.ID, Round: founding.Round + 1, Servers: peers}
 	}
-	if err := s.takePart(f); err != nil {
+	if err := s.acceptFounding(founding); err != nil {
 		return err
 	}
 	for _, p := range peers[1:] {
-		if err := s.ask(ctx, http.MethodPost, p.HTTP, "/cluster/founding", f, &Report{}); err != nil {
-			return fmt.Errorf("server %s does not take part: %w", p.Name, err)
+		if err := s.callPeer(ctx, http.MethodPost, p.HTTP, "/cluster/founding", founding, &Report{}); err != nil {
+			return fmt.Errorf("server %s refused the founding: %w", p.Name, err)
 		}
 	}
-	var c raft.Configuration
-	for _, p := range f.Servers {
-		c.Servers = append(c.Servers, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.Raft)})
+	var conf raft.Configuration
+	for _, p := range founding.Servers {
+		conf.Servers = append(conf.Servers, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.Raft)})
 	}
-	if err := s.raft.BootstrapCluster(c).Error(); err != nil {
-		return fmt.Errorf("founding: %w", err)
+	if err := s.raft.BootstrapCluster(conf).Error(); err != nil {
+		return fmt.Errorf("bootstrapping raft: %w", err)
 	}
-	s.log.Info("founded a cluster", "cluster", f.Cluster, "servers", f.ids())
+	s.log.Info("founded a cluster", "cluster", founding.Cluster, "servers", founding.ids())
 	return nil
 }
 
-// taken is the answer to a server that was taken in.
-type taken struct {
+// addServerResponse is the response to a server that asked to be added.
+type addServerResponse struct {
 	Cluster string `json:"cluster"`
 	Voter   bool   `json:"voter"`
 }
 
-// join asks a running cluster to take this server in.
-func (s *Server) join(ctx context.Context) error {
+// joinCluster asks a running cluster to add this server.
+func (s *Server) joinCluster(ctx context.Context) error {
 	var errs []error
-	for _, addr := range s.o.Join {
-		var t taken
-		err := s.ask(ctx, http.MethodPost, addr, "/cluster/servers", s.peer(), &t)
+	for _, addr := range s.opts.Join {
+		var response addServerResponse
+		err := s.callPeer(ctx, http.MethodPost, addr, "/cluster/servers", s.ownPeer(), &response)
 		if err == nil {
-			return s.keep(func(i *identity) error {
-				if i.Cluster != "" && i.Cluster != t.Cluster {
-					return fmt.Errorf("it is part of cluster %s, and %s is of %s", i.Cluster, addr, t.Cluster)
+			return s.updateIdentity(func(i *identity) error {
+				if i.Cluster != "" && i.Cluster != response.Cluster {
+					return fmt.Errorf("this server is a member of cluster %s, but %s belongs to cluster %s", i.Cluster, addr, response.Cluster)
 				}
-				i.Cluster, i.Founding = t.Cluster, nil
+				i.Cluster, i.Founding = response.Cluster, nil
 				return nil
 			})
 		}
 		errs = append(errs, fmt.Errorf("%s: %w", addr, err))
 	}
-	return fmt.Errorf("not taken in: %w", errors.Join(errs...))
+	return fmt.Errorf("could not join: %w", errors.Join(errs...))
 }
 
-// keepIn has the cluster know this server's addresses and give it its vote, and finds out where it has been removed.
-func (s *Server) keepIn(ctx context.Context) error {
-	own, all := s.peer(), s.raft.GetConfiguration().Configuration().Servers
-	if _, id := s.raft.LeaderWithID(); id != "" && s.Age() < 2*s.o.Beat {
-		known, ok := s.m.Server(own.ID)
-		voter := slices.ContainsFunc(all, func(x raft.Server) bool { return string(x.ID) == own.ID && x.Suffrage == raft.Voter })
+// maintainMembership registers this server's current addresses with the leader and asks it for a vote. Without a leader it
+// checks whether this server was removed.
+func (s *Server) maintainMembership(ctx context.Context) error {
+	own, servers := s.ownPeer(), s.raft.GetConfiguration().Configuration().Servers
+	if _, id := s.raft.LeaderWithID(); id != "" && s.Age() < 2*s.opts.Beat {
+		known, ok := s.machine.Server(own.ID)
+		voter := slices.ContainsFunc(servers, func(x raft.Server) bool { return string(x.ID) == own.ID && x.Suffrage == raft.Voter })
 		switch {
-		case !ok && s.m.Status().Cluster == "", ok && known == own && voter:
+		case !ok && s.machine.Status().Cluster == "", ok && known == own && voter:
 			return nil
 		case string(id) == own.ID:
-			_, err := s.admit(ctx, own)
+			_, err := s.addServer(ctx, own)
 			return err
 		}
-		leader, ok := s.m.Server(string(id))
+		leader, ok := s.machine.Server(string(id))
 		if !ok {
 			return nil
 		}
-		return s.ask(ctx, http.MethodPost, leader.HTTP, "/cluster/servers", own, &taken{})
+		return s.callPeer(ctx, http.MethodPost, leader.HTTP, "/cluster/servers", own, &addServerResponse{})
 	}
-	return s.findRemoval(ctx, own)
+	return s.checkRemoved(ctx, own)
 }
 
-// findRemoval asks the others, where nobody leads as far as this server knows, whether they have removed it. A server that was removed
-// early may know of none of them by the list's own records: the addresses of its settings are asked as well.
-func (s *Server) findRemoval(ctx context.Context, own Peer) error {
-	identity := s.own()
+// checkRemoved asks the other servers whether this one was removed, while it knows no leader. The replicated records of a
+// server that was removed early may not contain the others, so it asks the configured addresses as well.
+func (s *Server) checkRemoved(ctx context.Context, own Peer) error {
+	identity := s.currentIdentity()
 	cluster := identity.Cluster
 	if cluster == "" && identity.Founding != nil {
 		cluster = identity.Founding.Cluster
@@ -319,21 +324,21 @@
 	if cluster == "" {
 		return nil
 	}
-	for _, addr := range otherAddresses(own, s.m.Servers(), s.o.Servers, s.o.Join) {
-		var r Report
-		if s.ask(ctx, http.MethodGet, addr, "/cluster/status", nil, &r) != nil || r.Cluster != cluster || r.Leader == "" || r.Commit < s.raft.CommitIndex() {
+	for _, addr := range peerAddresses(own, s.machine.Servers(), s.opts.Servers, s.opts.Join) {
+		var report Report
+		if s.callPeer(ctx, http.MethodGet, addr, "/cluster/status", nil, &report) != nil || report.Cluster != cluster || report.Leader == "" || report.Commit < s.raft.CommitIndex() {
 			continue
 		}
-		if !slices.ContainsFunc(r.Members, func(m Member) bool { return m.ID == own.ID }) {
-			return fmt.Errorf("%w: server %s says so", ErrRemoved, r.Name)
+		if !slices.ContainsFunc(report.Members, func(m Member) bool { return m.ID == own.ID }) {
+			return fmt.Errorf("%w: reported by server %s", ErrRemoved, report.Name)
 		}
 	}
 	return nil
 }
 
-// otherAddresses are the HTTP addresses at which other servers of a cluster may answer: of those that the list knows, those of a first
-// start, and those to join through. Each stands once.
-func otherAddresses(own Peer, known []Peer, first []First, join []string) []string {
+// peerAddresses returns the HTTP addresses at which other servers of the cluster may answer, without duplicates: those in
+// the replicated records, of the initial servers, and of the servers to join.
+func peerAddresses(own Peer, known []Peer, initial []First, join []string) []string {
 	var addresses []string
 	add := func(address string) {
 		if address != "" && address != own.HTTP && !slices.Contains(addresses, address) {
@@ -343,7 +348,7 @@
 	for _, peer := range known {
 		add(peer.HTTP)
 	}
-	for _, server := range first {
+	for _, server := range initial {
 		add(server.HTTP)
 	}
 	for _, address := range join {
@@ -352,207 +357,212 @@
 	return addresses
 }
 
-// takeIn takes a server into the cluster: first it only listens, and once it has caught up it has a vote.
-func (s *Server) takeIn(w http.ResponseWriter, r *http.Request) {
-	var p Peer
-	data, status, err := body(w, r, &p)
-	if err == nil && (p.ID == "" || p.Name == "" || p.HTTP == "" || p.Raft == "") {
+// handleAddServer adds a server to the cluster. It is a nonvoter first and becomes a voter once it has caught up.
+func (s *Server) handleAddServer(w http.ResponseWriter, r *http.Request) {
+	var server Peer
+	data, status, err := readBody(w, r, &server)
+	if err == nil && (server.ID == "" || server.Name == "" || server.HTTP == "" || server.Raft == "") {
 		status, err = http.StatusBadRequest, errors.New("id, name, http and raft are wanted")
 	}
 	if err != nil {
-		s.face.fail(w, status, err)
+		s.api.writeError(w, status, err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), changeFor)
+	ctx, cancel := context.WithTimeout(r.Context(), membershipTimeout)
 	defer cancel()
 	if err := s.Confirm(ctx); err != nil {
-		s.face.elsewhere(w, r, data, err)
+		s.api.forwardToLeader(w, r, data, err)
 		return
 	}
-	t, err := s.admit(ctx, p)
+	response, err := s.addServer(ctx, server)
 	if errors.Is(err, ErrRemoved) {
-		s.face.fail(w, http.StatusGone, err)
+		s.api.writeError(w, http.StatusGone, err)
 		return
 	} else if err != nil {
-		s.face.fail(w, http.StatusConflict, err)
+		s.api.writeError(w, http.StatusConflict, err)
 		return
 	}
-	tell(w, t)
+	writeJSON(w, response)
 }
 
-func (s *Server) admit(ctx context.Context, p Peer) (taken, error) {
-	s.joining.Lock()
-	defer s.joining.Unlock()
-	t := taken{Cluster: s.own().Cluster}
-	if s.m.Left(p.ID) {
-		return t, fmt.Errorf("%w (%s, %s): with an empty folder it can be taken in again", ErrRemoved, p.Name, p.ID)
-	}
-	var now *raft.Server
-	for _, x := range s.raft.GetConfiguration().Configuration().Servers {
-		if string(x.ID) == p.ID {
-			now = &x
+// addServer adds a server to raft's configuration, promotes it to voter or updates its address, and records it in the
+// replicated state. A server that had the same name is removed first.
+func (s *Server) addServer(ctx context.Context, server Peer) (addServerResponse, error) {
+	s.membershipMu.Lock()
+	defer s.membershipMu.Unlock()
+	response := addServerResponse{Cluster: s.currentIdentity().Cluster}
+	if s.machine.Removed(server.ID) {
+		return response, fmt.Errorf("%w (%s, %s): with an empty folder it can be taken in again", ErrRemoved, server.Name, server.ID)
+	}
+	var current *raft.Server
+	for _, member := range s.raft.GetConfiguration().Configuration().Servers {
+		if string(member.ID) == server.ID {
+			current = &member
 			continue
 		}
-		if old, ok := s.m.Server(string(x.ID)); ok && old.Name == p.Name {
-			if err := s.replace(ctx, old); err != nil {
-				return t, err
+		if old, ok := s.machine.Server(string(member.ID)); ok && old.Name == server.Name {
+			if err := s.removeNamesake(ctx, old); err != nil {
+				return response, err
 			}
 		}
 	}
-	id, addr := raft.ServerID(p.ID), raft.ServerAddress(p.Raft)
-	var f raft.Future
+	id, addr := raft.ServerID(server.ID), raft.ServerAddress(server.Raft)
+	var future raft.Future
 	switch {
-	case now == nil:
-		f = s.raft.AddNonvoter(id, addr, 0, changeFor)
-	case now.Suffrage == raft.Voter && now.Address == addr:
-		t.Voter = true
-	case now.Suffrage == raft.Voter:
-		t.Voter, f = true, s.raft.AddVoter(id, addr, 0, changeFor)
+	case current == nil:
+		future = s.raft.AddNonvoter(id, addr, 0, membershipTimeout)
+	case current.Suffrage == raft.Voter && current.Address == addr:
+		response.Voter = true
+	case current.Suffrage == raft.Voter:
+		response.Voter, future = true, s.raft.AddVoter(id, addr, 0, membershipTimeout)
 	default:
-		var r Report
-		if err := s.ask(ctx, http.MethodGet, p.HTTP, "/cluster/status", nil, &r); err != nil {
-			return t, fmt.Errorf("server %s cannot be asked how far it is: %w", p.Name, err)
+		var report Report
+		if err := s.callPeer(ctx, http.MethodGet, server.HTTP, "/cluster/status", nil, &report); err != nil {
+			return response, fmt.Errorf("server %s cannot be asked how far it is: %w", server.Name, err)
 		}
-		if r.ID != p.ID || r.Applied+caughtUp < s.raft.CommitIndex() {
-			return t, nil
+		if report.ID != server.ID || report.Applied+maxVoterLag < s.raft.CommitIndex() {
+			return response, nil
 		}
-		t.Voter, f = true, s.raft.AddVoter(id, addr, 0, changeFor)
+		response.Voter, future = true, s.raft.AddVoter(id, addr, 0, membershipTimeout)
 	}
-	if f != nil {
-		if err := f.Error(); err != nil {
-			return t, fmt.Errorf("server %s: %w", p.Name, err)
+	if future != nil {
+		if err := future.Error(); err != nil {
+			return response, fmt.Errorf("server %s: %w", server.Name, err)
 		}
-		s.log.Info("servers changed", "name", p.Name, "id", p.ID, "voter", t.Voter)
+		s.log.Info("servers changed", "name", server.Name, "id", server.ID, "voter", response.Voter)
 	}
-	if known, ok := s.m.Server(p.ID); !ok || known != p {
-		if _, err := s.apply(ctx, command{Kind: cmdServer, Servers: []Peer{p}}); err != nil {
-			return t, err
+	if known, ok := s.machine.Server(server.ID); !ok || known != server {
+		if _, err := s.apply(ctx, command{Kind: cmdServer, Servers: []Peer{server}}); err != nil {
+			return response, err
 		}
 	}
-	return t, nil
+	return response, nil
 }
 
-// replace removes the server that had a name before. One that answers under its id is there still: two of one name are a mistake.
-func (s *Server) replace(ctx context.Context, old Peer) error {
-	if _, own := s.self(); own == old.ID {
+// removeNamesake removes the server that previously had a name. It fails if that server still answers, because two running
+// servers with one name are a configuration error.
+func (s *Server) removeNamesake(ctx context.Context, old Peer) error {
+	if _, own := s.clusterAndID(); own == old.ID {
 		return fmt.Errorf("the name %q is that of the server that leads", old.Name)
 	}
-	var r Report
-	if s.ask(ctx, http.MethodGet, old.HTTP, "/cluster/status", nil, &r) == nil && r.ID == old.ID && r.Role != RoleFailed {
+	var report Report
+	if s.callPeer(ctx, http.MethodGet, old.HTTP, "/cluster/status", nil, &report) == nil && report.ID == old.ID && report.Role != RoleFailed {
 		return fmt.Errorf("a server named %q is running at %s: end it, or remove it first", old.Name, old.HTTP)
 	}
-	return s.drop(ctx, old)
+	return s.removeServer(ctx, old)
 }
 
-func (s *Server) drop(ctx context.Context, p Peer) error {
-	if err := s.raft.RemoveServer(raft.ServerID(p.ID), 0, changeFor).Error(); err != nil {
-		return fmt.Errorf("removing server %s: %w", p.Name, err)
+// removeServer removes a server from raft's configuration and records the removal.
+func (s *Server) removeServer(ctx context.Context, server Peer) error {
+	if err := s.raft.RemoveServer(raft.ServerID(server.ID), 0, membershipTimeout).Error(); err != nil {
+		return fmt.Errorf("removing server %s: %w", server.Name, err)
 	}
-	s.log.Info("server removed", "name", p.Name, "id", p.ID)
-	_, err := s.apply(ctx, command{Kind: cmdLeft, Servers: []Peer{p}})
+	s.log.Info("server removed", "name", server.Name, "id", server.ID)
+	_, err := s.apply(ctx, command{Kind: cmdRemoved, Servers: []Peer{server}})
 	return err
 }
 
-// letGo removes a server for good.
-func (s *Server) letGo(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), changeFor)
+// handleRemoveServer removes a server permanently.
+func (s *Server) handleRemoveServer(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), membershipTimeout)
 	defer cancel()
 	if err := s.Confirm(ctx); err != nil {
-		s.face.elsewhere(w, r, nil, err)
+		s.api.forwardToLeader(w, r, nil, err)
 		return
 	}
-	s.joining.Lock()
-	defer s.joining.Unlock()
+	s.membershipMu.Lock()
+	defer s.membershipMu.Unlock()
 	name := r.PathValue("name")
-	all := s.raft.GetConfiguration().Configuration().Servers
-	i := slices.IndexFunc(all, func(x raft.Server) bool {
-		p, _ := s.m.Server(string(x.ID))
-		return p.Name == name || string(x.ID) == name
+	servers := s.raft.GetConfiguration().Configuration().Servers
+	i := slices.IndexFunc(servers, func(x raft.Server) bool {
+		server, _ := s.machine.Server(string(x.ID))
+		return server.Name == name || string(x.ID) == name
 	})
-	switch _, own := s.self(); {
+	switch _, own := s.clusterAndID(); {
 	case i < 0:
-		s.face.fail(w, http.StatusNotFound, fmt.Errorf("no server %q", name))
+		s.api.writeError(w, http.StatusNotFound, fmt.Errorf("no server %q", name))
 		return
-	case len(all) == 1:
-		s.face.fail(w, http.StatusConflict, errors.New("it is the last one: end it, if the list is not wanted any more"))
+	case len(servers) == 1:
+		s.api.writeError(w, http.StatusConflict, errors.New("it is the last one: end it, if the list is not wanted any more"))
 		return
-	case string(all[i].ID) == own:
-		s.handOver()
-		s.face.fail(w, http.StatusServiceUnavailable, fmt.Errorf("server %q led: another one is to lead first; ask again", name))
+	case string(servers[i].ID) == own:
+		s.transferLeadership()
+		s.api.writeError(w, http.StatusServiceUnavailable, fmt.Errorf("server %q led: another one is to lead first; ask again", name))
 		return
 	}
-	p, ok := s.m.Server(string(all[i].ID))
+	server, ok := s.machine.Server(string(servers[i].ID))
 	if !ok {
-		p = Peer{ID: string(all[i].ID), Raft: string(all[i].Address)}
+		server = Peer{ID: string(servers[i].ID), Raft: string(servers[i].Address)}
 	}
-	if err := s.drop(ctx, p); err != nil {
-		s.face.fail(w, http.StatusConflict, err)
+	if err := s.removeServer(ctx, server); err != nil {
+		s.api.writeError(w, http.StatusConflict, err)
 		return
 	}
-	tell(w, p)
+	writeJSON(w, server)
 }
 
-// save answers with a snapshot that holds all that was acknowledged before.
-func (s *Server) save(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), applyFor)
+// handleBackup responds with a backup that contains every write acknowledged before the request.
+func (s *Server) handleBackup(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), applyTimeout)
 	defer cancel()
 	if err := s.Confirm(ctx); err != nil {
-		s.face.elsewhere(w, r, nil, err)
+		s.api.forwardToLeader(w, r, nil, err)
 		return
 	}
-	c, ok := s.m.Backup()
+	snapshot, ok := s.machine.Backup()
 	if !ok {
-		s.face.fail(w, http.StatusServiceUnavailable, ErrNotFounded)
+		s.api.writeError(w, http.StatusServiceUnavailable, ErrNotFounded)
 		return
 	}
-	s.face.stand(w, s.m.Status())
-	if err := WriteBackup(w, c); err != nil {
-		panic(http.ErrAbortHandler) // the half must not be taken for the whole
+	s.api.setCatalogHeaders(w, s.machine.Status())
+	if err := WriteBackup(w, snapshot); err != nil {
+		panic(http.ErrAbortHandler) // the client must not take a partial backup for a complete one
 	}
 }
 
-// restore puts a backup in the place of the list. The list is another one then, under a cluster id of its own, so that nobody
-// who followed the old one takes the new one's changes for changes of what he has. Whoever asks names the list that goes.
-func (s *Server) restore(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, snapshotMost))
+// handleRestore replaces the list by a backup. The restored list gets a new cluster ID, so that readers of the old list do
+// not apply its changes to their copies. The request must name the list that is replaced.
+func (s *Server) handleRestore(w http.ResponseWriter, r *http.Request) {
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxSnapshotBytes))
 	if err != nil {
-		s.face.fail(w, http.StatusBadRequest, fmt.Errorf("body unreadable, or over %d bytes: %w", snapshotMost, err))
+		s.api.writeError(w, http.StatusBadRequest, fmt.Errorf("body unreadable, or over %d bytes: %w", maxSnapshotBytes, err))
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), changeFor)
+	ctx, cancel := context.WithTimeout(r.Context(), membershipTimeout)
 	defer cancel()
 	if err := s.Confirm(ctx); err != nil {
-		s.face.elsewhere(w, r, data, err)
+		s.api.forwardToLeader(w, r, data, err)
 		return
 	}
-	b, err := ReadBackup(bytes.NewReader(data))
+	backup, err := ReadBackup(bytes.NewReader(data))
 	if err != nil {
-		s.face.fail(w, http.StatusBadRequest, err)
+		s.api.writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	now := s.m.Status()
-	if named := r.URL.Query().Get("replace"); named != now.Cluster {
-		s.face.fail(w, http.StatusPreconditionFailed, fmt.Errorf("the list that goes is %s (version %d, %d entries), and the request names %q", now.Cluster, now.Version, now.Entries, named))
+	status := s.machine.Status()
+	if replaced := r.URL.Query().Get("replace"); replaced != status.Cluster {
+		s.api.writeError(w, http.StatusPreconditionFailed, fmt.Errorf("the list that goes is %s (version %d, %d entries), and the request names %q", status.Cluster, status.Version, status.Entries, replaced))
 		return
 	}
-	cat, err := catalog.Rebuild(b, draw(), s.o.Keep)
+	cat, err := catalog.NewFromBackup(backup, randomID(), s.opts.Keep)
 	if err == nil {
-		err = s.putBack(cat)
+		err = s.restoreCatalog(cat)
 	}
 	if err != nil {
-		s.face.fail(w, http.StatusBadRequest, err)
+		s.api.writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	now = s.m.Status()
-	s.log.Warn("a backup was restored", "list", now.Cluster, "version", now.Version, "entries", now.Entries, "backup", b.Cluster, "backup_version", b.Version)
-	s.face.stand(w, now)
-	tell(w, catalog.Result{Version: now.Version, Changed: now.Entries})
+	status = s.machine.Status()
+	s.log.Warn("backup restored", "list", status.Cluster, "version", status.Version, "entries", status.Entries, "backup", backup.Cluster, "backup_version", backup.Version)
+	s.api.setCatalogHeaders(w, status)
+	writeJSON(w, catalog.Result{Version: status.Version, Changed: status.Entries})
 }
 
-func (s *Server) putBack(cat *catalog.Catalog) error {
-	data, err := s.m.with(cat, s.raft.LastIndex())
+// restoreCatalog replaces the replicated list through a raft snapshot.
+func (s *Server) restoreCatalog(cat *catalog.Catalog) error {
+	data, err := s.machine.encodeWithCatalog(cat, s.raft.LastIndex())
 	if err != nil {
 		return err
 	}
-	return s.raft.Restore(&raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(len(data))}, bytes.NewReader(data), answerFor)
+	return s.raft.Restore(&raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(len(data))}, bytes.NewReader(data), requestTimeout)
 }
--- a/internal/listsvc/fleet.go
+++ b/internal/listsvc/fleet.go
@@ -16,109 +16,119 @@
 )
 
 const (
-	batchEach   = 100 * time.Millisecond // entries of the log that the fleet costs come no oftener
-	batchMost   = 1024                   // operations in one
-	batchRoom   = 4096                   // that wait
-	driveEach   = 50 * time.Millisecond
-	leaseEach   = 500 * time.Millisecond // sessions are looked at for their leases
-	waitMost    = 3 * time.Second        // a report is answered by then, with news or without
-	passedOnFor = 100 * time.Millisecond // that a report waits which another server passed on
-	armedShare  = 0.5                    // of the hold: all are to have promised by then, so that most hear of a drop in time
-	defaultHold = 2 * time.Second
-	defaultWith = 10 * time.Second
+	batchInterval       = 100 * time.Millisecond // minimum interval between log entries with fleet operations
+	maxBatchOps         = 1024                   // operations in a log entry
+	opQueueCapacity     = 4096                   // operations that wait for a log entry
+	policyStepInterval  = 50 * time.Millisecond  // between checks for a due step of a policy change
+	leaseCheckInterval  = 500 * time.Millisecond // between checks for expired leases
+	maxReportWait       = 3 * time.Second        // longest time until a report is answered, with or without news
+	forwardedReportWait = 100 * time.Millisecond // the same for a report that another server forwarded
+	// armedDeadlineRatio is the fraction of the hold duration within which all agents must promise an armed change. A change
+	// that is dropped then is dropped early enough for most agents to learn of it before their hold ends.
+	armedDeadlineRatio = 0.5
+	defaultHold        = 2 * time.Second  // hold duration of a change whose proposal sets none
+	defaultWithin      = 10 * time.Second // time to stage a change whose proposal sets none
 )
 
-// fleetDesk is what a server does for the fleet's agents: their reports, in batches, and the steps of a change while it leads.
-type fleetDesk struct {
-	lease time.Duration
-	ops   chan fleetOp
+// fleetCoordinator holds a server's state for the fleet's agents: the queue of operations to commit in batches, and when each
+// session last reported.
+type fleetCoordinator struct {
+	lease time.Duration // a session lapses after this time without a report
+	ops   chan queuedFleetOp
 
-	mu    sync.Mutex
-	heard map[string]time.Time // by session, here alone: a new leader gives each its full time again
+	mu sync.Mutex
+	// lastReport holds the time of the last report by session ID. It is not replicated, so a new leader grants each session a
+	// full lease.
+	lastReport map[string]time.Time
 }
 
-// closedNow ends a wait at once.
-var closedNow = func() <-chan struct{} {
+// closedCh is a closed channel, on which a receive returns at once.
+var closedCh = func() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-type fleetOp struct {
-	op   accord.Op
-	done chan fleetDone // takes one without waiting
+// queuedFleetOp is an operation that waits to be committed, with the channel for its result.
+type queuedFleetOp struct {
+	op     accord.Op
+	result chan queuedFleetOpResult // buffered, so that sending never blocks
 }
 
-type fleetDone struct {
+// queuedFleetOpResult is the outcome of an operation: the number of the change that it concerns, or an error.
+type queuedFleetOpResult struct {
 	number int64
 	err    error
 }
 
-func newFleet(lease time.Duration) *fleetDesk {
-	return &fleetDesk{lease: lease, ops: make(chan fleetOp, batchRoom), heard: map[string]time.Time{}}
+func newFleetCoordinator(lease time.Duration) *fleetCoordinator {
+	return &fleetCoordinator{lease: lease, ops: make(chan queuedFleetOp, opQueueCapacity), lastReport: map[string]time.Time{}}
 }
 
-// Ask is a report of an agent: what it says of itself, and what it has been told, so that it is answered once there is more.
+// Ask is the report of an agent: its own state and the fleet state that it has already received. It is answered once there
+// is newer state.
 type Ask struct {
 	accord.Session
 	WaitMS  int64        `json:"wait_ms,omitempty"`
-	Epoch   string       `json:"epoch,omitempty"`
-	Change  int64        `json:"change,omitempty"`
+	Epoch   string       `json:"epoch,omitempty"`  // of the fleet's state, as are the fields below
+	Change  int64        `json:"change,omitempty"` // number of the change in flight
 	Phase   accord.Phase `json:"phase,omitempty"`
 	Decided int64        `json:"decided,omitempty"`
-	PassOn  bool         `json:"pass_on,omitempty"` // by a server that does not lead: the agent reaches none that does
+	// PassOn asks a server that is not the leader to forward the report, because the agent cannot reach the leader.
+	PassOn bool `json:"pass_on,omitempty"`
 }
 
-// Told is the answer.
+// Told is the response to a report.
 type Told struct {
 	Epoch     string         `json:"epoch"`
 	InForce   accord.Policy  `json:"in_force"`
-	BeginInMS int64          `json:"begin_in_ms"` // until it may be taken on under, rounded up
-	HoldMS    int64          `json:"hold_ms"`     // of the change that brought it
+	BeginInMS int64          `json:"begin_in_ms"` // until requests may be accepted under InForce, rounded up
+	HoldMS    int64          `json:"hold_ms"`     // hold duration of the change that set InForce
 	Change    *accord.Change `json:"change,omitempty"`
-	Decided   int64          `json:"decided"` // changes up to this number are over: one that is not in force was dropped
-	State     string         `json:"state"`   // of the session
+	Decided   int64          `json:"decided"` // all changes up to this number took effect or were dropped
+	State     string         `json:"state"`   // state of the session
 	LeaseMS   int64          `json:"lease_ms"`
 }
 
-// Proposal is the body of a proposal.
+// Proposal is the body of a request that proposes a policy.
 type Proposal struct {
 	Document json.RawMessage `json:"document"`
-	HoldMS   int64           `json:"hold_ms,omitempty"`
-	WithinMS int64           `json:"within_ms,omitempty"`
+	HoldMS   int64           `json:"hold_ms,omitempty"`   // hold duration
+	WithinMS int64           `json:"within_ms,omitempty"` // time within which all agents must have staged the policy
 }
 
-// Proposed is the answer to it.
+// Proposed is the response to a proposal.
 type Proposed struct {
 	Number int64  `json:"number"`
 	Hash   string `json:"hash"`
 }
 
-func (s *Server) fleetHandlers(mux *http.ServeMux) {
-	mux.HandleFunc("POST /fleet/sessions", s.reported)
-	mux.HandleFunc("DELETE /fleet/sessions/{id}", s.leaves)
-	mux.HandleFunc("POST /fleet/retired/{id}", s.retires)
-	mux.HandleFunc("GET /fleet/policy", s.fleetRead)
-	mux.HandleFunc("POST /fleet/policy", s.proposes)
-	mux.HandleFunc("DELETE /fleet/policy/{number}", s.drops)
+// registerFleetHandlers registers the handlers for the paths below /fleet/.
+func (s *Server) registerFleetHandlers(mux *http.ServeMux) {
+	mux.HandleFunc("POST /fleet/sessions", s.handleSessionReport)
+	mux.HandleFunc("DELETE /fleet/sessions/{id}", s.handleLeave)
+	mux.HandleFunc("POST /fleet/retired/{id}", s.handleRetire)
+	mux.HandleFunc("GET /fleet/policy", s.handleGetPolicy)
+	mux.HandleFunc("POST /fleet/policy", s.handlePropose)
+	mux.HandleFunc("DELETE /fleet/policy/{number}", s.handleDropChange)
 }
 
-// batchFleet has the log take operations on, those that come within a while as one entry.
-func (s *Server) batchFleet() {
+// runFleetBatches commits queued fleet operations, combining those that arrive within batchInterval into one log entry.
+func (s *Server) runFleetBatches() {
 	var last time.Time
 	for {
-		var batch []fleetOp
+		var batch []queuedFleetOp
 		select {
-		case <-s.over.Done():
+		case <-s.ctx.Done():
 			return
 		case o := <-s.fleet.ops:
 			batch = append(batch, o)
 		}
-		if rest := batchEach - time.Since(last); rest > 0 && pauseEnds(s.over, rest) {
+		if rest := batchInterval - time.Since(last); rest > 0 && sleepInterrupted(s.ctx, rest) {
 			return
 		}
 	more:
-		for len(batch) < batchMost {
+		for len(batch) < maxBatchOps {
 			select {
 			case o := <-s.fleet.ops:
 				batch = append(batch, o)
@@ -127,98 +137,98 @@
 			}
 		}
 		last = time.Now()
-		ctx, cancel := context.WithTimeout(s.over, applyFor)
+		ctx, cancel := context.WithTimeout(s.ctx, applyTimeout)
 		ops := make([]accord.Op, len(batch))
 		for i, o := range batch {
 			ops[i] = o.op
 		}
-		out, err := s.commit(ctx, command{Kind: cmdFleet, Fleet: ops})
+		res, err := s.commit(ctx, command{Kind: cmdFleet, Fleet: ops})
 		cancel()
 		if err == nil {
-			err = out.err
+			err = res.err
 		}
 		for i, o := range batch {
 			if err != nil {
-				o.done <- fleetDone{err: err}
+				o.result <- queuedFleetOpResult{err: err}
 			} else {
-				o.done <- fleetDone{out.fleet[i].number, out.fleet[i].err}
+				o.result <- queuedFleetOpResult{res.fleetOps[i].number, res.fleetOps[i].err}
 			}
 		}
 	}
 }
 
-// operate has the log take an operation on, and returns what came of it.
-func (s *Server) operate(ctx context.Context, op accord.Op) (int64, error) {
-	o := fleetOp{op, make(chan fleetDone, 1)}
+// submitFleetOp commits an operation and returns its result.
+func (s *Server) submitFleetOp(ctx context.Context, op accord.Op) (int64, error) {
+	queued := queuedFleetOp{op, make(chan queuedFleetOpResult, 1)}
 	select {
-	case s.fleet.ops <- o:
+	case s.fleet.ops <- queued:
 	default:
-		return 0, fmt.Errorf("%w: %d operations wait", ErrNoLeader, batchRoom)
+		return 0, fmt.Errorf("%w: %d operations wait", ErrNoLeader, opQueueCapacity)
 	}
 	select {
-	case d := <-o.done:
-		return d.number, d.err
+	case res := <-queued.result:
+		return res.number, res.err
 	case <-ctx.Done():
-		return 0, fmt.Errorf("%w (%w)", ErrUnknown, ctx.Err())
-	case <-s.over.Done():
-		return 0, fmt.Errorf("%w: this server ends", ErrUnknown)
+		return 0, fmt.Errorf("%w (%w)", ErrOutcomeUnknown, ctx.Err())
+	case <-s.ctx.Done():
+		return 0, fmt.Errorf("%w: this server ends", ErrOutcomeUnknown)
 	}
 }
 
-// leads tells whether this server leads, as far as it knows, and has begun.
-func (s *Server) leads() bool {
-	return s.failed() == nil && s.raft.State() == raft.Leader && s.ready.Load() == s.raft.CurrentTerm()
+// isReadyLeader reports whether this server leads, as far as it knows, and has completed establishLeadership in this term.
+func (s *Server) isReadyLeader() bool {
+	return s.diskError() == nil && s.raft.State() == raft.Leader && s.readyTerm.Load() == s.raft.CurrentTerm()
 }
 
-// driveFleet takes the steps of a change that nobody else takes, and notes which sessions have lapsed, while this server leads.
-// The state turns down what a server does that no longer leads, or that has counted wrongly.
-func (s *Server) driveFleet() {
-	tick := time.NewTicker(driveEach)
+// runFleetLeader advances a change of the policy through its phases and marks sessions as lapsed while this server leads. The
+// replicated state rejects operations of a server that no longer leads or whose view is out of date.
+func (s *Server) runFleetLeader() {
+	tick := time.NewTicker(policyStepInterval)
 	defer tick.Stop()
-	var led, looked time.Time // since when it leads; the zero time: it does not
-	var at struct {
+	var leaderSince, lastLeaseCheck time.Time // leaderSince is zero while the server does not lead
+	var current struct {
 		number int64
 		phase  accord.Phase
 		since  time.Time
 	}
 	for {
 		next := (<-chan struct{})(nil)
-		v, ok := s.m.Fleet()
+		view, ok := s.machine.Fleet()
 		if ok {
-			next = v.Next
+			next = view.Changed
 		}
 		now := time.Now()
 		switch {
-		case !ok || !s.leads():
-			led, at.number = time.Time{}, 0
+		case !ok || !s.isReadyLeader():
+			leaderSince, current.number = time.Time{}, 0
 		default:
-			if led.IsZero() {
-				led = now
+			if leaderSince.IsZero() {
+				leaderSince = now
 			}
-			if now.Sub(looked) >= leaseEach {
-				looked = now
-				s.lapse(v, led, now)
+			if now.Sub(lastLeaseCheck) >= leaseCheckInterval {
+				lastLeaseCheck = now
+				s.lapseSessions(view, leaderSince, now)
 			}
-			if c := v.Change; c == nil {
-				at.number = 0
+			if change := view.Change; change == nil {
+				current.number = 0
 			} else {
-				if at.number != c.Number || at.phase != c.Phase {
-					at.number, at.phase, at.since = c.Number, c.Phase, now
+				if current.number != change.Number || current.phase != change.Phase {
+					current.number, current.phase, current.since = change.Number, change.Phase, now
 				}
-				if op, due := step(v, now.Sub(at.since)); due {
-					ctx, cancel := context.WithTimeout(s.over, applyFor)
-					if _, err := s.operate(ctx, op); err != nil && s.over.Err() == nil {
-						s.log.Warn("a step of the change of policy was not taken", "number", c.Number, "phase", c.Phase, "err", err)
+				if op, due := nextPolicyOp(view, now.Sub(current.since)); due {
+					ctx, cancel := context.WithTimeout(s.ctx, applyTimeout)
+					if _, err := s.submitFleetOp(ctx, op); err != nil && s.ctx.Err() == nil {
+						s.log.Warn("policy change step failed", "number", change.Number, "phase", change.Phase, "err", err)
 					} else {
-						s.log.Info("change of policy", "number", c.Number, "was", c.Phase)
-						next = closedNow // there is more to look at; what was not taken is tried again with the next tick
+						s.log.Info("policy change step committed", "number", change.Number, "was", change.Phase)
+						next = closedCh // look again at once; a failed step is retried at the next tick
 					}
 					cancel()
 				}
 			}
 		}
 		select {
-		case <-s.over.Done():
+		case <-s.ctx.Done():
 			return
 		case <-next:
 		case <-tick.C:
@@ -226,268 +236,276 @@
 	}
 }
 
-// step is what a leader does next for a change that has been in its phase for so long, as far as the leader knows.
-func step(v FleetView, since time.Duration) (op accord.Op, due bool) {
-	c, most := v.Change, time.Duration(v.Change.WithMS)*time.Millisecond
-	if c.Phase == accord.Armed {
-		most = time.Duration(armedShare * float64(time.Duration(c.HoldMS)*time.Millisecond))
+// nextPolicyOp returns the operation that is due for a change in flight, which has been in its phase for elapsed on the
+// leader's clock.
+func nextPolicyOp(view FleetView, elapsed time.Duration) (op accord.Op, due bool) {
+	change, limit := view.Change, time.Duration(view.Change.WithMS)*time.Millisecond
+	if change.Phase == accord.Armed {
+		limit = time.Duration(armedDeadlineRatio * float64(time.Duration(change.HoldMS)*time.Millisecond))
 	}
-	missing := v.Missing()
-	if x, refused := v.Refusal(); refused {
-		return accord.Op{Drop: &accord.Drop{Number: c.Number, Why: fmt.Sprintf("%s cannot follow it: %s", x.Name, x.Why)}}, true
+	missing := view.Missing()
+	if session, refused := view.Refusal(); refused {
+		return accord.Op{Drop: &accord.Drop{Number: change.Number, Why: fmt.Sprintf("%s cannot follow it: %s", session.Name, session.Why)}}, true
 	}
 	switch {
-	case len(missing) == 0 && c.Phase == accord.Proposed:
-		return accord.Op{Arm: c.Number}, true
+	case len(missing) == 0 && change.Phase == accord.Proposed:
+		return accord.Op{Arm: change.Number}, true
 	case len(missing) == 0:
-		return accord.Op{Seal: c.Number}, true
-	case since > most:
+		return accord.Op{Seal: change.Number}, true
+	case elapsed > limit:
 		names := missing[0].Name
 		if len(missing) > 1 {
 			names += fmt.Sprintf(" and %d more", len(missing)-1)
 		}
-		return accord.Op{Drop: &accord.Drop{Number: c.Number, Why: fmt.Sprintf("%s: no word of %s within %v", c.Phase, names, most)}}, true
+		return accord.Op{Drop: &accord.Drop{Number: change.Number, Why: fmt.Sprintf("%s: no word of %s within %v", change.Phase, names, limit)}}, true
 	}
 	return op, false
 }
 
-// lapse notes the sessions that were not heard of for their lease. They are asked all the same: that is for people to see.
-func (s *Server) lapse(v FleetView, led, now time.Time) {
+// lapseSessions marks sessions as lapsed that have not reported within their lease. A change still needs the promise of a
+// lapsed session; the mark only informs operators.
+func (s *Server) lapseSessions(view FleetView, leaderSince, now time.Time) {
 	s.fleet.mu.Lock()
-	for id := range s.fleet.heard { // of who has left
-		if _, there := v.Sessions[id]; !there {
-			delete(s.fleet.heard, id)
+	for id := range s.fleet.lastReport { // forget sessions that have left
+		if _, exists := view.Sessions[id]; !exists {
+			delete(s.fleet.lastReport, id)
 		}
 	}
 	s.fleet.mu.Unlock()
-	for _, x := range v.Sessions {
+	for _, session := range view.Sessions {
 		s.fleet.mu.Lock()
-		last := s.fleet.heard[x.ID]
+		last := s.fleet.lastReport[session.ID]
 		s.fleet.mu.Unlock()
-		if last.Before(led) {
-			last = led
+		if last.Before(leaderSince) {
+			last = leaderSince
 		}
-		if x.State != accord.Present || now.Sub(last) < s.fleet.lease {
+		if session.State != accord.Present || now.Sub(last) < s.fleet.lease {
 			continue
 		}
 		select {
-		case s.fleet.ops <- fleetOp{accord.Op{Lapse: x.ID}, make(chan fleetDone, 1)}:
-			s.log.Info("session lapsed", "name", x.Name, "id", x.ID, "not_heard_for", now.Sub(last))
+		case s.fleet.ops <- queuedFleetOp{accord.Op{Lapse: session.ID}, make(chan queuedFleetOpResult, 1)}:
+			s.log.Info("session lapsed", "name", session.Name, "id", session.ID, "not_heard_for", now.Sub(last))
 		default:
 		}
 	}
 }
 
-// notLeading passes a request on where this server does not lead; true: it has been answered.
-func (s *Server) notLeading(w http.ResponseWriter, r *http.Request, data []byte) bool {
-	if s.leads() {
+// forwardIfNotLeader forwards a request if this server does not lead. It returns true if the request has been answered.
+func (s *Server) forwardIfNotLeader(w http.ResponseWriter, r *http.Request, data []byte) bool {
+	if s.isReadyLeader() {
 		return false
 	}
-	s.face.elsewhere(w, r, data, ErrNoLeader)
+	s.api.forwardToLeader(w, r, data, ErrNoLeader)
 	return true
 }
 
-// reported takes an agent's report on, and answers once there is news for it, or its time is up.
-func (s *Server) reported(w http.ResponseWriter, r *http.Request) {
-	var a Ask
-	data, status, err := body(w, r, &a)
+// handleSessionReport records an agent's report and answers once there is news for the agent or its wait has ended.
+func (s *Server) handleSessionReport(w http.ResponseWriter, r *http.Request) {
+	var report Ask
+	data, status, err := readBody(w, r, &report)
 	if err != nil {
-		s.face.fail(w, status, err)
+		s.api.writeError(w, status, err)
 		return
 	}
-	// An agent goes to who leads by itself: reports wait, and passed on they would hold the few connections between servers that
-	// writes need. One that reaches nobody who leads is helped, without the wait.
-	if !s.leads() && !a.PassOn {
-		s.face.fail(w, http.StatusServiceUnavailable, ErrNoLeader)
+	// Agents find the leader themselves. Reports are long polls, and forwarding them would occupy the few connections between
+	// servers that writes need. A report of an agent that cannot reach the leader is forwarded with a short wait.
+	if !s.isReadyLeader() && !report.PassOn {
+		s.api.writeError(w, http.StatusServiceUnavailable, ErrNoLeader)
 		return
-	} else if !s.leads() {
-		if a.WaitMS = min(a.WaitMS, passedOnFor.Milliseconds()); a.WaitMS == 0 {
-			a.WaitMS = 1
+	} else if !s.isReadyLeader() {
+		if report.WaitMS = min(report.WaitMS, forwardedReportWait.Milliseconds()); report.WaitMS == 0 {
+			report.WaitMS = 1
 		}
-		if data, err = json.Marshal(a); err != nil {
-			s.face.fail(w, http.StatusBadRequest, err)
+		if data, err = json.Marshal(report); err != nil {
+			s.api.writeError(w, http.StatusBadRequest, err)
 			return
 		}
-		s.face.elsewhere(w, r, data, ErrNoLeader)
+		s.api.forwardToLeader(w, r, data, ErrNoLeader)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), applyFor)
+	ctx, cancel := context.WithTimeout(r.Context(), applyTimeout)
 	defer cancel()
-	if s.m.fleetChanges(a.Session) {
-		if _, err := s.operate(ctx, accord.Op{Report: &a.Session}); err != nil {
-			s.fleetFail(w, r, data, err)
+	if s.machine.reportChangesFleet(report.Session) {
+		if _, err := s.submitFleetOp(ctx, accord.Op{Report: &report.Session}); err != nil {
+			s.writeFleetError(w, r, data, err)
 			return
 		}
 	}
 	s.fleet.mu.Lock()
-	s.fleet.heard[a.ID] = time.Now()
+	s.fleet.lastReport[report.ID] = time.Now()
 	s.fleet.mu.Unlock()
-	end := time.NewTimer(min(waitMost, time.Duration(a.WaitMS)*time.Millisecond))
-	defer end.Stop()
+	timeout := time.NewTimer(min(maxReportWait, time.Duration(report.WaitMS)*time.Millisecond))
+	defer timeout.Stop()
 	for {
-		st, ok := s.m.Standing(a.Session)
-		if !ok || !st.Known {
-			why := st.Gone
+		view, ok := s.machine.SessionView(report.Session)
+		if !ok || !view.Known {
+			why := view.RetireReason
 			if why == "" {
 				why = "it has left"
 			}
-			s.face.fail(w, http.StatusGone, fmt.Errorf("%w: %s", accord.ErrGone, why))
+			s.api.writeError(w, http.StatusGone, fmt.Errorf("%w: %s", accord.ErrGone, why))
 			return
 		}
-		if st.newTo(a) {
-			tell(w, st.told(s.fleet.lease))
+		if view.hasNewsFor(report) {
+			writeJSON(w, view.response(s.fleet.lease))
 			return
 		}
 		select {
-		case <-st.Next:
-		case <-end.C:
-			if !s.leads() { // who leads may know more
-				s.face.fail(w, http.StatusServiceUnavailable, ErrNoLeader)
+		case <-view.Changed:
+		case <-timeout.C:
+			if !s.isReadyLeader() { // the leader may have news
+				s.api.writeError(w, http.StatusServiceUnavailable, ErrNoLeader)
 				return
 			}
-			tell(w, st.told(s.fleet.lease))
+			writeJSON(w, view.response(s.fleet.lease))
 			return
 		case <-r.Context().Done():
 			return
-		case <-s.over.Done():
-			s.face.fail(w, http.StatusServiceUnavailable, ErrNoLeader)
+		case <-s.ctx.Done():
+			s.api.writeError(w, http.StatusServiceUnavailable, ErrNoLeader)
 			return
 		}
 	}
 }
 
-// newTo tells whether an agent has not been told what stands.
-func (st *Standing) newTo(a Ask) bool {
+// hasNewsFor reports whether the fleet state differs from what the agent has received.
+func (view *SessionView) hasNewsFor(report Ask) bool {
 	number, phase := int64(0), accord.Phase("")
-	if st.Change != nil {
-		number, phase = st.Change.Number, st.Change.Phase
+	if view.Change != nil {
+		number, phase = view.Change.Number, view.Change.Phase
 	}
-	return st.Epoch != a.Epoch || st.InForce.Number > a.Knows || number != a.Change || phase != a.Phase || st.Decided != a.Decided || st.Session.State != accord.Present
+	return view.Epoch != report.Epoch || view.InForce.Number > report.Knows || number != report.Change || phase != report.Phase || view.Decided != report.Decided || view.Session.State != accord.Present
 }
 
-func (st *Standing) told(lease time.Duration) Told {
-	t := Told{Epoch: st.Epoch, InForce: st.InForce, HoldMS: st.HoldMS, Change: st.Change, Decided: st.Decided, State: st.Session.State, LeaseMS: lease.Milliseconds()}
-	if st.BeginIn > 0 {
-		t.BeginInMS = (st.BeginIn + time.Millisecond - 1).Milliseconds()
+// response returns the answer to the agent's report.
+func (view *SessionView) response(lease time.Duration) Told {
+	t := Told{Epoch: view.Epoch, InForce: view.InForce, HoldMS: view.HoldMS, Change: view.Change, Decided: view.Decided, State: view.Session.State, LeaseMS: lease.Milliseconds()}
+	if view.PolicyStartIn > 0 {
+		t.BeginInMS = (view.PolicyStartIn + time.Millisecond - 1).Milliseconds()
 	}
 	return t
 }
 
-// fleetFail answers an operation that was not taken on.
-func (s *Server) fleetFail(w http.ResponseWriter, r *http.Request, data []byte, err error) {
+// writeFleetError answers a request whose operation failed, or forwards it if this server does not lead.
+func (s *Server) writeFleetError(w http.ResponseWriter, r *http.Request, data []byte, err error) {
 	var field *accord.FieldError
 	switch {
-	case errors.Is(err, ErrUnknown):
-		s.face.unknown(w, err)
+	case errors.Is(err, ErrOutcomeUnknown):
+		s.api.writeOutcomeUnknown(w, err)
 	case errors.Is(err, ErrNoLeader):
-		s.face.elsewhere(w, r, data, err)
+		s.api.forwardToLeader(w, r, data, err)
 	case errors.Is(err, ErrNotFounded):
-		s.face.fail(w, http.StatusServiceUnavailable, err)
+		s.api.writeError(w, http.StatusServiceUnavailable, err)
 	case errors.Is(err, accord.ErrGone):
-		s.face.fail(w, http.StatusGone, err)
+		s.api.writeError(w, http.StatusGone, err)
 	case errors.Is(err, accord.ErrUnknown):
-		s.face.fail(w, http.StatusNotFound, err)
+		s.api.writeError(w, http.StatusNotFound, err)
 	case errors.Is(err, accord.ErrOlderBoot), errors.Is(err, accord.ErrInFlight), errors.Is(err, accord.ErrNoChange):
-		s.face.fail(w, http.StatusConflict, err)
+		s.api.writeError(w, http.StatusConflict, err)
 	case errors.Is(err, accord.ErrTooMany):
-		s.face.fail(w, http.StatusInsufficientStorage, err)
+		s.api.writeError(w, http.StatusInsufficientStorage, err)
 	case errors.As(err, &field):
-		w.Header().Set("Content-Type", contentsType)
+		w.Header().Set("Content-Type", contentTypeJSON)
 		w.WriteHeader(http.StatusBadRequest)
-		json.NewEncoder(w).Encode(problem{Error: err.Error(), Field: field.Field})
+		json.NewEncoder(w).Encode(errorResponse{Error: err.Error(), Field: field.Field})
 	default:
-		s.face.fail(w, http.StatusBadRequest, err)
+		s.api.writeError(w, http.StatusBadRequest, err)
 	}
 }
 
-// act carries an operation of a person or an agent out, and answers with what came of it.
-func (s *Server) act(w http.ResponseWriter, r *http.Request, data []byte, op accord.Op) {
-	if s.notLeading(w, r, data) {
+// handleFleetOp commits an operation of an operator or an agent and answers with its result.
+func (s *Server) handleFleetOp(w http.ResponseWriter, r *http.Request, data []byte, op accord.Op) {
+	if s.forwardIfNotLeader(w, r, data) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), applyFor)
+	ctx, cancel := context.WithTimeout(r.Context(), applyTimeout)
 	defer cancel()
-	number, err := s.operate(ctx, op)
+	number, err := s.submitFleetOp(ctx, op)
 	if err != nil {
-		s.fleetFail(w, r, data, err)
+		s.writeFleetError(w, r, data, err)
 		return
 	}
-	p := Proposed{Number: number}
+	response := Proposed{Number: number}
 	if op.Propose != nil {
-		p.Hash = accord.Hash(op.Propose.Document)
+		response.Hash = accord.Hash(op.Propose.Document)
 	}
-	tell(w, p)
+	writeJSON(w, response)
 }
 
-func (s *Server) leaves(w http.ResponseWriter, r *http.Request) {
+// handleLeave ends a session at the request of its agent.
+func (s *Server) handleLeave(w http.ResponseWriter, r *http.Request) {
 	boot, err := strconv.ParseInt(r.URL.Query().Get("boot"), 10, 64)
 	if err != nil {
-		s.face.fail(w, http.StatusBadRequest, fmt.Errorf("boot: %w", err))
+		s.api.writeError(w, http.StatusBadRequest, fmt.Errorf("boot: %w", err))
 		return
 	}
-	s.act(w, r, nil, accord.Op{Leave: &accord.Session{ID: r.PathValue("id"), Boot: boot}})
+	s.handleFleetOp(w, r, nil, accord.Op{Leave: &accord.Session{ID: r.PathValue("id"), Boot: boot}})
 }
 
-func (s *Server) retires(w http.ResponseWriter, r *http.Request) {
-	s.act(w, r, nil, accord.Op{Retire: r.PathValue("id")})
+// handleRetire removes the session of an agent whose machine is gone for good.
+func (s *Server) handleRetire(w http.ResponseWriter, r *http.Request) {
+	s.handleFleetOp(w, r, nil, accord.Op{Retire: r.PathValue("id")})
 }
 
-// proposes begins a change. The document is brought into its one form here, so that what is hashed is what is kept.
-func (s *Server) proposes(w http.ResponseWriter, r *http.Request) {
-	var p Proposal
-	data, status, err := body(w, r, &p)
+// handlePropose starts a change of the policy. The document is converted to its canonical form here, so that the hash is
+// computed over the stored bytes.
+func (s *Server) handlePropose(w http.ResponseWriter, r *http.Request) {
+	var proposal Proposal
+	data, status, err := readBody(w, r, &proposal)
 	if err != nil {
-		s.face.fail(w, status, err)
+		s.api.writeError(w, status, err)
 		return
 	}
-	d, err := accord.Read(p.Document)
+	document, err := accord.Read(proposal.Document)
 	if err != nil {
-		s.fleetFail(w, r, data, err)
+		s.writeFleetError(w, r, data, err)
 		return
 	}
-	canonical, err := d.Canonical()
+	canonical, err := document.Canonical()
 	if err != nil {
-		s.fleetFail(w, r, data, err)
+		s.writeFleetError(w, r, data, err)
 		return
 	}
-	if p.HoldMS == 0 {
-		p.HoldMS = defaultHold.Milliseconds()
+	if proposal.HoldMS == 0 {
+		proposal.HoldMS = defaultHold.Milliseconds()
 	}
-	if p.WithinMS == 0 {
-		p.WithinMS = defaultWith.Milliseconds()
+	if proposal.WithinMS == 0 {
+		proposal.WithinMS = defaultWithin.Milliseconds()
 	}
-	s.act(w, r, data, accord.Op{Propose: &accord.Propose{Key: r.Header.Get("Idempotency-Key"), Document: canonical, HoldMS: p.HoldMS, WithinMS: p.WithinMS}})
+	s.handleFleetOp(w, r, data, accord.Op{Propose: &accord.Propose{Key: r.Header.Get("Idempotency-Key"), Document: canonical, HoldMS: proposal.HoldMS, WithinMS: proposal.WithinMS}})
 }
 
-func (s *Server) drops(w http.ResponseWriter, r *http.Request) {
+// handleDropChange drops a change that is not sealed.
+func (s *Server) handleDropChange(w http.ResponseWriter, r *http.Request) {
 	number, err := strconv.ParseInt(r.PathValue("number"), 10, 64)
 	if err != nil || number <= 0 {
-		s.face.fail(w, http.StatusBadRequest, fmt.Errorf("%q is no number of a change", r.PathValue("number")))
+		s.api.writeError(w, http.StatusBadRequest, fmt.Errorf("%q is no number of a change", r.PathValue("number")))
 		return
 	}
 	why := "a person said so"
 	if text := r.URL.Query().Get("why"); text != "" {
 		why = fmt.Sprintf("%.200s", text)
 	}
-	s.act(w, r, nil, accord.Op{Drop: &accord.Drop{Number: number, Why: why}})
+	s.handleFleetOp(w, r, nil, accord.Op{Drop: &accord.Drop{Number: number, Why: why}})
 }
 
-// fleetRead answers with the fleet's state as this server has it; consistent: with all that was agreed on before.
-func (s *Server) fleetRead(w http.ResponseWriter, r *http.Request) {
+// handleGetPolicy responds with the fleet's state on this server. With consistent=1 it includes everything committed before
+// the request.
+func (s *Server) handleGetPolicy(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("consistent") == "1" {
-		ctx, cancel := context.WithTimeout(r.Context(), applyFor)
+		ctx, cancel := context.WithTimeout(r.Context(), applyTimeout)
 		defer cancel()
 		if err := s.Confirm(ctx); err != nil {
-			s.face.elsewhere(w, r, nil, err)
+			s.api.forwardToLeader(w, r, nil, err)
 			return
 		}
 	}
-	v, ok := s.m.Fleet()
+	view, ok := s.machine.Fleet()
 	if !ok {
-		s.face.fail(w, http.StatusServiceUnavailable, ErrNotFounded)
+		s.api.writeError(w, http.StatusServiceUnavailable, ErrNotFounded)
 		return
 	}
-	w.Header().Set("X-Catalog-Server", s.o.Name)
+	w.Header().Set("X-Catalog-Server", s.opts.Name)
 	w.Header().Set("X-Catalog-Age-Ms", strconv.FormatInt(s.Age().Milliseconds(), 10))
-	tell(w, v.report())
+	writeJSON(w, view.report())
 }
--- a/internal/listsvc/fleetstate.go
+++ b/internal/listsvc/fleetstate.go
@@ -7,121 +7,126 @@
 	"wallflow/internal/accord"
 )
 
-// applyFleet carries operations on the fleet's state out, each by itself. It is called with the lock held.
-func (m *Machine) applyFleet(ops []accord.Op) []fleetOutcome {
-	out := make([]fleetOutcome, len(ops))
+// applyFleet applies operations to the fleet's state, each independently of the others. The caller holds m.mu.
+func (m *Machine) applyFleet(ops []accord.Op) []fleetOpResult {
+	results := make([]fleetOpResult, len(ops))
 	inForce := m.fleet.InForce.Number
 	for i, o := range ops {
-		was := int64(0)
+		previous := int64(0)
 		if o.Report != nil {
-			was = m.fleet.Sessions[o.Report.ID].Promised
+			previous = m.fleet.Sessions[o.Report.ID].Promised
 		}
-		out[i].number, out[i].err = m.fleet.Apply(o)
-		if o.Report != nil && m.fleet.Sessions[o.Report.ID].Promised != was {
-			m.promised = m.now()
+		results[i].number, results[i].err = m.fleet.Apply(o)
+		if o.Report != nil && m.fleet.Sessions[o.Report.ID].Promised != previous {
+			m.lastPromise = m.now()
 		}
 		if m.fleet.InForce.Number != inForce {
 			inForce = m.fleet.InForce.Number
-			m.begins = m.promised.Add(m.hold())
+			m.policyStart = m.lastPromise.Add(m.holdDuration())
 		}
 	}
-	m.fleetNews()
-	return out
+	m.notifyFleetChanged()
+	return results
 }
 
-func (m *Machine) fleetNews() {
-	m.news++
-	close(m.told)
-	m.told = make(chan struct{})
+// notifyFleetChanged wakes all that wait for a change of the fleet's state. The caller holds m.mu.
+func (m *Machine) notifyFleetChanged() {
+	m.fleetRevision++
+	close(m.fleetChanged)
+	m.fleetChanged = make(chan struct{})
 }
 
-// FleetView is the fleet's state as a server has it, to be read alone, with what the server's own clock says of it.
+// FleetView is a read-only copy of the fleet's state on a server, with the timing by the server's own clock.
 type FleetView struct {
 	*accord.State
-	News    int64
-	Next    <-chan struct{} // closed when there is more
-	BeginIn time.Duration   // until the policy in force may be taken on under; 0 or less: it may
+	Revision      int64           // number of changes of the state on this server
+	Changed       <-chan struct{} // closed at the next change
+	PolicyStartIn time.Duration   // until requests may be accepted under the policy in force; 0 or less if they already may
 }
 
-// Fleet returns the fleet's state; false: there is none yet.
+// Fleet returns the fleet's state. ok is false if the cluster has not been founded yet.
 func (m *Machine) Fleet() (v FleetView, ok bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	if m.fleet == nil {
 		return v, false
 	}
-	return FleetView{State: m.fleet.Clone(), News: m.news, Next: m.told, BeginIn: m.beginIn()}, true
+	return FleetView{State: m.fleet.Clone(), Revision: m.fleetRevision, Changed: m.fleetChanged, PolicyStartIn: m.policyStartIn()}, true
 }
 
-// beginIn is how long it takes until every relay has stopped under the policy before the one in force: each stops its hold after
-// its promise, which was made before it was applied here. Counted by this server's clock alone, from when it applied the last of
-// them, it is never too early, whoever led meanwhile. It is called with the lock held.
-func (m *Machine) beginIn() time.Duration { return m.begins.Sub(m.now()) }
+// policyStartIn returns the time until every relay has stopped accepting requests under the previous policy. Each relay stops
+// one hold duration after its promise, and makes the promise before it is applied here. The time is counted on this
+// server's clock alone, from when it applied the last promise, so it is never too short, whichever server led meanwhile.
+// The caller holds m.mu.
+func (m *Machine) policyStartIn() time.Duration { return m.policyStart.Sub(m.now()) }
 
-func (m *Machine) hold() time.Duration { return time.Duration(m.fleet.HoldMS) * time.Millisecond }
+// holdDuration returns the hold duration of the change that set the policy in force. The caller holds m.mu.
+func (m *Machine) holdDuration() time.Duration {
+	return time.Duration(m.fleet.HoldMS) * time.Millisecond
+}
 
-// Standing is what an agent needs to know; it is far less than all of the state.
-type Standing struct {
-	Epoch    string
-	News     int64
-	Next     <-chan struct{}
-	InForce  accord.Policy // with its document where the agent has an older one
-	BeginIn  time.Duration
-	HoldMS   int64
-	Decided  int64
-	Change   *accord.Change // with its document where the agent has not staged it
-	Session  accord.Session
-	Known    bool // there is such a session
-	Gone     string
-	Sessions int
+// SessionView is the part of the fleet's state that one agent needs.
+type SessionView struct {
+	Epoch         string
+	Revision      int64           // as in FleetView
+	Changed       <-chan struct{} // as in FleetView
+	InForce       accord.Policy   // includes the document only if the agent has an older policy
+	PolicyStartIn time.Duration
+	HoldMS        int64          // hold duration of the change that set InForce
+	Decided       int64          // all changes up to this number took effect or were dropped
+	Change        *accord.Change // includes the document only if the agent has not staged it
+	Session       accord.Session
+	Known         bool   // whether the session exists
+	RetireReason  string // why the session was removed, if it was
+	Sessions      int    // number of sessions in the fleet
 }
 
-// Standing returns what an agent needs to know.
-func (m *Machine) Standing(r accord.Session) (s Standing, ok bool) {
+// SessionView returns the view for the agent of session r. ok is false if the cluster has not been founded yet.
+func (m *Machine) SessionView(session accord.Session) (view SessionView, ok bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	if m.fleet == nil {
-		return s, false
+		return view, false
 	}
-	f := m.fleet
-	s = Standing{Epoch: f.Epoch, News: m.news, Next: m.told, InForce: f.InForce, BeginIn: m.beginIn(), HoldMS: f.HoldMS, Decided: f.Decided(), Gone: f.Gone[r.ID], Sessions: len(f.Sessions)}
-	s.Session, s.Known = f.Sessions[r.ID]
-	if r.Knows >= f.InForce.Number {
-		s.InForce.Document = nil
+	state := m.fleet
+	view = SessionView{Epoch: state.Epoch, Revision: m.fleetRevision, Changed: m.fleetChanged, InForce: state.InForce, PolicyStartIn: m.policyStartIn(), HoldMS: state.HoldMS, Decided: state.Decided(), RetireReason: state.Gone[session.ID], Sessions: len(state.Sessions)}
+	view.Session, view.Known = state.Sessions[session.ID]
+	if session.Knows >= state.InForce.Number {
+		view.InForce.Document = nil
 	}
-	if f.Change != nil {
-		c := *f.Change
-		if r.Staged == c.Number {
+	if state.Change != nil {
+		c := *state.Change
+		if session.Staged == c.Number {
 			c.Document = nil
 		}
-		s.Change = &c
+		view.Change = &c
 	}
-	return s, true
+	return view, true
 }
 
-// fleetChanges tells whether a report is worth an entry of the log.
-func (m *Machine) fleetChanges(r accord.Session) bool {
+// reportChangesFleet reports whether a session report would change the state and so needs a log entry.
+func (m *Machine) reportChangesFleet(session accord.Session) bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.fleet != nil && m.fleet.Changes(r)
+	return m.fleet != nil && m.fleet.Changes(session)
 }
 
-// FleetReport is the fleet's state, for people and programs.
+// FleetReport is the fleet's state as the HTTP API returns it.
 type FleetReport struct {
 	Epoch    string            `json:"epoch"`
 	InForce  accord.Policy     `json:"in_force"`
-	BeginMS  int64             `json:"begin_in_ms"`
+	BeginMS  int64             `json:"begin_in_ms"` // until requests may be accepted under InForce
 	Change   *accord.Change    `json:"change,omitempty"`
-	Waits    []string          `json:"waits_for,omitempty"` // names, while a change is in flight
+	Waits    []string          `json:"waits_for,omitempty"` // names of the sessions whose promise a change in flight needs
 	Sessions []accord.Session  `json:"sessions"`
 	Outcomes []accord.Outcome  `json:"outcomes,omitempty"`
 	Gone     map[string]string `json:"gone,omitempty"`
 }
 
-func (v FleetView) report() FleetReport {
-	r := FleetReport{Epoch: v.Epoch, InForce: v.InForce, BeginMS: max(0, v.BeginIn.Milliseconds()), Change: v.Change, Sessions: v.All(), Outcomes: v.Outcomes, Gone: v.Gone}
-	for _, x := range v.Missing() {
-		r.Waits = append(r.Waits, x.Name)
+func (view FleetView) report() FleetReport {
+	r := FleetReport{Epoch: view.Epoch, InForce: view.InForce, BeginMS: max(0, view.PolicyStartIn.Milliseconds()), Change: view.Change, Sessions: view.All(), Outcomes: view.Outcomes, Gone: view.Gone}
+	for _, session := range view.Missing() {
+		r.Waits = append(r.Waits, session.Name)
 	}
 	if r.InForce.Document == nil {
 		r.InForce.Document = json.RawMessage("null")
--- a/internal/listsvc/http.go
+++ b/internal/listsvc/http.go
@@ -18,102 +18,104 @@
 )
 
 const (
-	bodyMost     = 1 << 20 // of a write
-	watchesMost  = 8192
-	lineEach     = 2 * time.Second // a watch has a line at least so often
-	gatherFor    = 20 * time.Millisecond
-	slowFor      = 3 * time.Second // a watcher that takes nothing for so long is ended
-	applyFor     = 5 * time.Second
-	retryAfter   = "1" // seconds, where nobody leads
-	forwardedBy  = "X-Forwarded-By"
-	contentsType = "application/json"
+	maxBodyBytes      = 1 << 20               // size of a request body in bytes
+	maxWatches        = 8192                  // watches at a time
+	keepaliveInterval = 2 * time.Second       // a watch gets an empty line after this time without a change
+	coalesceDelay     = 20 * time.Millisecond // changes within this time are sent as one line
+	watchWriteTimeout = 3 * time.Second       // a watch is ended if a write to its connection takes longer
+	applyTimeout      = 5 * time.Second       // for a request that the leader must confirm or commit
+	retryAfterSeconds = "1"                   // while there is no leader
+	forwardedByHeader = "X-Forwarded-By"
+	contentTypeJSON   = "application/json"
 )
 
-// ErrNoLeader tells that a write or a consistent read cannot be had now: it was not taken on, or it is not known whether it was.
+// ErrNoLeader reports that this server cannot serve a write or a consistent read because it is not an established leader. A
+// write that fails with it was not applied; see ErrOutcomeUnknown.
 var ErrNoLeader = errors.New("no server leads")
 
-// Replica is a server of the cluster, as its HTTP face sees it.
+// Replica is the interface of the HTTP API to the replicated list.
 type Replica interface {
-	// Write has the leader's log take a write on. With ErrNoLeader another server may lead.
+	// Write commits and applies a write. On ErrNoLeader another server may be the leader.
 	Write(ctx context.Context, w catalog.Write) (catalog.Result, error)
-	// Confirm returns once this server's list holds all that was acknowledged before the call.
+	// Confirm returns nil once this server's list contains every write acknowledged before the call.
 	Confirm(ctx context.Context) error
-	// Leader is the HTTP address of the server that leads; empty: not known, or this one.
+	// Leader returns the HTTP address of the leader, or "" if it is unknown or this server.
 	Leader() string
-	// Age is how long ago this server's list was as new as the leader's, as far as it knows.
+	// Age returns how stale this server's list may be: the time since it was last known to be as new as the leader's.
 	Age() time.Duration
 }
 
-// Face is the HTTP face of a list server.
-type Face struct {
-	name    string
-	machine *Machine
-	replica Replica
-	log     *slog.Logger
-	forward *http.Client
-	over    context.Context // ends the watches with the server
-	watches atomic.Int64
+// API serves the list over HTTP.
+type API struct {
+	name          string
+	machine       *Machine
+	replica       Replica
+	log           *slog.Logger
+	forwardClient *http.Client
+	ctx           context.Context // its end ends all watches
+	watches       atomic.Int64
 }
 
-// NewFace returns the face of a server. Watches end with ctx.
-func NewFace(ctx context.Context, name string, m *Machine, r Replica, log *slog.Logger) *Face {
-	return &Face{name: name, machine: m, replica: r, log: log, over: ctx,
-		forward: &http.Client{Timeout: applyFor, Transport: &http.Transport{MaxConnsPerHost: 16, MaxIdleConnsPerHost: 16, DisableCompression: true}}}
+// NewAPI returns the HTTP API of a server. Watches end when ctx ends.
+func NewAPI(ctx context.Context, name string, m *Machine, r Replica, log *slog.Logger) *API {
+	return &API{name: name, machine: m, replica: r, log: log, ctx: ctx,
+		forwardClient: &http.Client{Timeout: applyTimeout, Transport: &http.Transport{MaxConnsPerHost: 16, MaxIdleConnsPerHost: 16, DisableCompression: true}}}
 }
 
-// Handler serves the catalog.
-func (f *Face) Handler() http.Handler {
+// Handler returns the handler for the paths below /catalog/.
+func (a *API) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog/members", f.read)
-	mux.HandleFunc("POST /catalog/members", f.post)
-	mux.HandleFunc("PUT /catalog/members/{id}", f.put)
-	mux.HandleFunc("DELETE /catalog/members/{id}", f.remove)
+	mux.HandleFunc("GET /catalog/members", a.handleGet)
+	mux.HandleFunc("POST /catalog/members", a.handlePost)
+	mux.HandleFunc("PUT /catalog/members/{id}", a.handlePut)
+	mux.HandleFunc("DELETE /catalog/members/{id}", a.handleDelete)
 	return mux
 }
 
-// problem is the body of an answer that is no list.
-type problem struct {
+// errorResponse is the body of an error response.
+type errorResponse struct {
 	Error string `json:"error"`
 	Entry string `json:"entry,omitempty"`
 	Field string `json:"field,omitempty"`
 }
 
-func (f *Face) fail(w http.ResponseWriter, status int, err error) {
-	p := problem{Error: err.Error()}
+// writeError sends an error response.
+func (a *API) writeError(w http.ResponseWriter, status int, err error) {
+	p := errorResponse{Error: err.Error()}
 	var field *catalog.FieldError
 	if errors.As(err, &field) {
 		p.Entry, p.Field = field.Entry, field.Field
 	}
 	if status == http.StatusServiceUnavailable {
-		w.Header().Set("Retry-After", retryAfter)
+		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
-	w.Header().Set("Content-Type", contentsType)
+	w.Header().Set("Content-Type", contentTypeJSON)
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(p)
 }
 
-// unknown answers a write of which nobody can say whether it was taken on.
-func (f *Face) unknown(w http.ResponseWriter, err error) {
+// writeOutcomeUnknown answers a write that may or may not have been applied.
+func (a *API) writeOutcomeUnknown(w http.ResponseWriter, err error) {
 	w.Header().Set("X-Outcome", "unknown")
-	f.fail(w, http.StatusServiceUnavailable, err)
+	a.writeError(w, http.StatusServiceUnavailable, err)
 }
 
-// stand tells with an answer what it was answered from.
-func (f *Face) stand(w http.ResponseWriter, s Status) {
+// setCatalogHeaders sets the headers that describe the list from which a request is answered.
+func (a *API) setCatalogHeaders(w http.ResponseWriter, s Status) {
 	h := w.Header()
-	h.Set("Content-Type", contentsType)
+	h.Set("Content-Type", contentTypeJSON)
 	h.Set("X-Catalog-Version", strconv.FormatInt(s.Version, 10))
 	h.Set("X-Catalog-Cluster", s.Cluster)
-	h.Set("X-Catalog-Age-Ms", strconv.FormatInt(f.replica.Age().Milliseconds(), 10))
-	h.Set("X-Catalog-Server", f.name)
+	h.Set("X-Catalog-Age-Ms", strconv.FormatInt(a.replica.Age().Milliseconds(), 10))
+	h.Set("X-Catalog-Server", a.name)
 }
 
-// read answers with the list as this server has it, or follows it.
-func (f *Face) read(w http.ResponseWriter, r *http.Request) {
+// handleGet responds with the full list on this server, or serves a watch.
+func (a *API) handleGet(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	for name := range q {
 		if name != "stream" && name != "index" && name != "cluster" && name != "consistent" {
-			f.fail(w, http.StatusBadRequest, fmt.Errorf("query %q is unknown: wanted are stream, index, cluster and consistent", name))
+			a.writeError(w, http.StatusBadRequest, fmt.Errorf("query %q is unknown: wanted are stream, index, cluster and consistent", name))
 			return
 		}
 	}
@@ -121,98 +123,100 @@
 	if text := q.Get("index"); text != "" {
 		var err error
 		if index, err = strconv.ParseInt(text, 10, 64); err != nil || index < 0 {
-			f.fail(w, http.StatusBadRequest, fmt.Errorf("index %q is no version", text))
+			a.writeError(w, http.StatusBadRequest, fmt.Errorf("index %q is no version", text))
 			return
 		}
 	}
 	if q.Get("consistent") == "1" && q.Get("stream") == "1" {
-		f.fail(w, http.StatusBadRequest, errors.New("a watch begins with what its server has: read consistent first, and watch from that index"))
+		a.writeError(w, http.StatusBadRequest, errors.New("a watch begins with what its server has: read consistent first, and watch from that index"))
 		return
 	}
 	if q.Get("consistent") == "1" {
-		ctx, cancel := context.WithTimeout(r.Context(), applyFor)
-		err := f.replica.Confirm(ctx)
+		ctx, cancel := context.WithTimeout(r.Context(), applyTimeout)
+		err := a.replica.Confirm(ctx)
 		cancel()
 		if err != nil {
-			f.elsewhere(w, r, nil, err)
+			a.forwardToLeader(w, r, nil, err)
 			return
 		}
 	}
 	if q.Get("stream") == "1" {
-		// Who does not name a cluster speaks the platform's protocol, and means the one that it followed before.
+		// A client that does not name a cluster uses the platform's protocol, which has no cluster IDs. Its index is taken
+		// to be a version of the current cluster.
 		cluster := q.Get("cluster")
 		if !q.Has("cluster") {
-			cluster = f.machine.Status().Cluster
+			cluster = a.machine.Status().Cluster
 		}
-		f.watch(w, r, cluster, index)
+		a.serveWatch(w, r, cluster, index)
 		return
 	}
-	l, cluster := f.machine.Whole()
-	f.stand(w, Status{Cluster: cluster, Version: l.Version})
+	l, cluster := a.machine.FullList()
+	a.setCatalogHeaders(w, Status{Cluster: cluster, Version: l.Version})
 	json.NewEncoder(w).Encode(l)
 }
 
-// watch writes what changes, as it changes, a line at a time.
-func (f *Face) watch(w http.ResponseWriter, r *http.Request, cluster string, version int64) {
-	defer f.watches.Add(-1)
-	if f.watches.Add(1) > watchesMost {
-		f.fail(w, http.StatusServiceUnavailable, fmt.Errorf("this server has its %d watches", watchesMost))
+// serveWatch streams the changes since a version, one list per line.
+func (a *API) serveWatch(w http.ResponseWriter, r *http.Request, cluster string, version int64) {
+	defer a.watches.Add(-1)
+	if a.watches.Add(1) > maxWatches {
+		a.writeError(w, http.StatusServiceUnavailable, fmt.Errorf("this server has its %d watches", maxWatches))
 		return
 	}
-	f.stand(w, f.machine.Status())
-	err := Stream(w, r, f.over, func() (catalog.List, bool, <-chan struct{}) {
-		l, changed, next := f.machine.Since(cluster, version)
+	a.setCatalogHeaders(w, a.machine.Status())
+	err := Stream(w, r, a.ctx, func() (catalog.List, bool, <-chan struct{}) {
+		l, changed, next := a.machine.Since(cluster, version)
 		if changed {
-			cluster, version = f.machine.clusterOf(l, cluster), l.Version
+			cluster, version = a.machine.clusterOfList(l, cluster), l.Version
 		}
 		return l, changed, next
 	})
 	if err != nil {
-		f.log.Info("watch ended", "watcher", r.RemoteAddr, "version", version, "err", err)
+		a.log.Info("watch ended", "watcher", r.RemoteAddr, "version", version, "err", err)
 	}
 }
 
-// Stream answers a watch until the watcher goes, takes nothing for a while, or over ends: a line for what since returns as
-// changed, then for each change, and an empty one where there was none for long. What since returns last is closed once there may be more.
-func Stream(w http.ResponseWriter, r *http.Request, over context.Context, since func() (l catalog.List, changed bool, next <-chan struct{})) error {
-	out := http.NewResponseController(w)
+// Stream serves a watch until the client disconnects or stops reading, or done ends. It writes a line for each list that since
+// reports as changed, and an empty line after keepaliveInterval without a change. since also returns a channel that is
+// closed once there may be another change.
+func Stream(w http.ResponseWriter, r *http.Request, done context.Context, since func() (l catalog.List, changed bool, next <-chan struct{})) error {
+	controller := http.NewResponseController(w)
 	enc := json.NewEncoder(w)
-	tick := time.NewTimer(lineEach)
+	tick := time.NewTimer(keepaliveInterval)
 	defer tick.Stop()
 	for first := true; ; first = false {
 		l, changed, next := since()
-		out.SetWriteDeadline(time.Now().Add(slowFor))
+		controller.SetWriteDeadline(time.Now().Add(watchWriteTimeout))
 		var err error
 		switch {
 		case changed:
-			err = enc.Encode(l) // with its line's end
+			err = enc.Encode(l) // includes the line break
 		case !first:
 			_, err = io.WriteString(w, "\n")
 		}
 		if err == nil {
-			err = out.Flush()
+			err = controller.Flush()
 		}
 		if err != nil {
 			return err
 		}
-		tick.Reset(lineEach)
+		tick.Reset(keepaliveInterval)
 		select {
 		case <-next:
-			// What changes together travels together: a burst is a few lines, not one for each change.
-			if !pause(r.Context(), over, gatherFor) {
+			// Wait for further changes, so that a burst is sent in a few lines instead of one per change.
+			if !sleep(r.Context(), done, coalesceDelay) {
 				return nil
 			}
 		case <-tick.C:
 		case <-r.Context().Done():
 			return nil
-		case <-over.Done():
+		case <-done.Done():
 			return nil
 		}
 	}
 }
 
-// pause waits; false if either context ends first.
-func pause(a, b context.Context, d time.Duration) bool {
+// sleep waits for d. It returns false if either context ends first.
+func sleep(a, b context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -224,23 +228,23 @@
 	return false
 }
 
-// clusterOf is the cluster that a list belongs to which was read a moment ago.
-func (m *Machine) clusterOf(l catalog.List, before string) string {
+// clusterOfList returns the cluster of a list that was just read: the current one for a full list, otherwise before.
+func (m *Machine) clusterOfList(l catalog.List, before string) string {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	if l.Full && m.cat != nil {
-		return m.cat.Cluster()
+	if l.Full && m.catalog != nil {
+		return m.catalog.Cluster()
 	}
 	return before
 }
 
-// body reads a request's body into v, strictly.
-func body(w http.ResponseWriter, r *http.Request, v any) ([]byte, int, error) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
-	var large *http.MaxBytesError
+// readBody decodes the JSON body of a request into v. It returns the raw body, or the HTTP status for an error.
+func readBody(w http.ResponseWriter, r *http.Request, v any) ([]byte, int, error) {
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
-		return nil, http.StatusRequestEntityTooLarge, fmt.Errorf("body over %d bytes", bodyMost)
+	case errors.As(err, &tooLarge):
+		return nil, http.StatusRequestEntityTooLarge, fmt.Errorf("body over %d bytes", maxBodyBytes)
 	case err != nil:
 		return nil, http.StatusBadRequest, fmt.Errorf("body unreadable: %w", err)
 	}
@@ -250,94 +254,94 @@
 	return data, 0, nil
 }
 
-// put writes one entry.
-func (f *Face) put(w http.ResponseWriter, r *http.Request) {
+// handlePut sets one entry.
+func (a *API) handlePut(w http.ResponseWriter, r *http.Request) {
 	var e catalog.Entry
-	data, status, err := body(w, r, &e)
+	data, status, err := readBody(w, r, &e)
 	if err != nil {
-		f.fail(w, status, err)
+		a.writeError(w, status, err)
 		return
 	}
 	if id := r.PathValue("id"); e.ID == "" {
 		e.ID = id
 	} else if e.ID != id {
-		f.fail(w, http.StatusBadRequest, &catalog.FieldError{Entry: strconv.Quote(id), Field: "id", Why: fmt.Sprintf("%q stands in the body", e.ID)})
+		a.writeError(w, http.StatusBadRequest, &catalog.FieldError{Entry: strconv.Quote(id), Field: "id", Why: fmt.Sprintf("%q stands in the body", e.ID)})
 		return
 	}
-	f.write(w, r, data, catalog.Change{Entry: e})
+	a.submitWrite(w, r, data, catalog.Change{Entry: e})
 }
 
-// remove removes one.
-func (f *Face) remove(w http.ResponseWriter, r *http.Request) {
-	f.write(w, r, nil, catalog.Change{Entry: catalog.Entry{ID: r.PathValue("id")}, Remove: true})
+// handleDelete removes one entry.
+func (a *API) handleDelete(w http.ResponseWriter, r *http.Request) {
+	a.submitWrite(w, r, nil, catalog.Change{Entry: catalog.Entry{ID: r.PathValue("id")}, Remove: true})
 }
 
-// post writes several, all or none.
-func (f *Face) post(w http.ResponseWriter, r *http.Request) {
-	var many struct {
+// handlePost applies several changes atomically.
+func (a *API) handlePost(w http.ResponseWriter, r *http.Request) {
+	var batch struct {
 		Changes []catalog.Change `json:"changes"`
 	}
-	data, status, err := body(w, r, &many)
+	data, status, err := readBody(w, r, &batch)
 	if err != nil {
-		f.fail(w, status, err)
+		a.writeError(w, status, err)
 		return
 	}
-	if len(many.Changes) == 0 {
-		f.fail(w, http.StatusBadRequest, errors.New(`body: no "changes"`))
+	if len(batch.Changes) == 0 {
+		a.writeError(w, http.StatusBadRequest, errors.New(`body: no "changes"`))
 		return
 	}
-	f.write(w, r, data, many.Changes...)
+	a.submitWrite(w, r, data, batch.Changes...)
 }
 
-// write has the cluster take a write on, here or at the server that leads.
-func (f *Face) write(w http.ResponseWriter, r *http.Request, data []byte, changes ...catalog.Change) {
-	cw := catalog.Write{Key: r.Header.Get("Idempotency-Key"), Changes: changes}
+// submitWrite commits a write, or forwards the request to the leader.
+func (a *API) submitWrite(w http.ResponseWriter, r *http.Request, data []byte, changes ...catalog.Change) {
+	write := catalog.Write{Key: r.Header.Get("Idempotency-Key"), Changes: changes}
 	if text := r.Header.Get("If-Match"); text != "" {
 		v, err := strconv.ParseInt(strings.Trim(text, `"`), 10, 64)
 		if err != nil {
-			f.fail(w, http.StatusBadRequest, fmt.Errorf("If-Match %q is no version", text))
+			a.writeError(w, http.StatusBadRequest, fmt.Errorf("If-Match %q is no version", text))
 			return
 		}
-		cw.IfMatch = &v
+		write.IfMatch = &v
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), applyFor)
+	ctx, cancel := context.WithTimeout(r.Context(), applyTimeout)
 	defer cancel()
-	res, err := f.replica.Write(ctx, cw)
+	res, err := a.replica.Write(ctx, write)
 	switch {
 	case err == nil:
-		f.stand(w, f.machine.Status())
+		a.setCatalogHeaders(w, a.machine.Status())
 		w.Header().Set("X-Catalog-Version", strconv.FormatInt(res.Version, 10))
 		json.NewEncoder(w).Encode(res)
-	case errors.Is(err, ErrUnknown):
-		f.unknown(w, err)
+	case errors.Is(err, ErrOutcomeUnknown):
+		a.writeOutcomeUnknown(w, err)
 	case errors.Is(err, ErrNoLeader):
-		f.elsewhere(w, r, data, err)
+		a.forwardToLeader(w, r, data, err)
 	case errors.Is(err, catalog.ErrVersion):
-		f.fail(w, http.StatusPreconditionFailed, err)
+		a.writeError(w, http.StatusPreconditionFailed, err)
 	case errors.Is(err, catalog.ErrKeyReused):
-		f.fail(w, http.StatusUnprocessableEntity, err)
+		a.writeError(w, http.StatusUnprocessableEntity, err)
 	case errors.Is(err, catalog.ErrTooMany), errors.Is(err, catalog.ErrExhausted):
-		f.fail(w, http.StatusInsufficientStorage, err)
+		a.writeError(w, http.StatusInsufficientStorage, err)
 	case errors.Is(err, ErrNotFounded):
-		f.fail(w, http.StatusServiceUnavailable, err)
+		a.writeError(w, http.StatusServiceUnavailable, err)
 	default:
-		f.fail(w, http.StatusBadRequest, err)
+		a.writeError(w, http.StatusBadRequest, err)
 	}
 }
 
-// elsewhere passes a request on to the server that leads. One that was passed on already goes no further: two servers that
-// each take the other for the leader would pass it on for ever.
-func (f *Face) elsewhere(w http.ResponseWriter, r *http.Request, data []byte, why error) {
-	leader := f.replica.Leader()
-	if leader == "" || r.Header.Get(forwardedBy) != "" {
-		f.fail(w, http.StatusServiceUnavailable, why)
+// forwardToLeader forwards a request to the leader. A request that was already forwarded is not forwarded again, because two
+// servers that each take the other for the leader would do so forever.
+func (a *API) forwardToLeader(w http.ResponseWriter, r *http.Request, data []byte, cause error) {
+	leader := a.replica.Leader()
+	if leader == "" || r.Header.Get(forwardedByHeader) != "" {
+		a.writeError(w, http.StatusServiceUnavailable, cause)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), applyFor)
+	ctx, cancel := context.WithTimeout(r.Context(), applyTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+leader+r.URL.RequestURI(), strings.NewReader(string(data)))
 	if err != nil {
-		f.fail(w, http.StatusServiceUnavailable, fmt.Errorf("%w: %w", why, err))
+		a.writeError(w, http.StatusServiceUnavailable, fmt.Errorf("%w: %w", cause, err))
 		return
 	}
 	for _, name := range []string{"If-Match", "Idempotency-Key", "Content-Type"} {
@@ -345,15 +349,15 @@
 			req.Header.Set(name, v)
 		}
 	}
-	req.Header.Set(forwardedBy, f.name)
-	res, err := f.forward.Do(req)
-	var dial *net.OpError
-	if err != nil && r.Method != http.MethodGet && !(errors.As(err, &dial) && dial.Op == "dial") {
-		f.unknown(w, fmt.Errorf("%w (the leader at %s: %w)", ErrUnknown, leader, err))
+	req.Header.Set(forwardedByHeader, a.name)
+	res, err := a.forwardClient.Do(req)
+	var opErr *net.OpError
+	if err != nil && r.Method != http.MethodGet && !(errors.As(err, &opErr) && opErr.Op == "dial") {
+		a.writeOutcomeUnknown(w, fmt.Errorf("%w (the leader at %s: %w)", ErrOutcomeUnknown, leader, err))
 		return
 	}
 	if err != nil {
-		f.fail(w, http.StatusServiceUnavailable, fmt.Errorf("%w: the leader at %s: %w", why, leader, err))
+		a.writeError(w, http.StatusServiceUnavailable, fmt.Errorf("%w: the leader at %s: %w", cause, leader, err))
 		return
 	}
 	defer res.Body.Close()
@@ -364,7 +368,7 @@
 	}
 	w.WriteHeader(res.StatusCode)
 	if _, err := io.Copy(w, res.Body); err != nil {
-		f.log.Info("answer of the leader cut short", "leader", leader, "err", err)
-		panic(http.ErrAbortHandler) // the reader must not take the half for the whole
+		a.log.Info("response of the leader was cut short", "leader", leader, "err", err)
+		panic(http.ErrAbortHandler) // the client must not take a partial response for a complete one
 	}
 }
--- a/internal/listsvc/identity.go
+++ b/internal/listsvc/identity.go
@@ -16,30 +16,31 @@
 	identityKey    = "wallflow/identity"
 )
 
-// identity is who a server is. It is drawn at the first start and lies in the server's folder: one that comes back with an
-// empty folder has forgotten whom it voted for, and is another server.
+// identity identifies a server. It is generated at the first start and stored in the server's directory. A server that restarts
+// with an empty directory has lost its votes, so it must be a different server to raft.
 type identity struct {
 	Format   int       `json:"format"`
 	ID       string    `json:"id"`
 	Name     string    `json:"name"`
-	Cluster  string    `json:"cluster,omitempty"`  // it is part of; empty: of none yet
-	Founding *Founding `json:"founding,omitempty"` // it has promised itself to
+	Cluster  string    `json:"cluster,omitempty"`  // cluster of which it is a member; empty if none yet
+	Founding *Founding `json:"founding,omitempty"` // founding in which it has promised to take part
 }
 
-// Founding is a first start that servers have agreed on. Two clusters could come of one list of servers where a founder's folder
-// is emptied half way, or two processes run under one name: so each server promises itself to one founding, for good, and a
-// founding needs the promise of all.
+// Founding describes the first start of a cluster. If the founder's directory were emptied during it, or two processes had the
+// same name, two clusters could arise from one list of servers. So each server permanently promises to take part in a
+// single founding, and a founding needs the promise of every server.
 type Founding struct {
 	Cluster string `json:"cluster"`
-	Founder string `json:"founder"` // its id
-	Round   int    `json:"round"`   // a founder that begins anew, since another's folder was emptied, has not founded before
+	Founder string `json:"founder"` // server ID of the founder
+	Round   int    `json:"round"`   // incremented if a server's ID changes before the founding is complete
 	Servers []Peer `json:"servers"`
 }
 
-func (f *Founding) equal(g *Founding) bool {
-	return f.Cluster == g.Cluster && f.Founder == g.Founder && f.Round == g.Round && slices.Equal(f.Servers, g.Servers)
+func (f *Founding) equal(other *Founding) bool {
+	return f.Cluster == other.Cluster && f.Founder == other.Founder && f.Round == other.Round && slices.Equal(f.Servers, other.Servers)
 }
 
+// ids returns the name and ID of each server, for the log.
 func (f *Founding) ids() []string {
 	ids := make([]string, len(f.Servers))
 	for i, p := range f.Servers {
@@ -48,40 +49,41 @@
 	return ids
 }
 
-// check tells why this server cannot take part; hasState: it is part of a cluster already.
+// check returns an error if the server with the identity own cannot take part. names are its configured initial servers, and
+// hasState says that its raft state already has a configuration.
 func (f *Founding) check(own identity, names []string, hasState bool) error {
 	if hasState || own.Cluster != "" && own.Founding == nil {
 		return fmt.Errorf("server %s is part of cluster %s already", own.Name, own.Cluster)
 	}
-	var there []string
-	found := false
+	var foundingNames []string
+	included := false
 	for _, p := range f.Servers {
-		there = append(there, p.Name)
+		foundingNames = append(foundingNames, p.Name)
 		if p.Name != own.Name {
 			continue
 		}
-		if found = p.ID == own.ID; !found {
+		if included = p.ID == own.ID; !included {
 			return fmt.Errorf("server %s is %s, not %s: its folder is another one", own.Name, own.ID, p.ID)
 		}
 	}
-	if !found || !slices.Equal(there, names) {
-		return fmt.Errorf("server %s was told of the servers %v, and is to found a cluster of %v", own.Name, names, there)
+	if !included || !slices.Equal(foundingNames, names) {
+		return fmt.Errorf("server %s was told of the servers %v, and is to found a cluster of %v", own.Name, names, foundingNames)
 	}
-	if was := own.Founding; was != nil && !was.equal(f) && (was.Founder != f.Founder || was.Round >= f.Round) {
-		return fmt.Errorf("server %s has promised itself to cluster %s, founded by %s in round %d", own.Name, was.Cluster, was.Founder, was.Round)
+	if promised := own.Founding; promised != nil && !promised.equal(f) && (promised.Founder != f.Founder || promised.Round >= f.Round) {
+		return fmt.Errorf("server %s has promised itself to cluster %s, founded by %s in round %d", own.Name, promised.Cluster, promised.Founder, promised.Round)
 	}
 	return nil
 }
 
-// readIdentity reads the identity that lies in the store, or draws one.
+// readIdentity reads the identity from the store, or generates and stores one.
 func readIdentity(s *durable.Store, name string) (identity, error) {
 	data, err := s.Get([]byte(identityKey))
 	if err != nil {
 		return identity{}, fmt.Errorf("identity: %w", err)
 	}
 	if len(data) == 0 {
-		i := identity{Format: identityFormat, ID: draw(), Name: name}
-		return i, i.keep(s)
+		i := identity{Format: identityFormat, ID: randomID(), Name: name}
+		return i, i.save(s)
 	}
 	var i identity
 	if err := json.Unmarshal(data, &i); err != nil {
@@ -93,12 +95,13 @@
 	case i.ID == "":
 		return identity{}, errors.New("identity: id: is missing")
 	case i.Name != name:
-		return identity{}, fmt.Errorf("the folder is that of server %q, and this one is to be %q", i.Name, name)
+		return identity{}, fmt.Errorf("it belongs to server %q, not to %q", i.Name, name)
 	}
 	return i, nil
 }
 
-func (i identity) keep(s *durable.Store) error {
+// save writes the identity to the store.
+func (i identity) save(s *durable.Store) error {
 	data, err := json.Marshal(i)
 	if err != nil {
 		return err
@@ -109,9 +112,9 @@
 	return nil
 }
 
-// draw returns an id that no other has.
-func draw() string {
+// randomID returns a random 64-bit ID in hexadecimal.
+func randomID() string {
 	var b [8]byte
-	rand.Read(b[:]) // does not fail
+	rand.Read(b[:]) // never returns an error
 	return hex.EncodeToString(b[:])
 }
