--- a/internal/listsvc/machine.go
+++ b/internal/listsvc/machine.go
@@ -1,4 +1,4 @@
-// Package listsvc is the list service: the catalog of endpoints, replicated by raft over list servers.
+// Package listsvc implements the list service: list servers that replicate the catalog of endpoints with raft.
 package listsvc
 
 import (
@@ -19,17 +19,17 @@
 	"wallflow/internal/catalog"
 )
 
-// The kinds of command in raft's log.
+// Kinds of command in raft's log.
 const (
-	cmdFound  = "found" // gives the cluster its id, once, and names its first servers
-	cmdWrite  = "write"
-	cmdServer = "server" // a server that joined, or has other addresses now
-	cmdLeft   = "left"   // one that was removed
-	cmdFleet  = "fleet"  // what agents say of themselves, and changes of the policy: several at a time
+	cmdFound   = "found"  // sets the cluster's ID, once, and its initial servers
+	cmdWrite   = "write"  // a write to the catalog
+	cmdServer  = "server" // a server that joined or changed its addresses
+	cmdRemoved = "left"   // a server that was removed
+	cmdFleet   = "fleet"  // a batch of agents' reports and policy operations
 )
 
-// command is an entry of raft's log. A server of an older build that does not know a kind stops: to pass it over would be to
-// hold another list than the others under the same version.
+// command is an entry of raft's log. A server of an older build that does not know a kind stops. If it skipped the command,
+// its list would differ from the others' under the same version.
 type command struct {
 	Kind    string         `json:"kind"`
 	Cluster string         `json:"cluster,omitempty"`
@@ -38,8 +38,8 @@
 	Fleet   []accord.Op    `json:"fleet,omitempty"`
 }
 
-// Peer is a server of the cluster. Its id was drawn when its folder was new, and goes with the folder: one that comes back
-// under its name with an empty folder is another server, which must not vote a second time in the old one's place.
+// Peer is a server of the cluster. Its ID is generated with a new directory and stored there. A server that restarts under its
+// name with an empty directory gets a new ID, because it must not vote a second time in place of the old one.
 type Peer struct {
 	ID   string `json:"id"`
 	Name string `json:"name"`
@@ -47,52 +47,53 @@
 	Raft string `json:"raft"`
 }
 
-// Errors of a command that was applied and turned down. They are part of the state's history: every server has the same.
+// Errors of a command that was applied and rejected. They are deterministic: every server returns the same.
 var (
-	ErrFounded    = errors.New("the cluster has an id already")
-	ErrNotFounded = errors.New("the cluster has no id yet: it was never set up")
+	ErrAlreadyFounded = errors.New("the cluster has an id already")
+	ErrNotFounded     = errors.New("the cluster has no id yet: it was never set up")
 )
 
-// outcome is what Apply returns to who wrote.
-type outcome struct {
-	result catalog.Result
-	err    error
-	fleet  []fleetOutcome // one for each operation
+// commandResult is the value that Apply returns to the caller of raft.Apply.
+type commandResult struct {
+	result   catalog.Result
+	err      error
+	fleetOps []fleetOpResult // one result per operation
 }
 
-type fleetOutcome struct {
+// fleetOpResult is the outcome of one operation on the fleet's state.
+type fleetOpResult struct {
 	number int64
 	err    error
 }
 
-// Machine is raft's state machine: it applies commands to the catalog, and tells readers when the list has changed.
+// Machine is raft's state machine. It applies commands to the catalog and the fleet's state, and wakes readers on changes.
 type Machine struct {
-	keep int // changes that the catalog keeps
+	historyLength int // number of changes that the catalog keeps
 
 	mu      sync.RWMutex
-	cat     *catalog.Catalog // nil: not founded
-	servers map[string]Peer  // by id
-	left    map[string]bool  // ids that were removed, for good
-	index   uint64           // of the last command applied
-	changed chan struct{}    // closed and replaced with each change
+	catalog *catalog.Catalog // nil until the cluster is founded
+	servers map[string]Peer  // by ID
+	removed map[string]bool  // IDs of removed servers, which may not join again
+	index   uint64           // log index of the last applied command
+	changed chan struct{}    // closed and replaced at each change of the catalog
 
-	fleet    *accord.State // nil: not founded
-	news     int64         // counts the changes of fleet, here alone
-	told     chan struct{} // closed and replaced with each of them
-	promised time.Time     // when the last promise was applied here; a restored state's counts as just applied
-	begins   time.Time     // when the policy in force may be taken on under
-	now      func() time.Time
+	fleet         *accord.State // nil until the cluster is founded
+	fleetRevision int64         // number of changes of fleet on this server; not replicated
+	fleetChanged  chan struct{} // closed and replaced at each change of fleet
+	lastPromise   time.Time     // when the last promise was applied on this server, or a snapshot restored
+	policyStart   time.Time     // from when requests may be accepted under the policy in force
+	now           func() time.Time
 }
 
 var _ raft.FSM = (*Machine)(nil)
 
-// NewMachine returns the machine of a server that has seen nothing yet.
-func NewMachine(keep int) *Machine {
-	return &Machine{keep: keep, servers: map[string]Peer{}, left: map[string]bool{}, changed: make(chan struct{}), told: make(chan struct{}), now: time.Now}
+// NewMachine returns an empty state machine.
+func NewMachine(historyLength int) *Machine {
+	return &Machine{historyLength: historyLength, servers: map[string]Peer{}, removed: map[string]bool{}, changed: make(chan struct{}), fleetChanged: make(chan struct{}), now: time.Now}
 }
 
-// Apply carries a command out. A command that cannot be read is no command of this build's, and going on would part this
-// server's list from the others': it panics, which ends the server with the entry's index in its last words.
+// Apply applies a command. A command that this build cannot decode makes it panic with the index of the log entry, which ends
+// the server, because its list would diverge from the others' if it continued.
 func (m *Machine) Apply(l *raft.Log) any {
 	var c command
 	d := json.NewDecoder(bytes.NewReader(l.Data))
@@ -104,46 +105,47 @@
 	defer m.mu.Unlock()
 	m.index = l.Index
 	switch {
-	case c.Kind == cmdFound && m.cat != nil:
-		return outcome{err: fmt.Errorf("%w: %s", ErrFounded, m.cat.Cluster())}
+	case c.Kind == cmdFound && m.catalog != nil:
+		return commandResult{err: fmt.Errorf("%w: %s", ErrAlreadyFounded, m.catalog.Cluster())}
 	case c.Kind == cmdFound:
-		m.cat = catalog.New(c.Cluster, m.keep)
+		m.catalog = catalog.New(c.Cluster, m.historyLength)
 		m.fleet = accord.New(c.Cluster)
-		m.join(c.Servers)
-		m.wake()
-		return outcome{}
+		m.setServers(c.Servers)
+		m.notifyChanged()
+		return commandResult{}
 	case c.Kind == cmdServer:
-		m.join(c.Servers)
-		return outcome{}
-	case c.Kind == cmdLeft:
+		m.setServers(c.Servers)
+		return commandResult{}
+	case c.Kind == cmdRemoved:
 		for _, p := range c.Servers {
 			delete(m.servers, p.ID)
-			m.left[p.ID] = true
+			m.removed[p.ID] = true
 		}
-		return outcome{}
-	case c.Kind == cmdWrite && c.Write != nil && m.cat == nil:
-		return outcome{err: ErrNotFounded}
+		return commandResult{}
+	case c.Kind == cmdWrite && c.Write != nil && m.catalog == nil:
+		return commandResult{err: ErrNotFounded}
 	case c.Kind == cmdWrite && c.Write != nil:
-		r, err := m.cat.Apply(*c.Write)
+		r, err := m.catalog.Apply(*c.Write)
 		if err == nil && r.Changed > 0 && !r.Repeated {
-			m.wake()
+			m.notifyChanged()
 		}
-		return outcome{result: r, err: err}
+		return commandResult{result: r, err: err}
 	case c.Kind == cmdFleet && m.fleet == nil:
-		return outcome{err: ErrNotFounded}
+		return commandResult{err: ErrNotFounded}
 	case c.Kind == cmdFleet:
-		return outcome{fleet: m.applyFleet(c.Fleet)}
+		return commandResult{fleetOps: m.applyFleet(c.Fleet)}
 	}
 	panic(fmt.Sprintf("log entry %d: kind %q: this build cannot follow the cluster", l.Index, c.Kind))
 }
 
-func (m *Machine) join(all []Peer) {
+// setServers adds servers or updates their addresses.
+func (m *Machine) setServers(all []Peer) {
 	for _, p := range all {
 		m.servers[p.ID] = p
 	}
 }
 
-// Servers are those of the cluster, by name.
+// Servers returns the servers of the cluster, sorted by name.
 func (m *Machine) Servers() []Peer {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -152,14 +154,14 @@
 
 func byName(a, b Peer) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.ID, b.ID)) }
 
-// Left tells whether a server was removed.
-func (m *Machine) Left(id string) bool {
+// Removed reports whether a server was removed from the cluster.
+func (m *Machine) Removed(id string) bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.left[id]
+	return m.removed[id]
 }
 
-// Server returns a server by its id.
+// Server returns the server with the given ID.
 func (m *Machine) Server(id string) (Peer, bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -167,71 +169,71 @@
 	return p, ok
 }
 
-// wake tells all who wait that there is something new.
-func (m *Machine) wake() {
+// notifyChanged wakes all that wait for a change of the catalog. The caller holds m.mu.
+func (m *Machine) notifyChanged() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// Status is where a server's list stands.
+// Status describes the list on a server.
 type Status struct {
 	Cluster string
 	Version int64
 	Entries int
-	Index   uint64 // of raft's log
+	Index   uint64 // index of the last applied log entry
 }
 
-// Status returns where the list stands.
+// Status returns the status of the list. Only Index is set if the cluster has not been founded yet.
 func (m *Machine) Status() Status {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	if m.cat == nil {
+	if m.catalog == nil {
 		return Status{Index: m.index}
 	}
-	return Status{m.cat.Cluster(), m.cat.Version(), m.cat.Len(), m.index}
+	return Status{m.catalog.Cluster(), m.catalog.Version(), m.catalog.Len(), m.index}
 }
 
-// Since returns what changed after a version of a cluster's list: the whole list where the version is another cluster's. With
-// nothing to tell, next is closed once there may be something.
+// Since returns the changes after a version of a cluster's list, or the full list if the version belongs to another cluster.
+// next is closed at the next change of the catalog.
 func (m *Machine) Since(cluster string, version int64) (l catalog.List, changed bool, next <-chan struct{}) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	if m.cat == nil {
+	if m.catalog == nil {
 		return catalog.List{}, false, m.changed
 	}
-	if cluster != m.cat.Cluster() {
+	if cluster != m.catalog.Cluster() {
 		version = 0
 	}
-	l, changed = m.cat.Since(version)
+	l, changed = m.catalog.Since(version)
 	return l, changed, m.changed
 }
 
-// Whole returns the list, and the cluster whose it is.
-func (m *Machine) Whole() (catalog.List, string) {
+// FullList returns the full list and the ID of its cluster.
+func (m *Machine) FullList() (catalog.List, string) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	if m.cat == nil {
+	if m.catalog == nil {
 		return catalog.List{Full: true}, ""
 	}
-	return m.cat.Whole(), m.cat.Cluster()
+	return m.catalog.Whole(), m.catalog.Cluster()
 }
 
-// state is what a raft snapshot holds.
-type state struct {
+// machineState is the content of a raft snapshot.
+type machineState struct {
 	Index   uint64            `json:"index"`
-	Catalog *catalog.Snapshot `json:"catalog"` // nil: not founded
+	Catalog *catalog.Snapshot `json:"catalog"` // nil until the cluster is founded
 	Servers []Peer            `json:"servers,omitempty"`
-	Left    []string          `json:"left,omitempty"`
+	Removed []string          `json:"left,omitempty"`
 	Fleet   *accord.State     `json:"fleet,omitempty"`
 }
 
-// Snapshot copies the state; writing it out does not hold the machine up.
+// Snapshot returns a copy of the state, so that writing it does not block the machine.
 func (m *Machine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	s := state{Index: m.index, Servers: slices.SortedFunc(maps.Values(m.servers), byName), Left: slices.Sorted(maps.Keys(m.left))}
-	if m.cat != nil {
-		c := m.cat.Snapshot()
+	s := machineState{Index: m.index, Servers: slices.SortedFunc(maps.Values(m.servers), byName), Removed: slices.Sorted(maps.Keys(m.removed))}
+	if m.catalog != nil {
+		c := m.catalog.Snapshot()
 		s.Catalog = &c
 	}
 	if m.fleet != nil {
@@ -240,13 +242,14 @@
 	return &s, nil
 }
 
-// with returns the state as it is but for the list, as Restore reads it.
-func (m *Machine) with(cat *catalog.Catalog, index uint64) ([]byte, error) {
+// encodeWithCatalog encodes the state with its catalog replaced, in the format that Restore reads.
+func (m *Machine) encodeWithCatalog(cat *catalog.Catalog, index uint64) ([]byte, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	c := cat.Snapshot()
-	s := state{Index: index, Catalog: &c, Servers: slices.SortedFunc(maps.Values(m.servers), byName), Left: slices.Sorted(maps.Keys(m.left))}
-	if m.fleet != nil { // the policy is none of a backup of the list; a change in flight does not outlast the list that it was made beside
+	s := machineState{Index: index, Catalog: &c, Servers: slices.SortedFunc(maps.Values(m.servers), byName), Removed: slices.Sorted(maps.Keys(m.removed))}
+	// A backup of the list does not contain the policy, so the current policy stays. A change in flight is dropped.
+	if m.fleet != nil {
 		s.Fleet = m.fleet.Clone()
 		if c := s.Fleet.Change; c != nil {
 			if _, err := s.Fleet.Apply(accord.Op{Drop: &accord.Drop{Number: c.Number, Why: "a backup of the list was restored"}}); err != nil {
@@ -257,21 +260,21 @@
 	return json.Marshal(s)
 }
 
-// Persist writes the state out.
-func (s *state) Persist(sink raft.SnapshotSink) error {
+// Persist writes the state to sink.
+func (s *machineState) Persist(sink raft.SnapshotSink) error {
 	if err := json.NewEncoder(sink).Encode(s); err != nil {
 		return errors.Join(fmt.Errorf("snapshot: %w", err), sink.Cancel())
 	}
 	return sink.Close()
 }
 
-// Release is raft's word that the state is not needed any more.
-func (s *state) Release() {}
+// Release implements raft.FSMSnapshot.
+func (s *machineState) Release() {}
 
-// Restore puts a snapshot in the place of the state, or leaves it as it was.
+// Restore replaces the state by a snapshot. On an error the state is unchanged.
 func (m *Machine) Restore(in io.ReadCloser) error {
 	defer in.Close()
-	var s state
+	var s machineState
 	d := json.NewDecoder(in)
 	d.DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
@@ -280,11 +283,11 @@
 	var cat *catalog.Catalog
 	if s.Catalog != nil {
 		var err error
-		if cat, err = catalog.Load(*s.Catalog, m.keep); err != nil {
+		if cat, err = catalog.Load(*s.Catalog, m.historyLength); err != nil {
 			return err
 		}
 	}
-	if s.Fleet == nil && cat != nil { // a state from before there were policies
+	if s.Fleet == nil && cat != nil { // written by a build without policies
 		s.Fleet = accord.New(cat.Cluster())
 	}
 	if s.Fleet != nil {
@@ -294,16 +297,16 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.fleet, m.promised = s.Fleet, m.now()
+	m.fleet, m.lastPromise = s.Fleet, m.now()
 	if m.fleet != nil {
-		m.begins = m.promised.Add(m.hold())
+		m.policyStart = m.lastPromise.Add(m.holdDuration())
 	}
-	m.fleetNews()
-	m.cat, m.index, m.servers, m.left = cat, s.Index, map[string]Peer{}, map[string]bool{}
-	m.join(s.Servers)
-	for _, id := range s.Left {
-		m.left[id] = true
+	m.notifyFleetChanged()
+	m.catalog, m.index, m.servers, m.removed = cat, s.Index, map[string]Peer{}, map[string]bool{}
+	m.setServers(s.Servers)
+	for _, id := range s.Removed {
+		m.removed[id] = true
 	}
-	m.wake()
+	m.notifyChanged()
 	return nil
 }
--- a/internal/listsvc/machine_test.go
+++ b/internal/listsvc/machine_test.go
@@ -32,9 +32,9 @@
 	return data
 }
 
-func whole(t *testing.T, m *Machine) string {
+func listText(t *testing.T, m *Machine) string {
 	t.Helper()
-	l, cluster := m.Whole()
+	l, cluster := m.FullList()
 	data, err := json.Marshal(l)
 	if err != nil {
 		t.Fatal(err)
@@ -42,21 +42,21 @@
 	return cluster + " " + string(data)
 }
 
-func TestAClusterIsFoundedOnce(t *testing.T) {
+func TestClusterIsFoundedOnce(t *testing.T) {
 	m := NewMachine(0)
-	apply := func(c command) outcome { return m.Apply(&raft.Log{Data: encode(t, c)}).(outcome) }
+	apply := func(c command) commandResult { return m.Apply(&raft.Log{Data: encode(t, c)}).(commandResult) }
 	w := command{Kind: cmdWrite, Write: &catalog.Write{Changes: []catalog.Change{entry("s-1", 1)}}}
 	if o := apply(w); !errors.Is(o.err, ErrNotFounded) {
-		t.Errorf("a write before: %v", o.err)
+		t.Errorf("write before the founding: %v", o.err)
 	}
 	if l, changed, _ := m.Since("", 0); changed {
-		t.Errorf("a list before: %+v", l)
+		t.Errorf("list before the founding: %+v", l)
 	}
 	if o := apply(command{Kind: cmdFound, Cluster: "c1"}); o.err != nil {
 		t.Fatal(o.err)
 	}
-	if o := apply(command{Kind: cmdFound, Cluster: "c2"}); !errors.Is(o.err, ErrFounded) || !strings.Contains(o.err.Error(), "c1") {
-		t.Errorf("founded again: %v", o.err)
+	if o := apply(command{Kind: cmdFound, Cluster: "c2"}); !errors.Is(o.err, ErrAlreadyFounded) || !strings.Contains(o.err.Error(), "c1") {
+		t.Errorf("second founding: %v", o.err)
 	}
 	if o := apply(w); o.err != nil || o.result.Version != 1 {
 		t.Errorf("%+v", o)
@@ -66,8 +66,8 @@
 	}
 }
 
-// Who waits is woken by a change and by nothing else, and a version of another cluster gets the whole list.
-func TestReadersAreToldOfChangesAlone(t *testing.T) {
+// Waiting readers are woken only by changes, and a reader with a version of another cluster gets the full list.
+func TestReadersWakeOnlyOnChanges(t *testing.T) {
 	m := NewMachine(0)
 	apply := func(c command) { m.Apply(&raft.Log{Data: encode(t, c)}) }
 	apply(command{Kind: cmdFound, Cluster: "c1"})
@@ -75,14 +75,14 @@
 	apply(put)
 	l, changed, next := m.Since("c1", 1)
 	if changed {
-		t.Errorf("nothing has changed: %+v", l)
+		t.Errorf("change reported without a write: %+v", l)
 	}
 	apply(put) // repeated
 	apply(command{Kind: cmdWrite, Write: &catalog.Write{Changes: []catalog.Change{entry("s-1", 1)}}})
-	apply(command{Kind: cmdWrite, Write: &catalog.Write{Changes: []catalog.Change{entry("s-1", 2)}}}) // turned down
+	apply(command{Kind: cmdWrite, Write: &catalog.Write{Changes: []catalog.Change{entry("s-1", 2)}}}) // rejected: the cell differs
 	select {
 	case <-next:
-		t.Error("woken by nothing")
+		t.Error("woken without a change")
 	default:
 	}
 	apply(command{Kind: cmdWrite, Write: &catalog.Write{Changes: []catalog.Change{entry("s-2", 1)}}})
@@ -95,12 +95,12 @@
 		t.Errorf("%+v", l)
 	}
 	if l, changed, _ := m.Since("c0", 2); !changed || !l.Full {
-		t.Errorf("another cluster's version: %+v", l)
+		t.Errorf("version of another cluster: %+v", l)
 	}
 }
 
-// A command that this build does not know ends the server: to pass it over would part its list from the others'.
-func TestAnUnknownCommandIsNotPassedOver(t *testing.T) {
+// A command that this build does not know ends the server. If it skipped the command, its list would differ from the others'.
+func TestUnknownCommandPanics(t *testing.T) {
 	for _, data := range []string{`{"kind":"fly"}`, `{"kind":"write"}`, `{"kind":"found","cluster":"c","rack":1}`, `{`} {
 		func() {
 			defer func() {
@@ -113,11 +113,11 @@
 	}
 }
 
-func TestASnapshotThatDoesNotFitChangesNothing(t *testing.T) {
+func TestRestoreOfInvalidSnapshotChangesNothing(t *testing.T) {
 	m := NewMachine(0)
 	m.Apply(&raft.Log{Data: encode(t, command{Kind: cmdFound, Cluster: "c1"})})
 	m.Apply(&raft.Log{Data: encode(t, command{Kind: cmdWrite, Write: &catalog.Write{Changes: []catalog.Change{entry("s-1", 1)}}})})
-	before := whole(t, m)
+	before := listText(t, m)
 	s, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -128,44 +128,44 @@
 	}
 	for _, bad := range [][]byte{nil, data[:len(data)/2], bytes.Replace(data, []byte(`"version":1`), []byte(`"version":9`), 1)} {
 		if err := m.Restore(io.NopCloser(bytes.NewReader(bad))); err == nil {
-			t.Errorf("taken on: %s", bad)
+			t.Errorf("accepted: %s", bad)
 		}
-		if got := whole(t, m); got != before {
-			t.Errorf("half taken on: %s", got)
+		if got := listText(t, m); got != before {
+			t.Errorf("partially restored: %s", got)
 		}
 	}
 	other := NewMachine(0)
 	if err := other.Restore(io.NopCloser(bytes.NewReader(data))); err != nil {
 		t.Fatal(err)
 	}
-	if got := whole(t, other); got != before {
+	if got := listText(t, other); got != before {
 		t.Errorf("%s\nwant\n%s", got, before)
 	}
 }
 
-// server is a list server's raft, with its disk.
-type server struct {
-	name    string
-	fs      *vfs.MemFS
-	store   *durable.Store
-	machine *Machine
-	raft    *raft.Raft
-	trans   *raft.InmemTransport
+// raftServer is a raft node with a state machine and a disk that can lose unsynced data.
+type raftServer struct {
+	name      string
+	fs        *vfs.MemFS
+	store     *durable.Store
+	machine   *Machine
+	raft      *raft.Raft
+	transport *raft.InmemTransport
 }
 
-// cluster is three of them in this process, over a network that can be cut.
-type cluster struct {
+// raftCluster is three raft servers in this process, connected by in-memory transports.
+type raftCluster struct {
 	t       *testing.T
-	servers []*server
+	servers []*raftServer
 }
 
-func newCluster(t *testing.T) *cluster {
-	c := &cluster{t: t}
+func newRaftCluster(t *testing.T) *raftCluster {
+	c := &raftCluster{t: t}
 	var members raft.Configuration
 	for i := range 3 {
 		name := fmt.Sprintf("l%d", i)
 		members.Servers = append(members.Servers, raft.Server{ID: raft.ServerID(name), Address: raft.ServerAddress(name)})
-		c.servers = append(c.servers, &server{name: name, fs: vfs.NewCrashableMem()})
+		c.servers = append(c.servers, &raftServer{name: name, fs: vfs.NewCrashableMem()})
 	}
 	for i, s := range c.servers {
 		c.start(s)
@@ -183,7 +183,7 @@
 	return c
 }
 
-func (c *cluster) start(s *server) {
+func (c *raftCluster) start(s *raftServer) {
 	c.t.Helper()
 	store, err := durable.Open(durable.Options{Dir: "store", FS: s.fs})
 	if err != nil {
@@ -196,41 +196,41 @@
 	conf.CommitTimeout = 5 * time.Millisecond
 	conf.SnapshotThreshold, conf.SnapshotInterval, conf.TrailingLogs = 20, 100*time.Millisecond, 5
 	conf.Logger = hclog.NewNullLogger()
-	s.store, s.machine, s.trans = store, NewMachine(16), trans
+	s.store, s.machine, s.transport = store, NewMachine(16), trans
 	if s.raft, err = raft.NewRaft(conf, s.machine, store, store, store, trans); err != nil {
 		c.t.Fatal(err)
 	}
 	for _, o := range c.servers {
-		if o != s && o.trans != nil {
-			o.trans.Connect(s.trans.LocalAddr(), s.trans)
-			s.trans.Connect(o.trans.LocalAddr(), o.trans)
+		if o != s && o.transport != nil {
+			o.transport.Connect(s.transport.LocalAddr(), s.transport)
+			s.transport.Connect(o.transport.LocalAddr(), o.transport)
 		}
 	}
 }
 
-func (c *cluster) stop(s *server) {
+func (c *raftCluster) stop(s *raftServer) {
 	if s.raft == nil {
 		return
 	}
 	s.raft.Shutdown().Error()
-	s.trans.DisconnectAll()
+	s.transport.DisconnectAll()
 	for _, o := range c.servers {
-		if o != s && o.trans != nil {
-			o.trans.Disconnect(s.trans.LocalAddr())
+		if o != s && o.transport != nil {
+			o.transport.Disconnect(s.transport.LocalAddr())
 		}
 	}
 	s.store.Close()
-	s.raft, s.trans = nil, nil
+	s.raft, s.transport = nil, nil
 }
 
-// powerLoss takes what of a server's disk was synced, and starts it again from that.
-func (c *cluster) powerLoss(s *server, rng *rand.Rand) {
+// powerLoss replaces a server's disk by a copy with the synced data and a random share of the unsynced data.
+func (c *raftCluster) powerLoss(s *raftServer, rng *rand.Rand) {
 	s.fs = s.fs.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: rng.IntN(101), RNG: rng})
 }
 
-// write has some server take a write on, whoever leads; false if none did within a while. With false it may still have
-// been, or come to be, taken on.
-func (c *cluster) write(cmd command) (catalog.Result, bool) {
+// write commits a command on the current leader. It returns false if that did not succeed within 10 s; the command may then
+// still be applied.
+func (c *raftCluster) write(cmd command) (catalog.Result, bool) {
 	data := encode(c.t, cmd)
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		for _, s := range c.servers {
@@ -241,8 +241,8 @@
 			if f.Error() != nil {
 				continue
 			}
-			o := f.Response().(outcome)
-			if o.err != nil && !errors.Is(o.err, ErrFounded) {
+			o := f.Response().(commandResult)
+			if o.err != nil && !errors.Is(o.err, ErrAlreadyFounded) {
 				c.t.Fatal(o.err)
 			}
 			return o.result, true
@@ -251,10 +251,10 @@
 	return catalog.Result{}, false
 }
 
-// Whatever is done to one of three servers, stopped in order or by a loss of power with any part of the unsynced kept, and
-// then to all of them at once: what was acknowledged is there, versions rise, and all end with the same list.
-func TestAcknowledgedWritesOutliveTheirServers(t *testing.T) {
-	c := newCluster(t)
+// Servers are stopped one at a time, cleanly or by a power loss that keeps any share of the unsynced data, and finally all at
+// once. Acknowledged writes survive, versions increase, and all servers end with the same list.
+func TestAcknowledgedWritesSurviveServerFailures(t *testing.T) {
+	c := newRaftCluster(t)
 	rng := rand.New(rand.NewPCG(11, 11))
 	if _, ok := c.write(command{Kind: cmdFound, Cluster: "c1"}); !ok {
 		t.Fatal("no leader")
@@ -266,7 +266,7 @@
 		id := fmt.Sprintf("s-%03d", i)
 		r, ok := c.write(command{Kind: cmdWrite, Write: &catalog.Write{Key: "k" + id, Changes: []catalog.Change{entry(id, i)}}})
 		if !ok {
-			t.Fatalf("write %d was never taken on", i)
+			t.Fatalf("write %d was not committed", i)
 		}
 		if r.Version <= last && !r.Repeated {
 			t.Fatalf("version %d after %d", r.Version, last)
@@ -283,7 +283,7 @@
 		s := c.servers[rng.IntN(len(c.servers))]
 		if rng.IntN(2) == 0 {
 			c.powerLoss(s, rng)
-			c.stop(s) // what it still writes goes to the disk that was lost
+			c.stop(s) // its last writes go to the discarded disk
 		} else {
 			c.stop(s)
 		}
@@ -306,9 +306,9 @@
 	want := ""
 	for end := time.Now().Add(15 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		same := true
-		want = whole(t, c.servers[0].machine)
+		want = listText(t, c.servers[0].machine)
 		for _, s := range c.servers[1:] {
-			same = same && whole(t, s.machine) == want
+			same = same && listText(t, s.machine) == want
 		}
 		if same && c.servers[0].machine.Status().Version == last {
 			break
@@ -319,10 +319,10 @@
 	}
 	for id := range acknowledged {
 		if !strings.Contains(want, `"`+id+`"`) {
-			t.Errorf("%s was acknowledged and is gone", id)
+			t.Errorf("acknowledged entry %s is missing", id)
 		}
 	}
 	if entries := c.servers[0].machine.Status().Entries; entries != len(acknowledged) {
-		t.Errorf("%d entries, %d were acknowledged", entries, len(acknowledged))
+		t.Errorf("%d entries, want the %d acknowledged ones", entries, len(acknowledged))
 	}
 }
--- a/internal/listsvc/raftlog.go
+++ b/internal/listsvc/raftlog.go
@@ -11,63 +11,66 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// sayEach is how often one message of raft's is logged: a server that is away is told of with each beat.
-const sayEach = 5 * time.Second
+// logInterval is the minimum interval between log lines with the same message. Raft logs an unreachable server at every
+// heartbeat.
+const logInterval = 5 * time.Second
 
-// raftLogger has raft speak through the product's log, each message at most once in sayEach.
+// raftLogger returns a logger that forwards raft's messages to log, each at most once per logInterval.
 func raftLogger(log *slog.Logger, now func() time.Time) hclog.Logger {
 	l := hclog.NewInterceptLogger(&hclog.LoggerOptions{Output: io.Discard, Level: hclog.Info})
-	l.RegisterSink(&raftSink{log: log, now: now, said: map[string]*saying{}})
+	l.RegisterSink(&raftLogSink{log: log, now: now, messages: map[string]*messageState{}})
 	return l
 }
 
-type saying struct {
-	last time.Time
-	held int
+// messageState records when a message was last logged and how often it was suppressed since.
+type messageState struct {
+	lastLogged time.Time
+	suppressed int
 }
 
-type raftSink struct {
+// raftLogSink forwards raft's messages to log.
+type raftLogSink struct {
 	log *slog.Logger
 	now func() time.Time
 
-	mu   sync.Mutex
-	said map[string]*saying // by text: raft's own texts, which are a few dozen
+	mu       sync.Mutex
+	messages map[string]*messageState // by message text, of which raft has a few dozen
 }
 
-// Accept takes a message of raft's.
-func (s *raftSink) Accept(_ string, level hclog.Level, msg string, args ...any) {
+// Accept implements hclog.SinkAdapter.
+func (s *raftLogSink) Accept(_ string, level hclog.Level, msg string, args ...any) {
 	if level < hclog.Info {
 		return
 	}
-	to := slog.LevelInfo
+	slogLevel := slog.LevelInfo
 	switch level {
 	case hclog.Warn:
-		to = slog.LevelWarn
+		slogLevel = slog.LevelWarn
 	case hclog.Error:
-		to = slog.LevelError
+		slogLevel = slog.LevelError
 	}
 	s.mu.Lock()
-	w := s.said[msg]
-	if w == nil {
-		w = &saying{}
-		s.said[msg] = w
+	state := s.messages[msg]
+	if state == nil {
+		state = &messageState{}
+		s.messages[msg] = state
 	}
 	now := s.now()
-	if !w.last.IsZero() && now.Sub(w.last) < sayEach {
-		w.held++
+	if !state.lastLogged.IsZero() && now.Sub(state.lastLogged) < logInterval {
+		state.suppressed++
 		s.mu.Unlock()
 		return
 	}
-	held := w.held
-	w.last, w.held = now, 0
+	suppressed := state.suppressed
+	state.lastLogged, state.suppressed = now, 0
 	s.mu.Unlock()
-	if held > 0 {
-		args = append(args, "not_logged", held)
+	if suppressed > 0 {
+		args = append(args, "not_logged", suppressed)
 	}
 	for i, a := range args {
 		if f, ok := a.(hclog.Format); ok && len(f) > 0 {
 			args[i] = fmt.Sprintf(f[0].(string), f[1:]...)
 		}
 	}
-	s.log.Log(context.Background(), to, "raft: "+msg, args...)
+	s.log.Log(context.Background(), slogLevel, "raft: "+msg, args...)
 }
--- a/internal/listsvc/server.go
+++ b/internal/listsvc/server.go
@@ -23,93 +23,93 @@
 )
 
 const (
-	enqueueFor  = time.Second
-	rpcFor      = 2 * time.Second
-	peerFor     = 2 * time.Second // a question to another server
-	barrierFor  = 5 * time.Second
-	transferFor = 3 * time.Second
-	closeFor    = 2 * time.Second
-	settleEach  = 300 * time.Millisecond
-	poolMost    = 3 // connections to a server that wait for use
-	headerFor   = 5 * time.Second
-	idleFor     = 2 * time.Minute
-	headerMost  = 16 << 10
-	addressFile = "addresses.json"
+	enqueueTimeout     = time.Second            // for a command to enter raft's queue
+	rpcTimeout         = 2 * time.Second        // for a raft message to another server
+	peerRequestTimeout = 2 * time.Second        // for an HTTP request to another server
+	barrierTimeout     = 5 * time.Second        // for a new leader to apply all earlier log entries
+	transferTimeout    = 3 * time.Second        // for a transfer of leadership
+	shutdownTimeout    = 2 * time.Second        // for HTTP requests to finish at shutdown
+	membershipInterval = 300 * time.Millisecond // between checks of the membership
+	maxIdleRaftConns   = 3                      // idle connections to each server
+	readHeaderTimeout  = 5 * time.Second
+	idleTimeout        = 2 * time.Minute
+	maxHeaderBytes     = 16 << 10 // of an HTTP request
+	addressFile        = "addresses.json"
 )
 
-// Options say what a list server is. The zero value of a field is what is usual.
+// Options configure a list server. The zero value of an optional field means its default.
 type Options struct {
-	Name   string // of the server, in its cluster
-	Dir    string // its folder
-	Listen string // HTTP address
-	Raft   string // address for the other servers
+	Name   string // unique in the cluster
+	Dir    string // directory for the server's state
+	Listen string // HTTP address to listen on
+	Raft   string // address to listen on for raft
 
-	// Where other machines reach it, if not where it listens.
+	// Addresses at which other machines reach the server, if they differ from those it listens on.
 	AdvertiseHTTP, AdvertiseRaft string
 
-	// Servers are those of a first start, with this one among them. Empty: this one alone.
+	// Servers are the initial servers of a new cluster, including this one. If empty, the cluster has only this server.
 	Servers []First
-	// Join are HTTP addresses of a running cluster's servers, which a server with an empty folder asks to be taken in.
+	// Join holds HTTP addresses of servers of a running cluster, which a server with an empty directory asks to join.
 	Join []string
-	// Via has addresses in whose place others are to be used.
+	// Via maps addresses of other servers to the ones to connect to instead.
 	Via map[string]string
 
-	Keep         int           // changes of the list's history
-	Beat         time.Duration // without a word of the leader for so long, a server stands for election
-	SnapshotEach uint64        // commands
-	Lease        time.Duration // a session whose agent is not heard of for so long has lapsed
-	FS           vfs.FS        // nil: the machine's
+	Keep         int           // number of changes in the list's history
+	Beat         time.Duration // a follower starts an election after this time without contact from the leader
+	SnapshotEach uint64        // commands between raft snapshots
+	Lease        time.Duration // a session lapses after this time without a report from its agent
+	FS           vfs.FS        // nil means the operating system's
 	Log          *slog.Logger
 }
 
-// First is a server of a first start.
+// First is an initial server of a new cluster.
 type First struct {
 	Name string
 	HTTP string
 }
 
-// Errors that end a server.
+// Errors with which Run returns because the server cannot be part of the cluster.
 var (
-	ErrClusterThere = errors.New("a cluster is there already, and this server is not of it")
-	ErrRemoved      = errors.New("this server was removed from its cluster")
+	ErrClusterExists = errors.New("a cluster already exists, and this server is not a member of it")
+	ErrRemoved       = errors.New("this server was removed from its cluster")
 )
 
-// ErrUnknown tells that it is not known whether a write was taken on. Repeated with its idempotency key it does no harm.
-var ErrUnknown = errors.New("it is not known whether it was taken on: repeat it with the same Idempotency-Key")
+// ErrOutcomeUnknown reports that a write may or may not have been applied. It is safe to repeat it with its idempotency key.
+var ErrOutcomeUnknown = errors.New("it is not known whether it was taken on: repeat it with the same Idempotency-Key")
 
 // Server is a list server.
 type Server struct {
-	o     Options
-	log   *slog.Logger
-	store *durable.Store
-	http  net.Listener
-	web   *http.Server
-	trans *raft.NetworkTransport
-	wire  *stream
-	raft  *raft.Raft
-	m     *Machine
-	face  *Face
-	peers *http.Client
-	began time.Time
-
-	over    context.Context // ends the watches and all that the server does by itself
-	stop    context.CancelFunc
-	parts   sync.WaitGroup
-	fatal   chan error                // has room for one
-	ready   atomic.Uint64             // the term in which this server leads and has begun
-	failure atomic.Pointer[error]     // of the disk
-	broken  chan struct{}             // closed with it
-	running atomic.Pointer[raft.Raft] // for raft's own goroutines, which start before it is there
+	opts         Options
+	log          *slog.Logger
+	store        *durable.Store
+	httpListener net.Listener
+	httpServer   *http.Server
+	transport    *raft.NetworkTransport
+	stream       *raftStream
+	raft         *raft.Raft
+	machine      *Machine
+	api          *API
+	peerClient   *http.Client
+	startedAt    time.Time
+
+	ctx           context.Context // its end ends watches and background goroutines
+	cancel        context.CancelFunc
+	background    sync.WaitGroup
+	fatalErr      chan error                // has capacity 1; makes Run return
+	readyTerm     atomic.Uint64             // last term in which this server completed establishLeadership
+	diskFailure   atomic.Pointer[error]     // permanent error of the disk
+	diskFailureCh chan struct{}             // closed when diskFailure is set
+	raftInstance  atomic.Pointer[raft.Raft] // for raft's goroutines, which start before NewRaft returns
 
 	mu       sync.Mutex
 	identity identity
 
-	joining sync.Mutex // one change of the cluster's servers at a time
+	membershipMu sync.Mutex // serializes changes of the cluster's servers
 
-	fleet *fleetDesk
+	fleet *fleetCoordinator
 }
 
-// Open opens a server's folder and its addresses. Nothing is answered before Run.
+// Open opens a server's directory and listeners. The server answers no requests before Run.
 func Open(o Options) (s *Server, err error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -126,44 +126,45 @@
 	if err := o.check(); err != nil {
 		return nil, err
 	}
-	s = &Server{o: o, fleet: newFleet(o.Lease), log: o.Log.With("server", o.Name), m: NewMachine(o.Keep), began: time.Now(), fatal: make(chan error, 1), broken: make(chan struct{})}
-	s.over, s.stop = context.WithCancel(context.Background())
+	s = &Server{opts: o, fleet: newFleetCoordinator(o.Lease), log: o.Log.With("server", o.Name), machine: NewMachine(o.Keep), startedAt: time.Now(), fatalErr: make(chan error, 1), diskFailureCh: make(chan struct{})}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	defer func() {
 		if err != nil {
 			s.close()
 		}
 	}()
-	s.store, err = durable.Open(durable.Options{Dir: o.Dir, FS: o.FS, Log: s.log, Failed: s.diskFailed})
+	s.store, err = durable.Open(durable.Options{Dir: o.Dir, FS: o.FS, Log: s.log, OnFailure: s.diskFailed})
 	if err != nil {
 		return s, err
 	}
 	if s.identity, err = readIdentity(s.store, o.Name); err != nil {
-		return s, fmt.Errorf("folder %s: %w", o.Dir, err)
+		return s, fmt.Errorf("directory %s: %w", o.Dir, err)
 	}
-	if s.http, err = net.Listen("tcp", o.Listen); err != nil {
+	if s.httpListener, err = net.Listen("tcp", o.Listen); err != nil {
 		return s, fmt.Errorf("listen: %w", err)
 	}
 	l, err := net.Listen("tcp", o.Raft)
 	if err != nil {
 		return s, fmt.Errorf("raft: %w", err)
 	}
-	s.wire = newStream(l, s.log, s.self, s.via)
-	if s.o.AdvertiseHTTP == "" {
-		s.o.AdvertiseHTTP = s.http.Addr().String()
+	s.stream = newRaftStream(l, s.log, s.clusterAndID, s.dialAddress)
+	if s.opts.AdvertiseHTTP == "" {
+		s.opts.AdvertiseHTTP = s.httpListener.Addr().String()
 	}
-	if s.o.AdvertiseRaft == "" {
-		s.o.AdvertiseRaft = l.Addr().String()
+	if s.opts.AdvertiseRaft == "" {
+		s.opts.AdvertiseRaft = l.Addr().String()
 	}
-	s.peers = &http.Client{Timeout: peerFor, Transport: &http.Transport{MaxConnsPerHost: 4, MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second}}
+	s.peerClient = &http.Client{Timeout: peerRequestTimeout, Transport: &http.Transport{MaxConnsPerHost: 4, MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second}}
 	if err := s.startRaft(); err != nil {
-		return s, fmt.Errorf("folder %s: %w", o.Dir, err)
+		return s, fmt.Errorf("directory %s: %w", o.Dir, err)
 	}
-	s.face = NewFace(s.over, o.Name, s.m, s, s.log)
-	s.web = &http.Server{Handler: s.handler(), ReadHeaderTimeout: headerFor, IdleTimeout: idleFor, MaxHeaderBytes: headerMost,
+	s.api = NewAPI(s.ctx, o.Name, s.machine, s, s.log)
+	s.httpServer = &http.Server{Handler: s.handler(), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug)}
-	return s, s.tellAddresses()
+	return s, s.writeAddressFile()
 }
 
+// check validates the options.
 func (o *Options) check() error {
 	switch {
 	case o.Name == "":
@@ -171,9 +172,9 @@
 	case o.Dir == "":
 		return errors.New("dir: is missing")
 	case len(o.Servers) > 0 && len(o.Join) > 0:
-		return errors.New("join: a server of a first start joins no other cluster: name its servers, or those to join")
+		return errors.New("join: cannot be combined with servers: a server either founds a cluster or joins one")
 	case len(o.Servers) == 2 || len(o.Servers) == 4 || len(o.Servers) > 5:
-		return fmt.Errorf("servers: %d, wanted are 1, 3 or 5: an even one more can fail no oftener", len(o.Servers))
+		return fmt.Errorf("servers: %d, wanted are 1, 3 or 5: an even number tolerates no more failures than one less", len(o.Servers))
 	}
 	seen := map[string]bool{}
 	for i, f := range o.Servers {
@@ -181,17 +182,17 @@
 		case f.Name == "" || f.HTTP == "":
 			return fmt.Errorf("servers, number %d: name and http are wanted", i+1)
 		case seen[f.Name]:
-			return fmt.Errorf("servers: %q stands there twice", f.Name)
+			return fmt.Errorf("servers: %q is listed twice", f.Name)
 		}
 		seen[f.Name] = true
 	}
 	if len(o.Servers) > 0 && !seen[o.Name] {
-		return fmt.Errorf("servers: this one, %q, is not among them", o.Name)
+		return fmt.Errorf("servers: this server, %q, is not among them", o.Name)
 	}
 	return nil
 }
 
-// names are those of a first start, sorted.
+// names returns the sorted names of the initial servers.
 func (o *Options) names() []string {
 	if len(o.Servers) == 0 {
 		return []string{o.Name}
@@ -204,329 +205,345 @@
 	return all
 }
 
-func (s *Server) self() (cluster, id string) {
+// clusterAndID returns the IDs of the cluster and the server. cluster is empty if the server is not a member yet.
+func (s *Server) clusterAndID() (cluster, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.identity.Cluster, s.identity.ID
 }
 
-func (s *Server) own() identity {
+// currentIdentity returns a copy of the server's identity.
+func (s *Server) currentIdentity() identity {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.identity
 }
 
-// keep changes the identity, on disk first.
-func (s *Server) keep(edit func(*identity) error) error {
+// updateIdentity changes the identity on disk and then in memory.
+func (s *Server) updateIdentity(edit func(*identity) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	i := s.identity
-	if err := edit(&i); err != nil {
+	updated := s.identity
+	if err := edit(&updated); err != nil {
 		return err
 	}
-	if err := i.keep(s.store); err != nil {
+	if err := updated.save(s.store); err != nil {
 		return err
 	}
-	s.identity = i
+	s.identity = updated
 	return nil
 }
 
-func (s *Server) via(addr string) string {
-	if to, ok := s.o.Via[addr]; ok {
+// dialAddress returns the address to connect to for a server's address.
+func (s *Server) dialAddress(addr string) string {
+	if to, ok := s.opts.Via[addr]; ok {
 		return to
 	}
 	return addr
 }
 
-func (s *Server) peer() Peer {
-	_, id := s.self()
-	return Peer{ID: id, Name: s.o.Name, HTTP: s.o.AdvertiseHTTP, Raft: s.o.AdvertiseRaft}
+// ownPeer returns this server as a peer.
+func (s *Server) ownPeer() Peer {
+	_, id := s.clusterAndID()
+	return Peer{ID: id, Name: s.opts.Name, HTTP: s.opts.AdvertiseHTTP, Raft: s.opts.AdvertiseRaft}
 }
 
-// ServerAddr is where raft connects to for a server.
+// ServerAddr returns the address that raft passes to Dial for a server; it implements raft.ServerAddressProvider.
 func (s *Server) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
-	if _, own := s.self(); string(id) == own {
-		return target(id, raft.ServerAddress(s.o.AdvertiseRaft)), nil
+	if _, own := s.clusterAndID(); string(id) == own {
+		return dialTarget(id, raft.ServerAddress(s.opts.AdvertiseRaft)), nil
 	}
-	if r := s.running.Load(); r != nil {
+	if r := s.raftInstance.Load(); r != nil {
 		for _, x := range r.GetConfiguration().Configuration().Servers {
 			if x.ID == id {
-				return target(id, x.Address), nil
+				return dialTarget(id, x.Address), nil
 			}
 		}
 	}
 	return "", fmt.Errorf("server %s: no address is known", id)
 }
 
+// startRaft configures and starts raft.
 func (s *Server) startRaft() error {
 	conf := raft.DefaultConfig()
 	conf.LocalID = raft.ServerID(s.identity.ID)
-	conf.HeartbeatTimeout, conf.ElectionTimeout, conf.LeaderLeaseTimeout = s.o.Beat, s.o.Beat, s.o.Beat/2
-	conf.CommitTimeout = min(s.o.Beat/20, 50*time.Millisecond)
-	conf.SnapshotThreshold, conf.TrailingLogs = s.o.SnapshotEach, s.o.SnapshotEach/2
+	conf.HeartbeatTimeout, conf.ElectionTimeout, conf.LeaderLeaseTimeout = s.opts.Beat, s.opts.Beat, s.opts.Beat/2
+	conf.CommitTimeout = min(s.opts.Beat/20, 50*time.Millisecond)
+	conf.SnapshotThreshold, conf.TrailingLogs = s.opts.SnapshotEach, s.opts.SnapshotEach/2
 	conf.SnapshotInterval = 10 * time.Second
 	conf.BatchApplyCh = true
 	conf.MaxAppendEntries = 128
 	conf.Logger = raftLogger(s.log, time.Now)
-	s.trans = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{ServerAddressProvider: s, Logger: conf.Logger, Stream: s.wire, MaxPool: poolMost,
-		Timeout: rpcFor})
-	r, err := raft.NewRaft(conf, s.m, s.store, stopped{s.store, s.failed}, s.store, s.trans)
+	s.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{ServerAddressProvider: s, Logger: conf.Logger, Stream: s.stream, MaxPool: maxIdleRaftConns,
+		Timeout: rpcTimeout})
+	r, err := raft.NewRaft(conf, s.machine, s.store, failStopStableStore{s.store, s.diskError}, s.store, s.transport)
 	if err != nil {
 		return err
 	}
 	s.raft = r
-	s.running.Store(r)
+	s.raftInstance.Store(r)
 	return nil
 }
 
-// stopped is the store of raft's values. Raft ends the process where one cannot be written; a server whose disk failed is to
-// go on answering reads, so that raft's own loop, which is alone in writing them, stands still instead: to the others the
-// server is dead.
-type stopped struct {
+// failStopStableStore is raft's stable store. Raft panics if it cannot write a stable value, but a server whose disk failed
+// must continue to serve reads. So a failed write blocks forever instead. Only raft's main loop writes stable values, so to
+// the other servers this one is then dead.
+type failStopStableStore struct {
 	*durable.Store
-	failed func() error
+	diskError func() error
 }
 
-func (s stopped) hold(err error) error {
-	if err != nil && s.failed() != nil {
+// blockOnDiskFailure blocks forever if the disk has failed, and otherwise returns err.
+func (s failStopStableStore) blockOnDiskFailure(err error) error {
+	if err != nil && s.diskError() != nil {
 		select {}
 	}
 	return err
 }
 
-func (s stopped) Set(name, value []byte) error          { return s.hold(s.Store.Set(name, value)) }
-func (s stopped) SetUint64(name []byte, v uint64) error { return s.hold(s.Store.SetUint64(name, v)) }
+func (s failStopStableStore) Set(name, value []byte) error {
+	return s.blockOnDiskFailure(s.Store.Set(name, value))
+}
+func (s failStopStableStore) SetUint64(name []byte, v uint64) error {
+	return s.blockOnDiskFailure(s.Store.SetUint64(name, v))
+}
 
-// diskFailed makes the server one that only answers reads, from memory.
+// diskFailed limits the server to reads from memory. The store calls it once, when a write to the disk fails.
 func (s *Server) diskFailed(err error) {
-	s.failure.Store(&err)
-	s.log.Error("disk failed: this server takes nothing on any more, and answers reads from memory: replace it", "err", err)
-	close(s.broken) // it is called once
+	s.diskFailure.Store(&err)
+	s.log.Error("disk failed: this server accepts no writes and serves reads from memory only; replace it", "err", err)
+	close(s.diskFailureCh)
 }
 
-// partIfBroken keeps a server whose disk failed from speaking to the others: one that still answered their beats would be
-// counted among those who hold what is written.
-func (s *Server) partIfBroken() {
+// disconnectOnDiskFailure closes the connections to the other servers when the disk fails. If the server still answered
+// heartbeats, it would count towards the quorum.
+func (s *Server) disconnectOnDiskFailure() {
 	select {
-	case <-s.broken:
-		s.trans.Close()
-		s.trans.CloseStreams()
-	case <-s.over.Done():
+	case <-s.diskFailureCh:
+		s.transport.Close()
+		s.transport.CloseStreams()
+	case <-s.ctx.Done():
 	}
 }
 
-func (s *Server) failed() error {
-	if err := s.failure.Load(); err != nil {
+// diskError returns the error with which the disk failed, or nil.
+func (s *Server) diskError() error {
+	if err := s.diskFailure.Load(); err != nil {
 		return *err
 	}
 	return nil
 }
 
-// addresses is what the file beside a server's state says.
-type addresses struct {
+// listenAddresses is the content of the address file in a server's directory.
+type listenAddresses struct {
 	HTTP string `json:"http"`
 	Raft string `json:"raft"`
 	Pid  int    `json:"pid"`
 }
 
-// tellAddresses writes down where the server listens: a port may be the system's choice.
-func (s *Server) tellAddresses() error {
-	if s.o.FS != nil {
+// writeAddressFile records the addresses on which the server listens, because the system may have chosen the ports.
+func (s *Server) writeAddressFile() error {
+	if s.opts.FS != nil {
 		return nil
 	}
-	data, err := json.Marshal(addresses{s.http.Addr().String(), s.wire.Addr().String(), os.Getpid()})
+	data, err := json.Marshal(listenAddresses{s.httpListener.Addr().String(), s.stream.Addr().String(), os.Getpid()})
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(s.o.Dir, addressFile)
+	path := filepath.Join(s.opts.Dir, addressFile)
 	if err := os.WriteFile(path+".new", append(data, '\n'), 0o644); err != nil {
 		return err
 	}
 	return os.Rename(path+".new", path)
 }
 
-// Addr is where the server answers.
-func (s *Server) Addr() string { return s.http.Addr().String() }
+// Addr returns the HTTP address on which the server listens.
+func (s *Server) Addr() string { return s.httpListener.Addr().String() }
 
-// Run serves until ctx ends, and then hands leadership over and ends; or until the server cannot go on.
+// Run serves requests until ctx ends, and then transfers leadership and shuts down. It returns earlier if the server cannot
+// continue.
 func (s *Server) Run(ctx context.Context) error {
 	served := make(chan error, 1)
-	s.parts.Go(func() { served <- s.web.Serve(s.http) })
-	s.parts.Go(s.lead)
-	s.parts.Go(s.partIfBroken)
-	s.parts.Go(s.batchFleet)
-	s.parts.Go(s.driveFleet)
-	s.parts.Go(func() { s.settle(s.over) })
-	s.log.Info("serving", "http", s.http.Addr().String(), "raft", s.wire.Addr().String(), "id", s.peer().ID, "dir", s.o.Dir)
+	s.background.Go(func() { served <- s.httpServer.Serve(s.httpListener) })
+	s.background.Go(s.runLeadership)
+	s.background.Go(s.disconnectOnDiskFailure)
+	s.background.Go(s.runFleetBatches)
+	s.background.Go(s.runFleetLeader)
+	s.background.Go(func() { s.runMembership(s.ctx) })
+	s.log.Info("serving", "http", s.httpListener.Addr().String(), "raft", s.stream.Addr().String(), "id", s.ownPeer().ID, "dir", s.opts.Dir)
 	var err error
 	select {
 	case <-ctx.Done():
-		s.handOver()
-	case err = <-s.fatal:
+		s.transferLeadership()
+	case err = <-s.fatalErr:
 	case err = <-served:
 		err = fmt.Errorf("http: %w", err)
 	}
 	return errors.Join(err, s.close())
 }
 
-// handOver has another server lead, if this one does.
-func (s *Server) handOver() {
+// transferLeadership transfers leadership to another server if this one is the leader.
+func (s *Server) transferLeadership() {
 	if s.raft.State() != raft.Leader || len(s.raft.GetConfiguration().Configuration().Servers) < 2 {
 		return
 	}
 	done := make(chan error, 1)
 	f := s.raft.LeadershipTransfer()
-	go func() { done <- f.Error() }() // ends with raft
+	go func() { done <- f.Error() }() // ends when raft shuts down at the latest
 	select {
 	case err := <-done:
-		s.log.Info("handed leadership over", "err", err)
-	case <-time.After(transferFor):
-		s.log.Warn("leadership was not handed over in time")
+		s.log.Info("leadership transferred", "err", err)
+	case <-time.After(transferTimeout):
+		s.log.Warn("leadership transfer timed out")
 	}
 }
 
-// close ends all that was opened.
+// close releases everything that Open and Run opened, and waits for background goroutines.
 func (s *Server) close() error {
-	s.stop()
-	if s.web != nil {
-		ctx, cancel := context.WithTimeout(context.Background(), closeFor)
-		if s.web.Shutdown(ctx) != nil {
-			s.web.Close()
+	s.cancel()
+	if s.httpServer != nil {
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+		if s.httpServer.Shutdown(ctx) != nil {
+			s.httpServer.Close()
 		}
 		cancel()
-	} else if s.http != nil {
-		s.http.Close()
+	} else if s.httpListener != nil {
+		s.httpListener.Close()
 	}
 	var err error
-	if s.raft != nil && s.failed() == nil {
+	if s.raft != nil && s.diskError() == nil {
 		err = s.raft.Shutdown().Error()
 	}
-	if s.trans != nil {
-		err = errors.Join(err, s.trans.Close())
-	} else if s.wire != nil {
-		err = errors.Join(err, s.wire.Close())
+	if s.transport != nil {
+		err = errors.Join(err, s.transport.Close())
+	} else if s.stream != nil {
+		err = errors.Join(err, s.stream.Close())
 	}
-	s.parts.Wait()
+	s.background.Wait()
 	if s.store != nil {
 		err = errors.Join(err, s.store.Close())
 	}
-	if s.peers != nil {
-		s.peers.CloseIdleConnections()
+	if s.peerClient != nil {
+		s.peerClient.CloseIdleConnections()
 	}
 	return err
 }
 
-// end has Run return.
-func (s *Server) end(err error) {
+// exitWith makes Run return err, unless an earlier error already does.
+func (s *Server) exitWith(err error) {
 	select {
-	case s.fatal <- err:
+	case s.fatalErr <- err:
 	default:
 	}
 }
 
-// lead does what a new leader does first: what earlier ones acknowledged is in its list before it confirms a read.
-func (s *Server) lead() {
+// runLeadership calls establishLeadership whenever this server becomes the leader. Before that, the server does not confirm
+// reads.
+func (s *Server) runLeadership() {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
-	led := s.raft.LeaderCh()
+	leaderCh := s.raft.LeaderCh()
 	for {
 		select {
-		case <-led:
+		case <-leaderCh:
 		case <-tick.C:
-		case <-s.over.Done():
+		case <-s.ctx.Done():
 			return
 		}
-		if s.raft.State() == raft.Shutdown && s.over.Err() == nil && s.failed() == nil {
-			s.end(ErrRemoved)
+		if s.raft.State() == raft.Shutdown && s.ctx.Err() == nil && s.diskError() == nil {
+			s.exitWith(ErrRemoved)
 			return
 		}
 		term := s.raft.CurrentTerm()
-		if s.raft.State() != raft.Leader || s.ready.Load() == term {
+		if s.raft.State() != raft.Leader || s.readyTerm.Load() == term {
 			continue
 		}
-		if err := s.begin(); err != nil {
-			s.log.Warn("leads, and cannot begin yet", "term", term, "err", err)
+		if err := s.establishLeadership(); err != nil {
+			s.log.Warn("became leader but is not ready yet", "term", term, "err", err)
 			continue
 		}
-		s.ready.Store(term)
-		s.log.Info("leads", "term", term, "version", s.m.Status().Version)
+		s.readyTerm.Store(term)
+		s.log.Info("became leader", "term", term, "version", s.machine.Status().Version)
 	}
 }
 
-func (s *Server) begin() error {
-	if err := s.raft.Barrier(barrierFor).Error(); err != nil {
+// establishLeadership waits until all writes that earlier leaders acknowledged are applied, and commits the founding of a new
+// cluster.
+func (s *Server) establishLeadership() error {
+	if err := s.raft.Barrier(barrierTimeout).Error(); err != nil {
 		return err
 	}
-	if s.m.Status().Cluster != "" {
+	if s.machine.Status().Cluster != "" {
 		return nil
 	}
-	f := s.own().Founding
+	f := s.currentIdentity().Founding
 	if f == nil {
-		return errors.New("it has joined a cluster that has no list")
+		return errors.New("this server joined a cluster that was never founded")
 	}
-	_, err := s.apply(s.over, command{Kind: cmdFound, Cluster: f.Cluster, Servers: f.Servers})
-	if errors.Is(err, ErrFounded) {
+	_, err := s.apply(s.ctx, command{Kind: cmdFound, Cluster: f.Cluster, Servers: f.Servers})
+	if errors.Is(err, ErrAlreadyFounded) {
 		return nil
 	}
 	return err
 }
 
-// apply has the log take a command on, and returns what came of it.
+// apply commits a command and returns its result.
 func (s *Server) apply(ctx context.Context, c command) (catalog.Result, error) {
-	o, err := s.commit(ctx, c)
+	res, err := s.commit(ctx, c)
 	if err != nil {
 		return catalog.Result{}, err
 	}
-	return o.result, o.err
+	return res.result, res.err
 }
 
-// commit has the log take a command on. An error says that it was not, or that nobody knows.
-func (s *Server) commit(ctx context.Context, c command) (outcome, error) {
+// commit appends a command to raft's log and waits until it is applied. ErrNoLeader means that it was not appended, and
+// ErrOutcomeUnknown that it may or may not be applied.
+func (s *Server) commit(ctx context.Context, c command) (commandResult, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
-		return outcome{}, fmt.Errorf("body: %w", err)
+		return commandResult{}, fmt.Errorf("body: %w", err)
 	}
-	if err := s.failed(); err != nil {
-		return outcome{}, fmt.Errorf("%w: %w", ErrNoLeader, err)
+	if err := s.diskError(); err != nil {
+		return commandResult{}, fmt.Errorf("%w: %w", ErrNoLeader, err)
 	}
-	f := s.raft.Apply(data, enqueueFor)
+	f := s.raft.Apply(data, enqueueTimeout)
 	done := make(chan error, 1)
-	go func() { done <- f.Error() }() // ends with raft, or with its answer
+	go func() { done <- f.Error() }() // ends with the response, or when raft shuts down
 	select {
 	case err = <-done:
 	case <-ctx.Done():
-		return outcome{}, fmt.Errorf("%w (%w)", ErrUnknown, ctx.Err())
+		return commandResult{}, fmt.Errorf("%w (%w)", ErrOutcomeUnknown, ctx.Err())
 	}
 	switch {
 	case err == nil:
-		return f.Response().(outcome), nil
+		return f.Response().(commandResult), nil
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress), errors.Is(err, raft.ErrEnqueueTimeout):
-		return outcome{}, fmt.Errorf("%w: %w", ErrNoLeader, err)
+		return commandResult{}, fmt.Errorf("%w: %w", ErrNoLeader, err)
 	}
-	return outcome{}, fmt.Errorf("%w (%w)", ErrUnknown, err)
+	return commandResult{}, fmt.Errorf("%w (%w)", ErrOutcomeUnknown, err)
 }
 
-// Write has the leader's log take a write on.
+// Write commits a write; it implements Replica.
 func (s *Server) Write(ctx context.Context, w catalog.Write) (catalog.Result, error) {
 	return s.apply(ctx, command{Kind: cmdWrite, Write: &w})
 }
 
-// Confirm returns once this server is known to lead still: a leader answers a write once it is in its own list, and begins with all
-// that earlier leaders answered.
+// Confirm returns nil once a quorum has confirmed that this server still leads. Its list then contains every acknowledged
+// write: a leader acknowledges a write only after applying it, and first applies all that earlier leaders acknowledged.
 func (s *Server) Confirm(ctx context.Context) error {
-	if err := s.failed(); err != nil {
+	if err := s.diskError(); err != nil {
 		return fmt.Errorf("%w: %w", ErrNoLeader, err)
 	}
 	term := s.raft.CurrentTerm()
 	if s.raft.State() != raft.Leader {
 		return ErrNoLeader
 	}
-	if s.ready.Load() != term {
+	if s.readyTerm.Load() != term {
 		return fmt.Errorf("%w: the new leader is not ready yet", ErrNoLeader)
 	}
 	f := s.raft.VerifyLeader()
 	done := make(chan error, 1)
-	go func() { done <- f.Error() }() // ends with raft, or with its answer
+	go func() { done <- f.Error() }() // ends with the response, or when raft shuts down
 	select {
 	case err := <-done:
 		if err != nil || s.raft.CurrentTerm() != term {
@@ -538,16 +555,16 @@
 	}
 }
 
-// Leader is the HTTP address of the server that leads.
+// Leader returns the HTTP address of the leader, or "" if it is unknown or this server.
 func (s *Server) Leader() string {
 	_, id := s.raft.LeaderWithID()
-	_, own := s.self()
-	if id == "" || string(id) == own || s.failed() != nil {
+	_, own := s.clusterAndID()
+	if id == "" || string(id) == own || s.diskError() != nil {
 		return ""
 	}
-	p, ok := s.m.Server(string(id))
+	p, ok := s.machine.Server(string(id))
 	if !ok {
-		if f := s.own().Founding; f != nil { // the list of servers has not come yet
+		if f := s.currentIdentity().Founding; f != nil { // the replicated records do not contain the leader yet
 			i := slices.IndexFunc(f.Servers, func(p Peer) bool { return p.ID == string(id) })
 			if i < 0 {
 				return ""
@@ -558,17 +575,17 @@
 	if p.HTTP == "" {
 		return ""
 	}
-	return s.via(p.HTTP)
+	return s.dialAddress(p.HTTP)
 }
 
-// Age is how long ago this server heard from the leader last.
+// Age returns the time since the last contact from the leader, or 0 on the leader.
 func (s *Server) Age() time.Duration {
-	if s.failed() == nil && s.raft.State() == raft.Leader {
+	if s.diskError() == nil && s.raft.State() == raft.Leader {
 		return 0
 	}
 	last := s.raft.LastContact()
 	if last.IsZero() {
-		last = s.began
+		last = s.startedAt
 	}
 	return time.Since(last)
 }
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -231,7 +231,7 @@
 		changes        []sourceChange
 	}{
 		{check.AcknowledgedIsKept, "list-minority", []sourceChange{{server, "func (s *Server) Confirm(ctx context.Context) error {\n",
-			"func (s *Server) Confirm(ctx context.Context) error {\n\tif s.m.Status().Cluster != \"\" {\n\t\treturn nil // whoever leads now\n\t}\n"}}},
+			"func (s *Server) Confirm(ctx context.Context) error {\n\tif s.machine.Status().Cluster != \"\" {\n\t\treturn nil // whoever leads now\n\t}\n"}}},
 		{check.VersionsRise, "list-leader-kill", []sourceChange{{cat, "\tfor _, s := range c.history[from:] {\n",
 			"\tif from+3 < len(c.history) {\n\t\tfrom += 2 // who is far behind misses some\n\t}\n\tfor _, s := range c.history[from:] {\n"}}},
 		{check.WatchIsWhole, "list-leader-kill", []sourceChange{{cat, "\tif version == c.version && version > 0 {\n",
@@ -243,8 +243,8 @@
 		{check.NoticesPassOn, "list-all-dead", []sourceChange{{agent, "\tfor a.over.Err() == nil {\n\t\tall := a.spool.next(handMost)\n",
 			"\tfor a.over.Err() == nil {\n\t\tall := a.spool.next(handMost)\n" +
 				"\t\tif len(all) > 0 {\n\t\t\ta.spool.done(len(all)) // lost\n\t\t\tcontinue\n\t\t}\n"}}},
-		{check.StaysUp, "list-leader-kill", []sourceChange{{server, "\ts.log.Info(\"leads\", ",
-			"\tif term > 2 {\n\t\tpanic(\"broken on purpose\")\n\t}\n\ts.log.Info(\"leads\", "}}},
+		{check.StaysUp, "list-leader-kill", []sourceChange{{server, "\ts.log.Info(\"became leader\", ",
+			"\tif term > 2 {\n\t\tpanic(\"broken on purpose\")\n\t}\n\ts.log.Info(\"became leader\", "}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -279,7 +279,7 @@
 		{"a seal without all", check.StaysUp, "policy-calm", 4, []sourceChange{
 			{state, "if missing := s.Missing(); len(missing) > 0 {\n\t\t\treturn 0, fmt.Errorf(\"%w: %s has not promised it\"",
 				"if missing := s.Missing(); len(missing) > 9 {\n\t\t\treturn 0, fmt.Errorf(\"%w: %s has not promised it\""},
-			{"internal/listsvc/fleet.go", "case len(missing) == 0:\n", "case c.Phase == accord.Armed:\n"}}, nil},
+			{"internal/listsvc/fleet.go", "case len(missing) == 0:\n", "case change.Phase == accord.Armed:\n"}}, nil},
 		{"a dropped policy is followed", check.OnePolicy, "policy-agent-kill", 4,
 			[]sourceChange{{relay, "\t\t\tf.status.Can = c.Number\n", "\t\t\tf.status.Can = c.Number\n\t\t\tf.gate.Follow(c.Number, receivedAt)\n"}},
 			// The agent is down for longer than a change may take, so the change can only be dropped.
