--- a/internal/accord/accord_test.go
+++ b/internal/accord/accord_test.go
@@ -27,8 +27,8 @@
 	return n
 }
 
-// A document is taken as a whole or turned down with its place.
-func TestADocumentIsTurnedDownWithItsPlace(t *testing.T) {
+// A valid document is unchanged by canonicalization; an invalid one is rejected with the field that is wrong.
+func TestInvalidDocumentIsRejectedWithItsField(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"form":1,"classes":{"order":{"attempts":3,"advice_ms":800}},"customers":{"a":{"quota_per_s":2.5}},"destinations":{"7":{"routes":["x","y"]}},"skip":{"first_ms":500,"most_ms":9000}}`: "",
 		`{"form":2}`: "form: 2, this build reads 1",
@@ -58,8 +58,8 @@
 	}
 }
 
-// Silence passes nobody over, and a name that another folder has taken does not either.
-func TestWhoStandsInTheWay(t *testing.T) {
+// A change waits for silent sessions and for sessions whose name another agent took, until they leave or are retired.
+func TestChangeWaitsForEverySession(t *testing.T) {
 	s := New("e")
 	report(t, s, Session{ID: "1", Name: "a", Boot: 1})
 	report(t, s, Session{ID: "2", Name: "b", Boot: 1})
@@ -76,39 +76,39 @@
 	}
 	waits("a1 b2")
 	s.Apply(Op{Lapse: "2"})
-	waits("a1 b2") // it is merely silent
+	waits("a1 b2") // silence does not remove it
 	if s.Sessions["2"].State != Lapsed {
 		t.Errorf("state %q", s.Sessions["2"].State)
 	}
-	report(t, s, Session{ID: "3", Name: "b", Boot: 1}) // b again, with an empty folder
+	report(t, s, Session{ID: "3", Name: "b", Boot: 1}) // agent b starts with a new data folder
 	waits("a1 b2 b3")
 	if s.Sessions["2"].State != Displaced {
-		t.Errorf("the one before is %q", s.Sessions["2"].State)
+		t.Errorf("state of the previous session: %q", s.Sessions["2"].State)
 	}
 	report(t, s, Session{ID: "2", Name: "b", Boot: 1, Staged: n})
 	if s.Sessions["2"].State != Displaced || s.Sessions["3"].State != Present {
-		t.Error("who came before has its name back")
+		t.Error("the displaced session took its name back")
 	}
 	if _, err := s.Apply(Op{Retire: "2"}); err != nil {
 		t.Fatal(err)
 	}
 	waits("a1 b3")
 	if _, err := s.Apply(Op{Report: &Session{ID: "2", Name: "b", Boot: 2}}); !errors.Is(err, ErrGone) {
-		t.Errorf("a retired machine is let back in: %v", err)
+		t.Errorf("report of a retired session: %v", err)
 	}
 	if _, err := s.Apply(Op{Leave: &Session{ID: "3", Boot: 1}}); err != nil {
 		t.Fatal(err)
 	}
 	waits("a1")
-	report(t, s, Session{ID: "3", Name: "b", Boot: 2}) // who left may come again, and is asked
+	report(t, s, Session{ID: "3", Name: "b", Boot: 2}) // a session that left may register again, and changes wait for it
 	waits("a1 b3")
 	if _, err := s.Apply(Op{Report: &Session{ID: "3", Name: "b", Boot: 1}}); !errors.Is(err, ErrOlderBoot) {
-		t.Errorf("an older process of the same folder: %v", err)
+		t.Errorf("report of an older process of the same data folder: %v", err)
 	}
 }
 
-// One change at a time, under its key once; what is not sealed is followed by nobody.
-func TestOneChangeAtATime(t *testing.T) {
+// Only one change is in flight at a time, a key is used once, and only a sealed change comes into force.
+func TestOnlyOneChangeInFlight(t *testing.T) {
 	s := New("e")
 	p := Propose{Key: "k", Document: modelDocument, HoldMS: 1000, WithinMS: 1000}
 	n, err := s.Apply(Op{Propose: &p})
@@ -116,26 +116,26 @@
 		t.Fatal(n, err)
 	}
 	if again, err := s.Apply(Op{Propose: &p}); again != n || err != nil {
-		t.Errorf("the same proposal: %d, %v", again, err)
+		t.Errorf("repeated proposal: %d, %v", again, err)
 	}
 	p.Key = "other"
 	if _, err := s.Apply(Op{Propose: &p}); !errors.Is(err, ErrInFlight) || !strings.Contains(err.Error(), "number 1") {
-		t.Errorf("a second one: %v", err)
+		t.Errorf("second proposal: %v", err)
 	}
 	if _, err := s.Apply(Op{Seal: n}); !errors.Is(err, ErrNoChange) {
-		t.Errorf("sealed before it was armed: %v", err)
+		t.Errorf("seal before arm: %v", err)
 	}
 	if _, err := s.Apply(Op{Drop: &Drop{n, "no"}}); err != nil || s.InForce.Number != 0 || s.Decided() != 1 {
 		t.Errorf("dropped: %v, %d in force, %d decided", err, s.InForce.Number, s.Decided())
 	}
 	if _, err := s.Apply(Op{Seal: n}); !errors.Is(err, ErrNoChange) {
-		t.Errorf("sealed after it was dropped: %v", err)
+		t.Errorf("seal after drop: %v", err)
 	}
 	p.Key = "k"
 	if again, err := s.Apply(Op{Propose: &p}); again != n || err != nil {
-		t.Errorf("a proposal that was dropped, again: %d, %v", again, err)
+		t.Errorf("repeated proposal of a dropped change: %d, %v", again, err)
 	}
-	// A service that was founded anew numbers above what its fleet knows.
+	// A service that was created anew numbers its changes above the numbers that its fleet knows.
 	report(t, s, Session{ID: "1", Name: "a", Boot: 1, Knows: 40})
 	if m := propose(t, s); m != 41 {
 		t.Errorf("number %d", m)
@@ -146,9 +146,9 @@
 	}
 }
 
-// Whatever is applied in whatever order: numbers rise, what is in force was promised by all who were asked, the state can be read
-// back, and what it tells whether a report changes anything is true.
-func TestWhateverIsApplied(t *testing.T) {
+// For any sequence of operations: numbers never fall, a policy in force was promised by every session, the state survives encoding,
+// a rejected operation changes nothing, and State.Changes predicts whether a report modifies the state.
+func TestStateInvariantsUnderRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New("e")
 		for range rapid.IntRange(1, 60).Draw(t, "ops") {
@@ -181,60 +181,62 @@
 			after, _ := json.Marshal(s)
 			switch {
 			case err != nil && string(before) != string(after):
-				t.Fatalf("%+v was turned down (%v), and changed the state", o, err)
+				t.Fatalf("%+v was rejected (%v) but changed the state", o, err)
 			case o.Report != nil && err == nil && changes != (string(before) != string(after)):
-				t.Fatalf("report %+v changes the state: %v, said was %v", *o.Report, !changes, changes)
+				t.Fatalf("report %+v changes the state: %v, predicted %v", *o.Report, !changes, changes)
 			case s.InForce.Number < was.InForce.Number || s.Last < was.Last:
 				t.Fatalf("numbers fell: %s, then %s", before, after)
 			case s.InForce.Number != was.InForce.Number:
 				for _, x := range was.Sessions {
 					if x.Promised != s.InForce.Number {
-						t.Fatalf("policy %d is in force, and %s has not promised it", s.InForce.Number, x.Name)
+						t.Fatalf("policy %d is in force, but %s has not promised it", s.InForce.Number, x.Name)
 					}
 				}
 			}
 			var back State
 			if err := json.Unmarshal(after, &back); err != nil || back.Check() != nil {
-				t.Fatalf("%s cannot be read back: %v, %v", after, err, back.Check())
+				t.Fatalf("%s cannot be decoded: %v, %v", after, err, back.Check())
 			}
 		}
 	})
 }
 
-// A restarted agent does not know when the policy in force began: it lets nobody in before all must have stopped.
-func TestARestartedAgentWaitsForTheMoment(t *testing.T) {
+// A restarted agent does not know when the policy in force begins: it admits no process before every relay must have stopped under
+// the previous policy.
+func TestRestartedAgentWaitsUntilPolicyBegins(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 	runs := func(Process) bool { return true }
 	l := &Ledger{ID: "1"}
 	l.Start(at(0))
 	relay := Process{PID: 7, Start: 1}
 	if l.Admit(relay, at(0), runs) {
-		t.Error("let in before the policy was known")
+		t.Error("admitted before the policy was known")
 	}
-	if err := l.Tell(News{Epoch: "e", InForce: Policy{Number: 3, Document: modelDocument}, BeginIn: 2 * time.Second, HoldMS: 4000, Decided: 3, At: at(1)}); err != nil {
+	if err := l.ApplyUpdate(ServiceUpdate{Epoch: "e", InForce: Policy{Number: 3, Document: modelDocument},
+		BeginIn: 2 * time.Second, HoldMS: 4000, Decided: 3, ReceivedAt: at(1)}); err != nil {
 		t.Fatal(err)
 	}
 	if l.Admit(relay, at(2.9), runs) {
-		t.Error("let in before it began")
+		t.Error("admitted before the policy began")
 	}
 	back := l.Clone()
 	back.Start(at(2.5))
 	if back.Admit(relay, at(6.4), runs) {
-		t.Error("after a restart, let in before it had to have begun")
+		t.Error("admitted after a restart before the hold time ended")
 	}
-	if err := back.Tell(News{Epoch: "e", InForce: Policy{Number: 3}, Decided: 3, At: at(4)}); err != nil {
+	if err := back.ApplyUpdate(ServiceUpdate{Epoch: "e", InForce: Policy{Number: 3}, Decided: 3, ReceivedAt: at(4)}); err != nil {
 		t.Fatal(err)
 	}
-	if !back.Admit(relay, at(4), runs) || !back.Word(relay, at(4)).Admitted {
-		t.Error("told that it has begun, it lets nobody in")
+	if !back.Admit(relay, at(4), runs) || !back.ReplyTo(relay, at(4)).Admitted {
+		t.Error("not admitted although the service reported that the policy has begun")
 	}
-	if !l.Begin(at(3)) || !l.Admit(relay, at(3), runs) {
-		t.Error("not let in once it began")
+	if !l.MarkBegun(at(3)) || !l.Admit(relay, at(3), runs) {
+		t.Error("not admitted after the policy began")
 	}
-	if l.Leave(runs) {
-		t.Error("it left, and its relay runs")
+	if l.TryLeave(runs) {
+		t.Error("it left while its relay was running")
 	}
-	if !l.Leave(func(Process) bool { return false }) || l.Admit(relay, at(9), runs) {
-		t.Error("who left lets a relay in without hearing from the service")
+	if !l.TryLeave(func(Process) bool { return false }) || l.Admit(relay, at(9), runs) {
+		t.Error("after leaving, it admitted a relay without an update from the service")
 	}
 }
--- a/internal/accord/document.go
+++ b/internal/accord/document.go
@@ -13,54 +13,54 @@
 	"strings"
 )
 
-// Bounds of a document. The design leaves skip lengths open; these keep a slip of the pen from stopping a fleet.
+// Limits of a document. They keep a typing error in a policy, for example in its skip times, from stopping a whole fleet.
 const (
-	DocumentMost  = 256 << 10 // bytes
-	attemptsMost  = 100
-	adviceMostMS  = 60_000
-	skipLeastMS   = 100
-	skipMostMS    = 120_000
-	orderMost     = 1024
-	nameMost      = 128
-	quotaMost     = 1e6
-	cellMost      = 1 << 20
-	documentsForm = 1
+	MaxDocumentBytes  = 256 << 10 // bytes
+	maxAttempts       = 100
+	maxAdviceMS       = 60_000
+	minSkipMS         = 100
+	maxSkipMS         = 120_000
+	maxRoutes         = 1024
+	maxNameBytes      = 128
+	maxQuotaPerSecond = 1e6
+	maxDestination    = 1 << 20
+	documentFormat    = 1
 )
 
-// Document is what a policy says. A field that is left out leaves the relay's own configuration in force there.
+// Document is the content of a policy. Where a field is absent, the relay's own configuration applies.
 type Document struct {
-	Form         int                 `json:"form" toml:"form"` // 1
+	Form         int                 `json:"form" toml:"form"` // version of the document format: 1
 	Title        string              `json:"title,omitempty" toml:"title"`
-	Classes      map[string]Class    `json:"classes,omitempty" toml:"classes"`           // by name
-	Customers    map[string]Customer `json:"customers,omitempty" toml:"customers"`       // by name
-	Destinations map[string]Order    `json:"destinations,omitempty" toml:"destinations"` // by number
+	Classes      map[string]Class    `json:"classes,omitempty" toml:"classes"`           // by class name
+	Customers    map[string]Customer `json:"customers,omitempty" toml:"customers"`       // by customer name
+	Destinations map[string]Order    `json:"destinations,omitempty" toml:"destinations"` // by destination number
 	Skip         *Skip               `json:"skip,omitempty" toml:"skip"`
 }
 
-// Class is what a policy says of a class of messages.
+// Class holds a policy's settings for a class of messages.
 type Class struct {
-	Attempts int   `json:"attempts,omitempty" toml:"attempts"`   // for a message at most; 0: as configured
-	AdviceMS int64 `json:"advice_ms,omitempty" toml:"advice_ms"` // least time that a refused client is told to stay away
+	Attempts int   `json:"attempts,omitempty" toml:"attempts"`   // maximum attempts per message; 0: as configured
+	AdviceMS int64 `json:"advice_ms,omitempty" toml:"advice_ms"` // minimum retry-after, in ms, sent to a refused client
 }
 
-// Customer is a customer's share.
+// Customer holds a policy's settings for a customer.
 type Customer struct {
-	QuotaPerS float64 `json:"quota_per_s" toml:"quota_per_s"` // messages a second within it, over all relays
+	QuotaPerS float64 `json:"quota_per_s" toml:"quota_per_s"` // quota over all relays, in messages per second
 }
 
-// Order is the order in which a destination's routes are tried: ids, the first first. Routes that are not named come after them, in
-// the order that they have without a policy.
+// Order lists the ids of a destination's routes in the order in which they are tried. Routes that are not listed follow, in the
+// order that they have without a policy.
 type Order struct {
 	Routes []string `json:"routes" toml:"routes"`
 }
 
-// Skip is how long a failing route is passed over.
+// Skip sets how long a failing route is skipped: the first time, and at most.
 type Skip struct {
 	FirstMS int64 `json:"first_ms" toml:"first_ms"`
 	MostMS  int64 `json:"most_ms" toml:"most_ms"`
 }
 
-// FieldError says which place of a document is wrong, or cannot be followed.
+// FieldError names a field of a document that is invalid, or that a relay cannot apply.
 type FieldError struct {
 	Field string
 	Why   string
@@ -68,80 +68,81 @@
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Why }
 
-func wrong(field, format string, args ...any) error {
+func fieldErrorf(field, format string, args ...any) error {
 	return &FieldError{field, fmt.Sprintf(format, args...)}
 }
 
-// Check judges a document by itself. Whether a relay can follow it depends on that relay's configuration too.
+// Check validates a document on its own. Whether a relay can apply it also depends on that relay's configuration.
 func (d *Document) Check() error {
-	if d.Form != documentsForm {
-		return wrong("form", "%d, this build reads %d", d.Form, documentsForm)
+	if d.Form != documentFormat {
+		return fieldErrorf("form", "%d, this build reads %d", d.Form, documentFormat)
 	}
-	if len(d.Title) > nameMost {
-		return wrong("title", "has %d bytes, at most are %d", len(d.Title), nameMost)
+	if len(d.Title) > maxNameBytes {
+		return fieldErrorf("title", "has %d bytes, at most are %d", len(d.Title), maxNameBytes)
 	}
 	for name, c := range d.Classes {
 		at := "classes." + name
 		switch {
-		case name == "" || len(name) > nameMost:
-			return wrong("classes", "%.40q is no name of a class", name)
-		case c.Attempts < 0 || c.Attempts > attemptsMost:
-			return wrong(at+".attempts", "%d, wanted is 1 to %d, or 0 for as configured", c.Attempts, attemptsMost)
-		case c.AdviceMS < 0 || c.AdviceMS > adviceMostMS:
-			return wrong(at+".advice_ms", "%d, wanted is 0 to %d", c.AdviceMS, adviceMostMS)
+		case name == "" || len(name) > maxNameBytes:
+			return fieldErrorf("classes", "%.40q is no name of a class", name)
+		case c.Attempts < 0 || c.Attempts > maxAttempts:
+			return fieldErrorf(at+".attempts", "%d, wanted is 1 to %d, or 0 for as configured", c.Attempts, maxAttempts)
+		case c.AdviceMS < 0 || c.AdviceMS > maxAdviceMS:
+			return fieldErrorf(at+".advice_ms", "%d, wanted is 0 to %d", c.AdviceMS, maxAdviceMS)
 		}
 	}
 	for name, c := range d.Customers {
-		if name == "" || len(name) > nameMost {
-			return wrong("customers", "%.40q is no name of a customer", name)
+		if name == "" || len(name) > maxNameBytes {
+			return fieldErrorf("customers", "%.40q is no name of a customer", name)
 		}
-		if !(c.QuotaPerS > 0) || c.QuotaPerS > quotaMost {
-			return wrong("customers."+name+".quota_per_s", "%v, wanted is a number above 0", c.QuotaPerS)
+		if !(c.QuotaPerS > 0) || c.QuotaPerS > maxQuotaPerSecond {
+			return fieldErrorf("customers."+name+".quota_per_s", "%v, wanted is a number above 0", c.QuotaPerS)
 		}
 	}
 	for number, o := range d.Destinations {
 		at := "destinations." + number
-		if n, err := strconv.Atoi(number); err != nil || n < 0 || n > cellMost || strconv.Itoa(n) != number {
-			return wrong(at, "is no number of a destination")
+		if n, err := strconv.Atoi(number); err != nil || n < 0 || n > maxDestination || strconv.Itoa(n) != number {
+			return fieldErrorf(at, "is no number of a destination")
 		}
-		if len(o.Routes) == 0 || len(o.Routes) > orderMost {
-			return wrong(at+".routes", "has %d ids, wanted are 1 to %d", len(o.Routes), orderMost)
+		if len(o.Routes) == 0 || len(o.Routes) > maxRoutes {
+			return fieldErrorf(at+".routes", "has %d ids, wanted are 1 to %d", len(o.Routes), maxRoutes)
 		}
 		for i, id := range o.Routes {
-			if id == "" || len(id) > nameMost {
-				return wrong(fmt.Sprintf("%s.routes[%d]", at, i), "%.40q is no id of a route", id)
+			if id == "" || len(id) > maxNameBytes {
+				return fieldErrorf(fmt.Sprintf("%s.routes[%d]", at, i), "%.40q is no id of a route", id)
 			}
 			if slices.Contains(o.Routes[:i], id) {
-				return wrong(fmt.Sprintf("%s.routes[%d]", at, i), "%q stands there twice", id)
+				return fieldErrorf(fmt.Sprintf("%s.routes[%d]", at, i), "%q stands there twice", id)
 			}
 		}
 	}
-	if s := d.Skip; s != nil && (s.FirstMS < skipLeastMS || s.MostMS < s.FirstMS || s.MostMS > skipMostMS) {
-		return wrong("skip", "first_ms %d and most_ms %d, wanted is %d to %d, the first no longer than the most", s.FirstMS, s.MostMS, skipLeastMS, skipMostMS)
+	if s := d.Skip; s != nil && (s.FirstMS < minSkipMS || s.MostMS < s.FirstMS || s.MostMS > maxSkipMS) {
+		return fieldErrorf("skip", "first_ms %d and most_ms %d, wanted is %d to %d, the first no longer than the most",
+			s.FirstMS, s.MostMS, minSkipMS, maxSkipMS)
 	}
 	return nil
 }
 
-// Canonical is the one form in which a document is kept and hashed: its JSON, names sorted, without spaces.
+// Canonical returns the form in which a document is stored and hashed: JSON with sorted keys and without spaces.
 func (d *Document) Canonical() (json.RawMessage, error) {
 	if err := d.Check(); err != nil {
 		return nil, err
 	}
 	data, err := json.Marshal(d)
-	if err == nil && len(data) > DocumentMost {
-		err = fmt.Errorf("document: %d bytes, at most are %d", len(data), DocumentMost)
+	if err == nil && len(data) > MaxDocumentBytes {
+		err = fmt.Errorf("document: %d bytes, at most are %d", len(data), MaxDocumentBytes)
 	}
 	return data, err
 }
 
-// Read reads a document in its canonical form, strictly: a field that this build does not know is one that it cannot follow.
+// Read parses a document. It rejects unknown fields, since this build cannot apply them.
 func Read(data json.RawMessage) (*Document, error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	var d Document
 	if err := dec.Decode(&d); err != nil {
 		if _, field, ok := strings.Cut(err.Error(), "unknown field "); ok {
-			return nil, wrong(strings.Trim(field, `"`), "this build does not know it")
+			return nil, fieldErrorf(strings.Trim(field, `"`), "this build does not know it")
 		}
 		return nil, fmt.Errorf("document: %w", err)
 	}
@@ -151,7 +152,7 @@
 	return &d, d.Check()
 }
 
-// Hash tells one document from another.
+// Hash returns the first 16 bytes of the SHA-256 of a canonical document, in hex.
 func Hash(data json.RawMessage) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:16])
--- a/internal/accord/gate.go
+++ b/internal/accord/gate.go
@@ -7,83 +7,84 @@
 	"wallflow/internal/invariant"
 )
 
-// Gate is what a relay goes by when it takes a message on: under which policy, or not at all. Times are the reader's own,
-// with a monotonic clock; no two machines' clocks are compared. Its methods may not be called at the same time.
+// Gate decides whether a relay accepts messages at a given time, and under which policy. All times are readings of the relay's
+// own monotonic clock; clocks of two machines are never compared. Its methods are not safe for concurrent use.
 type Gate struct {
-	follows  int64 // under which messages are taken on
-	known    bool  // there is one
-	next     int64 // that begins later
-	pending  bool  // there is one
-	begin    time.Time
-	promises []promise // of changes of which it is not known here what came of them, or that have not begun
+	current    int64 // policy under which messages are accepted
+	hasCurrent bool
+	next       int64 // sealed policy that begins at beginAt
+	hasNext    bool
+	beginAt    time.Time
+	promises   []promise // for changes whose outcome is unknown here, or whose policy has not begun
 }
 
+// promise is the relay's commitment to stop accepting messages under older policies.
 type promise struct {
 	number int64
-	stop   time.Time // nothing is taken on under an older policy from here on
+	stop   time.Time // from this time on nothing is accepted under an older policy
 }
 
-// Follow has the gate take messages on under a policy from a moment on; before, it goes on as it was, as far as its promises
-// reach. Told again, it begins at the earlier of the moments: each of them is late enough. A policy that is older than one that it
-// follows is not gone back to.
-func (g *Gate) Follow(number int64, begin time.Time) {
+// Follow makes the gate accept messages under a sealed policy from beginAt on. Until then it continues as before, within the limits
+// of its promises. If it is called again for the same policy, the earlier time counts: each of them is late enough. An older
+// policy than the current one is ignored.
+func (g *Gate) Follow(number int64, beginAt time.Time) {
 	switch {
-	case g.known && number <= g.follows || g.pending && number < g.next:
-	case g.pending && number == g.next:
-		if begin.Before(g.begin) {
-			g.begin = begin
+	case g.hasCurrent && number <= g.current || g.hasNext && number < g.next:
+	case g.hasNext && number == g.next:
+		if beginAt.Before(g.beginAt) {
+			g.beginAt = beginAt
 		}
 	default:
-		g.next, g.pending, g.begin = number, true, begin
+		g.next, g.hasNext, g.beginAt = number, true, beginAt
 	}
 }
 
-// Promise has the gate stop at a time, unless it has heard by then what came of a change. asked is a moment before anybody
-// could know of the promise. A second promise of the same change leaves the first one's time, and the promise of another change
-// does not reach further than one that is not over: the policy between them may not have begun here. It counts before the first
-// policy has begun here as well: a process that was let in a moment ago has promised all the same.
+// Promise makes the gate stop accepting messages at asked+hold, unless the outcome of the change is known by then. asked must be
+// before anyone else can know of the promise. A repeated promise of the same change keeps the first deadline, and a promise of
+// another change does not extend the deadline of an open one, because the policy between them may not have begun here. Promises
+// also count before the first policy has begun here: a process that was admitted a moment ago is bound by them as well.
 func (g *Gate) Promise(number int64, asked time.Time, hold time.Duration) {
-	if g.known && number <= g.follows || slices.Contains(g.Promised(), number) {
+	if g.hasCurrent && number <= g.current || slices.Contains(g.Promised(), number) {
 		return
 	}
 	g.promises = append(g.promises, promise{number, asked.Add(hold)})
 }
 
-// Dropped tells that a change is over, and that nobody follows it.
+// Dropped removes the promise of a change that was dropped.
 func (g *Gate) Dropped(number int64) {
 	g.promises = slices.DeleteFunc(g.promises, func(p promise) bool { return p.number == number })
 }
 
-// Follows is the policy that messages are taken on under, if any are; false: none is known.
-func (g *Gate) Follows(now time.Time) (number int64, known bool) {
+// Follows returns the current policy, even while nothing is accepted; false if none is known yet.
+func (g *Gate) Follows(now time.Time) (number int64, hasCurrent bool) {
 	g.Takes(now)
-	return g.follows, g.known
+	return g.current, g.hasCurrent
 }
 
-// Takes tells under which policy a message is taken on now; false: under none.
+// Takes returns the policy under which a message is accepted now; false if none is accepted.
 func (g *Gate) Takes(now time.Time) (number int64, ok bool) {
-	if g.pending && !now.Before(g.begin) {
-		invariant.Holds(invariant.GateRises, !g.known || g.next > g.follows, g.follows, g.next)
-		g.follows, g.known, g.pending = g.next, true, false
-		g.promises = slices.DeleteFunc(g.promises, func(p promise) bool { return p.number <= g.follows })
+	if g.hasNext && !now.Before(g.beginAt) {
+		invariant.Holds(invariant.GateRises, !g.hasCurrent || g.next > g.current, g.current, g.next)
+		g.current, g.hasCurrent, g.hasNext = g.next, true, false
+		g.promises = slices.DeleteFunc(g.promises, func(p promise) bool { return p.number <= g.current })
 	}
 	for _, p := range g.promises {
-		if !now.Before(p.stop) { // in doubt, or between the old policy and the new one
-			return g.follows, false
+		if !now.Before(p.stop) { // the outcome is unknown, or the new policy has not begun
+			return g.current, false
 		}
 	}
-	return g.follows, g.known
+	return g.current, g.hasCurrent
 }
 
-// Due is when a policy that is sealed begins; zero: none is to.
-func (g *Gate) Due() time.Time {
-	if g.pending {
-		return g.begin
+// BeginsAt returns when the next policy begins; zero if there is none.
+func (g *Gate) BeginsAt() time.Time {
+	if g.hasNext {
+		return g.beginAt
 	}
 	return time.Time{}
 }
 
-// Promised are the changes that were promised and are not over.
+// Promised returns the changes that have an open promise.
 func (g *Gate) Promised() (all []int64) {
 	for _, p := range g.promises {
 		all = append(all, p.number)
--- a/internal/accord/model_test.go
+++ b/internal/accord/model_test.go
@@ -10,96 +10,102 @@
 	"wallflow/internal/testkit"
 )
 
-// The model: the fleet's state, two agents with a relay each, and everything that can happen to them in every order, in steps of a
-// second. Requests, answers and words may be late or lost, agents and relays are killed at any point, and a change that all have
-// promised may be dropped all the same. What is checked is that no message is taken on under a policy after one has been under a
-// later one, and none under a policy that was dropped.
+// A model of the protocol: the service's state and two agents with a relay each, with every possible order of events, in steps of one
+// second. Requests, answers and replies may be late or lost, agents and relays may be killed at any point, and a change that all
+// have promised may still be dropped. The model checks that no message is accepted under a policy after one was accepted under a
+// later policy, and that none is accepted under a dropped policy.
 
 const (
-	modelPairs = 2
+	modelNodes = 2
 )
 
 var modelDocument = json.RawMessage(`{"form":1}`)
 
-// mistakes are planted one at a time: the model has to find each.
-type mistakes struct {
-	sealWithoutOne, doubtGoesOn, notSynced, staleSeal, beginsEarly, stopsLate bool
+// faults are injected one at a time. The model must detect each of them.
+type faults struct {
+	sealWithOneMissing, acceptsInDoubt, promiseNotSynced, staleLeaderSeals, beginsTooEarly, stopsTooLate bool
 }
 
-type pair struct {
-	ledger, disk *Ledger
-	answer       *News // on its way to the agent
-	asked        int   // when the agent asked for it
-	// the relay
-	up      bool
-	pid     int
-	gate    Gate
-	says    Says
-	word    *Word // on its way to the relay
-	have    Word
-	started int // when the relay's process last asked
+// node is an agent with its disk, the relay beside it and the messages in transit to both.
+type node struct {
+	ledger, disk    *Ledger
+	updateInTransit *ServiceUpdate // answer of the service on its way to the agent
+	askedAt         int            // time of the request
+	// The relay beside the agent.
+	relayRunning   bool
+	pid            int
+	gate           Gate
+	status         Says
+	replyInTransit *Word // reply of the agent on its way to the relay
+	lastReply      Word
+	lastAskedAt    int // time of the relay process's last request
 }
 
-// doer is handed each thing that can happen, and in how many draws it is drawn once.
-type doer func(rare int, f func(n *world) bool)
+// visitStep is called with each possible step. A random walk considers a step with probability 1/oneIn, so that rare events such as
+// kills do not dominate.
+type visitStep func(oneIn int, f func(n *simulation) bool)
 
-type world struct {
-	now, kills, proposed int
-	ticks, hold          int
-	instant              bool // words come at once
-	svc                  *State
-	promised, begins     int // by the service's clock
-	pairs                [modelPairs]pair
-	newest               int64 // highest policy that a message was taken on under
-	wrong                string
+// simulation is one state of the model. Times are in seconds since its start.
+type simulation struct {
+	now, killsLeft, proposals     int
+	endTime, holdSeconds          int
+	instantReplies                bool // replies arrive at once
+	service                       *State
+	lastPromiseAt, policyBeginsAt int // of the change in flight, and of the policy in force
+	nodes                         [modelNodes]node
+	newestAccepted                int64 // highest policy under which a message was accepted
+	violation                     string
 }
 
-func (w *world) clone() *world {
-	c := *w
-	c.svc = w.svc.Clone()
-	for i := range c.pairs {
-		p := &c.pairs[i]
+func (sim *simulation) clone() *simulation {
+	c := *sim
+	c.service = sim.service.Clone()
+	for i := range c.nodes {
+		p := &c.nodes[i]
 		p.ledger, p.disk = p.ledger.Clone(), p.disk.Clone()
 		p.gate.promises = append([]promise(nil), p.gate.promises...)
 	}
 	return &c
 }
 
-func second(n int) time.Time { return time.Unix(int64(1000+n), 0) }
+func atSecond(n int) time.Time { return time.Unix(int64(1000+n), 0) }
 
-// key tells worlds apart in all that matters for what can still happen.
-func (w *world) key() string {
-	k := fmt.Sprint(w.now, w.kills, w.proposed, w.newest, w.begins, w.svc.InForce.Number, w.svc.Last)
-	if w.svc.Change != nil {
-		k += fmt.Sprint(w.svc.Change.Phase, w.promised)
+// stateKey identifies a state: states with equal keys allow the same further steps.
+func (sim *simulation) stateKey() string {
+	k := fmt.Sprint(sim.now, sim.killsLeft, sim.proposals, sim.newestAccepted, sim.policyBeginsAt,
+		sim.service.InForce.Number, sim.service.Last)
+	if sim.service.Change != nil {
+		k += fmt.Sprint(sim.service.Change.Phase, sim.lastPromiseAt)
 	}
-	for _, x := range w.svc.All() {
+	for _, x := range sim.service.All() {
 		k += fmt.Sprint(x.Staged, x.Promised, x.Knows, x.Boot)
 	}
-	for i := range w.pairs {
-		p := &w.pairs[i]
-		k += fmt.Sprint("|", p.up, p.pid, p.says.Can, p.says.Promised, p.says.Follows, p.gate.follows, p.gate.known, p.gate.pending, p.gate.next, p.gate.begin.Unix())
+	for i := range sim.nodes {
+		p := &sim.nodes[i]
+		k += fmt.Sprint("|", p.relayRunning, p.pid, p.status.Can, p.status.Promised, p.status.Follows,
+			p.gate.current, p.gate.hasCurrent, p.gate.hasNext, p.gate.next, p.gate.beginAt.Unix())
 		for _, x := range p.gate.promises {
 			k += fmt.Sprint(x.number, x.stop.Unix())
 		}
 		for _, l := range []*Ledger{p.ledger, p.disk} {
-			k += fmt.Sprint("/", l.Known, l.InForce.Number, l.Begun, l.begin.Unix(), l.Decided, l.Promised, l.armed, len(l.Admitted), l.Boot)
+			k += fmt.Sprint("/", l.Known, l.InForce.Number, l.Begun, l.beginAt.Unix(), l.Decided, l.Promised, l.armed, len(l.Admitted), l.Boot)
 			if l.Staged != nil {
 				k += fmt.Sprint("s", l.Staged.Number)
 			}
 			for pid := 1; pid <= p.pid; pid++ {
-				if s, ok := l.says[Process{PID: pid}]; ok {
+				if s, ok := l.statuses[Process{PID: pid}]; ok {
 					k += fmt.Sprint(pid, s.Can, s.Promised)
 				}
 			}
 		}
-		if p.answer != nil {
-			k += fmt.Sprint("a", p.answer.InForce.Number, p.answer.BeginIn, p.answer.Decided, p.answer.Change != nil, p.asked)
-			if p.answer.Change != nil {
-				k += string(p.answer.Change.Phase)
+		if p.updateInTransit != nil {
+			k += fmt.Sprint("a", p.updateInTransit.InForce.Number, p.updateInTransit.BeginIn, p.updateInTransit.Decided,
+				p.updateInTransit.Change != nil, p.askedAt)
+			if p.updateInTransit.Change != nil {
+				k += string(p.updateInTransit.Change.Phase)
 			}
 		}
-		for _, x := range []*Word{p.word, &p.have} {
+		for _, x := range []*Word{p.replyInTransit, &p.lastReply} {
 			if x != nil {
 				k += fmt.Sprint("w", x.Admitted, x.Policy.Number, x.BeginInMS, x.Decided, x.Change != nil)
 				if x.Change != nil {
@@ -111,237 +117,241 @@
 	return k
 }
 
-func (p *pair) alive(x Process) bool { return p.up && x.PID == p.pid }
+func (p *node) isRunning(x Process) bool { return p.relayRunning && x.PID == p.pid }
 
-// save writes the ledger down, as the agent does before anybody hears of it.
-func (p *pair) save() { p.disk = p.ledger.Clone() }
+// save writes the ledger to disk, as the agent does before it reports or acts on a modification.
+func (p *node) save() { p.disk = p.ledger.Clone() }
 
-func (w *world) drop(number int64) {
-	w.svc.Apply(Op{Drop: &Drop{Number: number, Why: "model"}})
+func (sim *simulation) dropChange(number int64) {
+	sim.service.Apply(Op{Drop: &Drop{Number: number, Why: "model"}})
 }
 
-// steps are all that can happen next.
-func (w *world) steps(m mistakes, do doer) {
-	if w.now < w.ticks {
-		do(8, func(n *world) bool { n.now++; return true })
+// visitSteps visits all possible next steps.
+func (sim *simulation) visitSteps(injected faults, visit visitStep) {
+	if sim.now < sim.endTime {
+		visit(8, func(n *simulation) bool { n.now++; return true })
 	}
-	if w.proposed < 1 {
-		do(1, func(n *world) bool {
-			n.proposed++
-			_, err := n.svc.Apply(Op{Propose: &Propose{Document: modelDocument, HoldMS: int64(w.hold) * 1000, WithinMS: 1000}})
+	if sim.proposals < 1 {
+		visit(1, func(n *simulation) bool {
+			n.proposals++
+			_, err := n.service.Apply(Op{Propose: &Propose{Document: modelDocument, HoldMS: int64(sim.holdSeconds) * 1000, WithinMS: 1000}})
 			return err == nil
 		})
 	}
-	if c := w.svc.Change; c != nil {
-		do(1, func(n *world) bool {
-			_, err := n.svc.Apply(Op{Arm: c.Number})
+	if c := sim.service.Change; c != nil {
+		visit(1, func(n *simulation) bool {
+			_, err := n.service.Apply(Op{Arm: c.Number})
 			return err == nil
 		})
-		do(1, func(n *world) bool {
-			_, err := n.svc.Apply(Op{Seal: c.Number})
-			if missing := n.svc.Missing(); err != nil && m.sealWithoutOne && c.Phase == Armed && len(missing) == 1 {
-				n.svc.InForce, n.svc.HoldMS = c.Policy, c.HoldMS
-				n.svc.over(Outcome{Sealed: true})
+		visit(1, func(n *simulation) bool {
+			_, err := n.service.Apply(Op{Seal: c.Number})
+			if missing := n.service.Missing(); err != nil && injected.sealWithOneMissing && c.Phase == Armed && len(missing) == 1 {
+				n.service.InForce, n.service.HoldMS = c.Policy, c.HoldMS
+				n.service.finishChange(Outcome{Sealed: true})
 				err = nil
 			}
-			n.begins = n.promised + n.hold
+			n.policyBeginsAt = n.lastPromiseAt + n.holdSeconds
 			return err == nil
 		})
 		if c.Phase == Armed {
-			do(64, func(n *world) bool { n.drop(c.Number); return true })
+			visit(64, func(n *simulation) bool { n.dropChange(c.Number); return true })
 		}
 	}
-	if m.staleSeal && w.svc.Change == nil && w.svc.Last > w.svc.InForce.Number {
-		do(1, func(n *world) bool { // who led before seals what was dropped
-			n.svc.InForce = Policy{Number: w.svc.Last, Document: modelDocument}
-			n.begins = n.promised + n.hold
+	if injected.staleLeaderSeals && sim.service.Change == nil && sim.service.Last > sim.service.InForce.Number {
+		visit(1, func(n *simulation) bool { // a stale leader seals a dropped change
+			n.service.InForce = Policy{Number: sim.service.Last, Document: modelDocument}
+			n.policyBeginsAt = n.lastPromiseAt + n.holdSeconds
 			return true
 		})
 	}
-	for i := range w.pairs {
-		w.agentSteps(i, m, do)
-		w.relaySteps(i, m, do)
+	for i := range sim.nodes {
+		sim.visitAgentSteps(i, injected, visit)
+		sim.visitRelaySteps(i, injected, visit)
 	}
 }
 
-func (w *world) agentSteps(i int, m mistakes, do doer) {
-	// It promises where it may, and reports; the answer that was on its way before is lost.
-	do(1, func(n *world) bool {
-		p := &n.pairs[i]
-		if p.ledger.Promise(p.alive) && !m.notSynced {
+// visitAgentSteps visits the steps of one agent: report, receive the answer, crash.
+func (sim *simulation) visitAgentSteps(i int, injected faults, visit visitStep) {
+	// The agent promises if it can, and reports. An earlier answer still in transit is lost.
+	visit(1, func(n *simulation) bool {
+		p := &n.nodes[i]
+		if p.ledger.TryPromise(p.isRunning) && !injected.promiseNotSynced {
 			p.save()
 		}
-		r := p.ledger.Report(fmt.Sprint("n", i), "", "", p.alive)
-		before := n.svc.Sessions[r.ID].Promised
-		if _, err := n.svc.Apply(Op{Report: &r}); err != nil {
+		r := p.ledger.SessionReport(fmt.Sprint("n", i), "", "", p.isRunning)
+		before := n.service.Sessions[r.ID].Promised
+		if _, err := n.service.Apply(Op{Report: &r}); err != nil {
 			return false
 		}
-		if n.svc.Sessions[r.ID].Promised != before {
-			n.promised = n.now
+		if n.service.Sessions[r.ID].Promised != before {
+			n.lastPromiseAt = n.now
 		}
-		a := &News{Epoch: n.svc.Epoch, InForce: n.svc.InForce, BeginIn: time.Duration(max(0, n.begins-n.now)) * time.Second, HoldMS: n.svc.HoldMS, Decided: n.svc.Decided()}
-		if n.svc.Change != nil {
-			c := *n.svc.Change
+		a := &ServiceUpdate{Epoch: n.service.Epoch, InForce: n.service.InForce,
+			BeginIn: time.Duration(max(0, n.policyBeginsAt-n.now)) * time.Second, HoldMS: n.service.HoldMS, Decided: n.service.Decided()}
+		if n.service.Change != nil {
+			c := *n.service.Change
 			a.Change = &c
 		}
-		p.answer, p.asked = a, n.now
+		p.updateInTransit, p.askedAt = a, n.now
 		return true
 	})
-	if w.pairs[i].answer != nil {
-		do(1, func(n *world) bool {
-			p := &n.pairs[i]
-			a := *p.answer
-			p.answer = nil
-			a.At = second(n.now)
-			if m.beginsEarly {
-				a.BeginIn -= time.Duration(n.hold) * time.Second
+	if sim.nodes[i].updateInTransit != nil {
+		visit(1, func(n *simulation) bool {
+			p := &n.nodes[i]
+			a := *p.updateInTransit
+			p.updateInTransit = nil
+			a.ReceivedAt = atSecond(n.now)
+			if injected.beginsTooEarly {
+				a.BeginIn -= time.Duration(n.holdSeconds) * time.Second
 			}
-			if err := p.ledger.Tell(a); err != nil {
-				n.wrong = err.Error()
+			if err := p.ledger.ApplyUpdate(a); err != nil {
+				n.violation = err.Error()
 			}
-			p.ledger.Begin(second(n.now))
-			if !m.notSynced || p.ledger.Promised == 0 {
+			p.ledger.MarkBegun(atSecond(n.now))
+			if !injected.promiseNotSynced || p.ledger.Promised == 0 {
 				p.save()
 			}
 			return true
 		})
 	}
-	if w.kills > 0 {
-		do(8, func(n *world) bool {
-			n.kills--
-			p := &n.pairs[i]
-			p.ledger, p.answer, p.word = p.disk.Clone(), nil, nil
-			p.ledger.Start(second(n.now))
+	if sim.killsLeft > 0 {
+		visit(8, func(n *simulation) bool { // the agent is killed and restarts from its disk
+			n.killsLeft--
+			p := &n.nodes[i]
+			p.ledger, p.updateInTransit, p.replyInTransit = p.disk.Clone(), nil, nil
+			p.ledger.Start(atSecond(n.now))
 			p.save()
 			return true
 		})
 	}
 }
 
-func (w *world) relaySteps(i int, m mistakes, do doer) {
-	if !w.pairs[i].up {
+// visitRelaySteps visits the steps of one relay: exchange status and reply, receive a message, crash.
+func (sim *simulation) visitRelaySteps(i int, injected faults, visit visitStep) {
+	if !sim.nodes[i].relayRunning {
 		return
 	}
-	// Its process says what there is to say, and the agent answers; the word that was on its way before is lost.
-	do(1, func(n *world) bool {
-		p := &n.pairs[i]
-		p.started = n.now
-		if c := p.have.Change; c != nil && c.Phase == Armed && p.says.Can == c.Number && p.says.Promised != c.Number {
-			asked := second(n.now)
-			if m.stopsLate {
-				asked = asked.Add(time.Duration(n.hold) * time.Second)
+	// The relay process sends its status, and the agent replies. An earlier reply still in transit is lost.
+	visit(1, func(n *simulation) bool {
+		p := &n.nodes[i]
+		p.lastAskedAt = n.now
+		if c := p.lastReply.Change; c != nil && c.Phase == Armed && p.status.Can == c.Number && p.status.Promised != c.Number {
+			asked := atSecond(n.now)
+			if injected.stopsTooLate {
+				asked = asked.Add(time.Duration(n.holdSeconds) * time.Second)
 			}
-			p.gate.Promise(c.Number, asked, time.Duration(n.hold)*time.Second)
-			p.says.Promised = c.Number
+			p.gate.Promise(c.Number, asked, time.Duration(n.holdSeconds)*time.Second)
+			p.status.Promised = c.Number
 		}
-		p.ledger.Begin(second(n.now))
-		p.ledger.Hear(p.says)
-		if p.ledger.Admit(p.says.Process, second(n.now), p.alive) {
+		p.ledger.MarkBegun(atSecond(n.now))
+		p.ledger.RecordStatus(p.status)
+		if p.ledger.Admit(p.status.Process, atSecond(n.now), p.isRunning) {
 			p.save()
 		}
-		word := p.ledger.Word(p.says.Process, second(n.now))
-		if p.word = &word; n.instant {
-			n.heard(p)
+		reply := p.ledger.ReplyTo(p.status.Process, atSecond(n.now))
+		if p.replyInTransit = &reply; n.instantReplies {
+			n.deliverReply(p)
 		}
 		return true
 	})
-	if w.pairs[i].word != nil {
-		do(1, func(n *world) bool { n.heard(&n.pairs[i]); return true })
+	if sim.nodes[i].replyInTransit != nil {
+		visit(1, func(n *simulation) bool { n.deliverReply(&n.nodes[i]); return true })
 	}
-	// A message is taken on, or not.
-	do(1, func(n *world) bool {
-		p := &n.pairs[i]
-		number, ok := p.gate.Takes(second(n.now))
-		if m.doubtGoesOn {
-			ok = p.gate.known
+	// A message arrives, and the relay accepts it or not.
+	visit(1, func(n *simulation) bool {
+		p := &n.nodes[i]
+		number, ok := p.gate.Takes(atSecond(n.now))
+		if injected.acceptsInDoubt {
+			ok = p.gate.hasCurrent
 		}
-		p.says.Follows = number
+		p.status.Follows = number
 		if !ok {
 			return false
 		}
 		switch {
-		case number < n.newest:
-			n.wrong = fmt.Sprintf("a message is taken on under policy %d, after one under %d", number, n.newest)
-		case number > 0 && number != n.svc.InForce.Number && n.svc.Change == nil:
-			n.wrong = fmt.Sprintf("a message is taken on under policy %d, which was dropped", number)
+		case number < n.newestAccepted:
+			n.violation = fmt.Sprintf("a message is accepted under policy %d after one under policy %d", number, n.newestAccepted)
+		case number > 0 && number != n.service.InForce.Number && n.service.Change == nil:
+			n.violation = fmt.Sprintf("a message is accepted under policy %d, which was dropped", number)
 		}
-		n.newest = max(n.newest, number)
+		n.newestAccepted = max(n.newestAccepted, number)
 		return true
 	})
-	if w.kills > 0 {
-		do(8, func(n *world) bool { // another process comes in its place
-			n.kills--
-			p := &n.pairs[i]
+	if sim.killsLeft > 0 {
+		visit(8, func(n *simulation) bool { // the relay process is killed and replaced by another
+			n.killsLeft--
+			p := &n.nodes[i]
 			p.pid++
-			p.gate, p.says, p.word, p.have = Gate{}, Says{Process: Process{PID: p.pid}, Follows: -1}, nil, Word{}
+			p.gate, p.status, p.replyInTransit, p.lastReply = Gate{}, Says{Process: Process{PID: p.pid}, Follows: -1}, nil, Word{}
 			return true
 		})
 	}
 }
 
-// heard has the word come that is on its way to a relay.
-func (w *world) heard(p *pair) {
-	x := *p.word
-	p.word, p.have = nil, x
-	if x.Admitted {
-		p.gate.Follow(x.Policy.Number, second(w.now).Add(time.Duration(x.BeginInMS)*time.Millisecond))
+// deliverReply delivers the reply in transit to a node's relay.
+func (sim *simulation) deliverReply(p *node) {
+	reply := *p.replyInTransit
+	p.replyInTransit, p.lastReply = nil, reply
+	if reply.Admitted {
+		p.gate.Follow(reply.Policy.Number, atSecond(sim.now).Add(time.Duration(reply.BeginInMS)*time.Millisecond))
 	}
 	for _, c := range p.gate.Promised() {
-		if c <= x.Decided && c > x.Policy.Number {
+		if c <= reply.Decided && c > reply.Policy.Number {
 			p.gate.Dropped(c)
 		}
 	}
-	if x.Change != nil {
-		p.says.Can = x.Change.Number
+	if reply.Change != nil {
+		p.status.Can = reply.Change.Number
 	}
 }
 
-// begin is a fleet that goes by its own configurations, whose second relay may be down.
-func begin(kills, ticks, hold int, instant, second2 bool) *world {
-	w := &world{kills: kills, ticks: ticks, hold: hold, instant: instant, svc: New("e")}
-	for i := range w.pairs {
-		p := &w.pairs[i]
+// newSimulation returns a fleet without a policy. Without secondRelay, the second relay does not run.
+func newSimulation(kills, endTime, holdSeconds int, instantReplies, secondRelay bool) *simulation {
+	sim := &simulation{killsLeft: kills, endTime: endTime, holdSeconds: holdSeconds, instantReplies: instantReplies, service: New("e")}
+	for i := range sim.nodes {
+		p := &sim.nodes[i]
 		p.ledger = &Ledger{ID: fmt.Sprint("id", i)}
-		p.ledger.Start(second(0))
-		p.up = i == 0 || second2
-		p.pid, p.says = 1, Says{Process: Process{PID: 1}, Follows: -1}
-		r := p.ledger.Report(fmt.Sprint("n", i), "", "", p.alive)
-		w.svc.Apply(Op{Report: &r})
-		if err := p.ledger.Tell(News{Epoch: "e", At: second(0)}); err != nil {
+		p.ledger.Start(atSecond(0))
+		p.relayRunning = i == 0 || secondRelay
+		p.pid, p.status = 1, Says{Process: Process{PID: 1}, Follows: -1}
+		r := p.ledger.SessionReport(fmt.Sprint("n", i), "", "", p.isRunning)
+		sim.service.Apply(Op{Report: &r})
+		if err := p.ledger.ApplyUpdate(ServiceUpdate{Epoch: "e", ReceivedAt: atSecond(0)}); err != nil {
 			panic(err)
 		}
-		p.ledger.Begin(second(0))
-		if p.up {
-			p.ledger.Admit(p.says.Process, second(0), p.alive)
-			p.gate.Follow(0, second(0))
-			p.gate.Takes(second(0))
-			p.says.Follows = 0
-			p.ledger.Hear(p.says)
-			p.have = p.ledger.Word(p.says.Process, second(0))
+		p.ledger.MarkBegun(atSecond(0))
+		if p.relayRunning {
+			p.ledger.Admit(p.status.Process, atSecond(0), p.isRunning)
+			p.gate.Follow(0, atSecond(0))
+			p.gate.Takes(atSecond(0))
+			p.status.Follows = 0
+			p.ledger.RecordStatus(p.status)
+			p.lastReply = p.ledger.ReplyTo(p.status.Process, atSecond(0))
 		}
 		p.save()
 	}
-	return w
+	return sim
 }
 
-// explore goes through all that can happen from a world on; whole: it came to the end of it.
-func explore(first *world, m mistakes, most int) (states int, whole bool, wrong string) {
-	const together = 512 // worlds whose next steps are taken side by side
-	seen := map[string]bool{first.key(): true}
-	for line := []*world{first}; len(line) > 0; {
-		round := line[:min(together, len(line))]
-		line = line[len(round):]
-		for _, next := range successorsOf(round, m) {
+// exploreStates searches all states reachable from first, breadth first. complete reports whether it visited all of them within
+// maxStates.
+func exploreStates(first *simulation, injected faults, maxStates int) (states int, complete bool, violation string) {
+	const batchSize = 512 // states expanded in parallel
+	seen := map[string]bool{first.stateKey(): true}
+	for queue := []*simulation{first}; len(queue) > 0; {
+		batch := queue[:min(batchSize, len(queue))]
+		queue = queue[len(batch):]
+		for _, next := range successorsOf(batch, injected) {
 			for _, n := range next {
-				if n.wrong != "" {
-					return len(seen), false, n.wrong
+				if n.violation != "" {
+					return len(seen), false, n.violation
 				}
-				if !seen[n.name] {
-					seen[n.name] = true
-					line = append(line, n.world)
+				if !seen[n.key] {
+					seen[n.key] = true
+					queue = append(queue, n.simulation)
 				}
 			}
-			if len(seen) > most {
+			if len(seen) > maxStates {
 				return len(seen), false, ""
 			}
 		}
@@ -349,57 +359,58 @@
 	return len(seen), true, ""
 }
 
-// successor is a world after one more step, with its key.
+// successor is a state after one more step, with its key.
 type successor struct {
-	*world
-	name string
+	*simulation
+	key string
 }
 
-// successorsOf takes every step from each of some worlds.
-func successorsOf(round []*world, m mistakes) [][]successor {
-	all := make([][]successor, len(round))
-	testkit.Each(len(round), func(index int) {
-		all[index] = successors(round[index], m)
+// successorsOf returns the successors of each state, computed in parallel.
+func successorsOf(states []*simulation, injected faults) [][]successor {
+	all := make([][]successor, len(states))
+	testkit.Each(len(states), func(index int) {
+		all[index] = successors(states[index], injected)
 	})
 	return all
 }
 
-func successors(from *world, m mistakes) []successor {
+func successors(from *simulation, injected faults) []successor {
 	var all []successor
-	from.steps(m, func(_ int, f func(n *world) bool) {
+	from.visitSteps(injected, func(_ int, f func(n *simulation) bool) {
 		if n := from.clone(); f(n) {
-			all = append(all, successor{world: n, name: n.key()})
+			all = append(all, successor{simulation: n, key: n.stateKey()})
 		}
 	})
 	return all
 }
 
-// walk goes one way through it, drawn from a seed.
-func walk(w *world, m mistakes, rng *rand.Rand, steps int) string {
-	var all []func(n *world) bool
+// randomWalk executes random steps until one violates a property, and returns the violation.
+func randomWalk(sim *simulation, injected faults, rng *rand.Rand, steps int) string {
+	var all []func(n *simulation) bool
 	for range steps {
 		all = all[:0]
-		w.steps(m, func(rare int, f func(n *world) bool) {
-			if rng.IntN(rare) == 0 {
+		sim.visitSteps(injected, func(oneIn int, f func(n *simulation) bool) {
+			if rng.IntN(oneIn) == 0 {
 				all = append(all, f)
 			}
 		})
 		if len(all) == 0 {
 			continue
 		}
-		if all[rng.IntN(len(all))](w); w.wrong != "" {
-			return w.wrong
+		if all[rng.IntN(len(all))](sim); sim.violation != "" {
+			return sim.violation
 		}
 	}
 	return ""
 }
 
-func TestEveryOrderOfAChange(t *testing.T) {
+// All states that are reachable within a few seconds are checked.
+func TestEveryInterleavingOfAChange(t *testing.T) {
 	for _, c := range []struct {
 		about        string
 		kills, ticks int
-		second2      bool
-		most         int
+		secondRelay  bool
+		maxStates    int
 	}{
 		{"both relays run", 0, 2, true, 400_000},
 		{"one relay runs", 0, 3, false, 400_000},
@@ -407,29 +418,29 @@
 	} {
 		t.Run(c.about, func(t *testing.T) {
 			t.Parallel()
-			states, whole, wrong := explore(begin(c.kills, c.ticks, 1, true, c.second2), mistakes{}, c.most)
-			t.Logf("%s, %d s: %d states, all of them %v", c.about, c.ticks, states, whole)
+			states, whole, wrong := exploreStates(newSimulation(c.kills, c.ticks, 1, true, c.secondRelay), faults{}, c.maxStates)
+			t.Logf("%s, %d s: %d states, complete: %v", c.about, c.ticks, states, whole)
 			if wrong != "" || !whole {
-				t.Errorf("%s: %s; all states seen: %v", c.about, wrong, whole)
+				t.Errorf("%s: %s; complete: %v", c.about, wrong, whole)
 			}
 		})
 	}
 }
 
 const (
-	walks     = 20_000
-	walkSteps = 120
+	randomWalks     = 20_000
+	randomWalkSteps = 120
 )
 
-// Longer ways than can all be gone, drawn: words that are late too, two kills, two changes' time.
-func TestDrawnOrdersOfAChange(t *testing.T) {
+// Random walks cover runs too long to explore completely: with delayed replies, two kills and time for two changes.
+func TestRandomInterleavingsOfAChange(t *testing.T) {
 	const parts = 8
 	for part := range uint64(parts) {
 		t.Run(fmt.Sprintf("part %d", part), func(t *testing.T) {
 			t.Parallel()
-			for seed := part; seed < walks; seed += parts {
+			for seed := part; seed < randomWalks; seed += parts {
 				rng := rand.New(rand.NewPCG(seed, 1))
-				if wrong := walk(begin(2, 6, 2, false, seed%4 != 0), mistakes{}, rng, walkSteps); wrong != "" {
+				if wrong := randomWalk(newSimulation(2, 6, 2, false, seed%4 != 0), faults{}, rng, randomWalkSteps); wrong != "" {
 					t.Fatalf("seed %d: %s", seed, wrong)
 				}
 			}
@@ -437,59 +448,60 @@
 	}
 }
 
-// armed is a fleet whose relays all run, and which is asked to promise.
-func armed(kills int) *world {
-	w := begin(kills, 3, 1, true, true)
-	w.proposed++
-	w.svc.Apply(Op{Propose: &Propose{Document: modelDocument, HoldMS: 1000, WithinMS: 1000}})
+// newArmedSimulation returns a fleet with both relays running and an armed change.
+func newArmedSimulation(kills int) *simulation {
+	sim := newSimulation(kills, 3, 1, true, true)
+	sim.proposals++
+	sim.service.Apply(Op{Propose: &Propose{Document: modelDocument, HoldMS: 1000, WithinMS: 1000}})
 	for round := range 4 {
 		if round == 3 {
-			if _, err := w.svc.Apply(Op{Arm: 1}); err != nil {
+			if _, err := sim.service.Apply(Op{Arm: 1}); err != nil {
 				panic(err)
 			}
 		}
-		for i := range w.pairs { // each first thing that an agent or a relay can do is to ask
-			for _, steps := range []func(int, mistakes, doer){w.agentSteps, w.agentSteps, w.relaySteps} {
-				var all []func(n *world) bool
-				steps(i, mistakes{}, func(_ int, f func(n *world) bool) { all = append(all, f) })
+		for i := range sim.nodes { // the first step of each agent or relay is its request
+			for _, steps := range []func(int, faults, visitStep){sim.visitAgentSteps, sim.visitAgentSteps, sim.visitRelaySteps} {
+				var all []func(n *simulation) bool
+				steps(i, faults{}, func(_ int, f func(n *simulation) bool) { all = append(all, f) })
 				f := all[0]
-				if w.pairs[i].answer != nil && len(all) > 1 {
+				if sim.nodes[i].updateInTransit != nil && len(all) > 1 {
 					f = all[1]
 				}
-				f(w)
+				f(sim)
 			}
 		}
 	}
-	return w
+	return sim
 }
 
-func TestTheModelFindsPlantedMistakes(t *testing.T) {
-	if c := armed(0).svc.Change; c == nil || c.Phase != Armed {
-		t.Fatalf("the fleet is not asked to promise: %+v", c)
+// Each injected fault must lead to a violation, and the unmodified protocol to none.
+func TestModelFindsInjectedFaults(t *testing.T) {
+	if c := newArmedSimulation(0).service.Change; c == nil || c.Phase != Armed {
+		t.Fatalf("the change is not armed: %+v", c)
 	}
 	for name, c := range map[string]struct {
-		m     mistakes
+		m     faults
 		kills int
 	}{
-		"none":                               {mistakes{}, 1},
-		"seal without one promise":           {mistakes{sealWithoutOne: true}, 0},
-		"a relay in doubt goes on":           {mistakes{doubtGoesOn: true}, 0},
-		"a promise is not synced":            {mistakes{notSynced: true}, 2},
-		"a stale leader's seal":              {mistakes{staleSeal: true}, 0},
-		"a policy begins before all stopped": {mistakes{beginsEarly: true}, 0},
-		"a relay counts from its answer":     {mistakes{stopsLate: true}, 0},
+		"none":                               {faults{}, 1},
+		"seal with a promise missing":        {faults{sealWithOneMissing: true}, 0},
+		"a relay accepts in doubt":           {faults{acceptsInDoubt: true}, 0},
+		"a promise is not on disk":           {faults{promiseNotSynced: true}, 2},
+		"a stale leader seals":               {faults{staleLeaderSeals: true}, 0},
+		"a policy begins before all stopped": {faults{beginsTooEarly: true}, 0},
+		"a relay counts its hold time late":  {faults{stopsTooLate: true}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			// The nearest states, and where that is not far enough ways that are drawn.
-			states, _, wrong := explore(armed(c.kills), c.m, 30_000)
-			first := armed(c.kills)
-			for seed := uint64(0); wrong == "" && seed < walks; seed++ {
-				wrong = walk(first.clone(), c.m, rand.New(rand.NewPCG(seed, 2)), walkSteps/2)
+			// Explore the nearest states first, then use random walks.
+			states, _, wrong := exploreStates(newArmedSimulation(c.kills), c.m, 30_000)
+			first := newArmedSimulation(c.kills)
+			for seed := uint64(0); wrong == "" && seed < randomWalks; seed++ {
+				wrong = randomWalk(first.clone(), c.m, rand.New(rand.NewPCG(seed, 2)), randomWalkSteps/2)
 			}
 			t.Logf("after %d states: %s", states, wrong)
-			if (wrong == "") != (c.m == mistakes{}) {
-				t.Errorf("found %q in %d states", wrong, states)
+			if (wrong == "") != (c.m == faults{}) {
+				t.Errorf("violation %q after %d states", wrong, states)
 			}
 		})
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -30,9 +30,9 @@
 	return catalog.Entry{ID: id, Addr: "127.0.0.1:9", Zone: "a", Kind: "m", Cell: 1, State: catalog.Ready, Weight: weight}
 }
 
-// However the mirror follows the catalog, and however relays follow the mirror, all end with the catalog's list; and no line shows
-// an entry that is not as it stands.
-func TestAnyWayOfFollowingEndsWithTheList(t *testing.T) {
+// Whatever the order in which the mirror follows the catalog and relays follow the mirror, over restarts of the agent, all end with
+// the catalog's list.
+func TestMirrorAndRelaysConvergeOnTheCatalog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cat := catalog.New("c1", 8)
 		m := NewMirror()
@@ -45,7 +45,7 @@
 		}
 		follow := func() {
 			if l, changed := cat.Since(m.Version()); changed {
-				if _, err := m.Take("c1", l, ""); err != nil {
+				if _, err := m.Apply("c1", l, ""); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -63,7 +63,7 @@
 				follow()
 			case 4:
 				listen(rapid.IntRange(0, len(relays)-1).Draw(t, "relay"))
-			case 5: // the agent starts again, from what it kept
+			case 5: // the agent restarts from its saved list
 				n := NewMirror()
 				if s := m.save(); s.List != "" {
 					if err := n.load(s); err != nil {
@@ -81,13 +81,13 @@
 		for i := range relays {
 			listen(i)
 			if !maps.EqualFunc(relays[i], want, catalog.Entry.Equal) || versions[i] != cat.Version() {
-				t.Fatalf("relay %d has %v at version %d, the list is %v at %d", i, relays[i], versions[i], want, cat.Version())
+				t.Fatalf("relay %d has %v at version %d, want %v at %d", i, relays[i], versions[i], want, cat.Version())
 			}
 		}
 	})
 }
 
-func TestLinesThatAreNotTakenOn(t *testing.T) {
+func TestMirrorRefusesLines(t *testing.T) {
 	m := NewMirror()
 	whole := func(version int64, n int) catalog.List {
 		l := catalog.List{Version: version, Full: true}
@@ -96,10 +96,10 @@
 		}
 		return l
 	}
-	if _, err := m.Take("c1", catalog.List{Version: 3}, ""); !errors.Is(err, ErrPart) {
-		t.Errorf("changes to nothing: %v", err)
+	if _, err := m.Apply("c1", catalog.List{Version: 3}, ""); !errors.Is(err, ErrPartialList) {
+		t.Errorf("changes without a list: %v", err)
 	}
-	if changed, err := m.Take("c1", whole(5, 10), ""); err != nil || !changed {
+	if changed, err := m.Apply("c1", whole(5, 10), ""); err != nil || !changed {
 		t.Fatal(changed, err)
 	}
 	for _, c := range []struct {
@@ -107,31 +107,32 @@
 		l    catalog.List
 		want error
 	}{
-		{"c1", whole(4, 10), ErrBehind}, {"c1", catalog.List{Version: 4}, ErrBehind}, {"c2", catalog.List{Version: 6}, ErrPart},
+		{"c1", whole(4, 10), ErrBehind}, {"c1", catalog.List{Version: 4}, ErrBehind}, {"c2", catalog.List{Version: 6}, ErrPartialList},
 		{"c2", whole(1, 0), ErrShrunk}, {"c2", whole(99, 4), ErrShrunk},
 	} {
-		if _, err := m.Take(c.list, c.l, ""); !errors.Is(err, c.want) || m.List() != "c1" || m.Version() != 5 || m.Len() != 10 {
-			t.Errorf("%s %+v: %v; held is version %d of %s", c.list, c.l, err, m.Version(), m.List())
+		if _, err := m.Apply(c.list, c.l, ""); !errors.Is(err, c.want) || m.List() != "c1" || m.Version() != 5 || m.Len() != 10 {
+			t.Errorf("%s %+v: %v; the mirror has version %d of %s", c.list, c.l, err, m.Version(), m.List())
 		}
 	}
-	if changed, err := m.Take("c2", whole(2, 5), ""); err != nil || !changed || m.List() != "c2" {
-		t.Errorf("half of it: %v %v", changed, err)
+	if changed, err := m.Apply("c2", whole(2, 5), ""); err != nil || !changed || m.List() != "c2" {
+		t.Errorf("a list of half the size: %v %v", changed, err)
 	}
 	if l, changed := m.Since(5); !changed || !l.Full || l.Version != 2 {
-		t.Errorf("who had another list gets %+v", l)
+		t.Errorf("a relay with another list gets %+v", l)
 	}
-	if changed, err := m.Take("c3", whole(1, 0), "c3"); err != nil || !changed || m.Len() != 0 {
-		t.Errorf("a person said so: %v %v", changed, err)
+	if changed, err := m.Apply("c3", whole(1, 0), "c3"); err != nil || !changed || m.Len() != 0 {
+		t.Errorf("a forced list: %v %v", changed, err)
 	}
-	if changed, err := m.Take("c3", whole(1, 0), ""); err != nil || changed {
-		t.Errorf("the same again: %v %v", changed, err)
+	if changed, err := m.Apply("c3", whole(1, 0), ""); err != nil || changed {
+		t.Errorf("the same line again: %v %v", changed, err)
 	}
 }
 
-// newService is a list server.
+// newService starts a list server.
 func newService(t *testing.T) *listsvc.Server {
 	t.Helper()
-	l, err := listsvc.Open(listsvc.Options{Name: "l0", Dir: t.TempDir(), Listen: "127.0.0.1:0", Raft: "127.0.0.1:0", Beat: 200 * time.Millisecond})
+	l, err := listsvc.Open(listsvc.Options{Name: "l0", Dir: t.TempDir(), Listen: "127.0.0.1:0",
+		Raft: "127.0.0.1:0", Beat: 200 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +148,7 @@
 	return l
 }
 
-func put(t *testing.T, addr, id string, remove bool) {
+func writeEntry(t *testing.T, addr, id string, remove bool) {
 	t.Helper()
 	eventually(t, "a write of "+id, func() bool {
 		method, body := http.MethodPut, `{"addr":"127.0.0.1:9","zone":"a","kind":"m","cell":1,"state":"ready","weight":1,"started_ms":0}`
@@ -167,22 +168,22 @@
 	})
 }
 
-func eventually(t *testing.T, what string, is func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("never: " + what)
 		}
 	}
 }
 
-// running is an agent that runs.
-type running struct {
+// runningAgent is an agent that is running, with a function to stop it.
+type runningAgent struct {
 	*Agent
 	stop func()
 }
 
-func run(t *testing.T, o Options) *running {
+func startAgent(t *testing.T, o Options) *runningAgent {
 	t.Helper()
 	o.Listen = "127.0.0.1:0"
 	a, err := Open(o)
@@ -202,10 +203,10 @@
 		})
 	}
 	t.Cleanup(stop)
-	return &running{a, stop}
+	return &runningAgent{a, stop}
 }
 
-func ids(t *testing.T, addr string) (all []string) {
+func listedIDs(t *testing.T, addr string) (all []string) {
 	t.Helper()
 	res, err := http.Get("http://" + addr + "/catalog/members")
 	if err != nil {
@@ -225,24 +226,24 @@
 	return all
 }
 
-// An agent serves what the service told, goes on with it where the service is away, also from disk alone, and says what changed
-// meanwhile once it is back.
-func TestTheListOutlivesTheService(t *testing.T) {
+// An agent serves the service's list, continues from disk while the service is unreachable, and streams what changed in the meantime
+// once the service is back.
+func TestListIsServedWithoutTheService(t *testing.T) {
 	l := newService(t)
-	put(t, l.Addr(), "s-1", false)
-	put(t, l.Addr(), "s-2", false)
+	writeEntry(t, l.Addr(), "s-1", false)
+	writeEntry(t, l.Addr(), "s-2", false)
 	dir := t.TempDir()
-	a := run(t, Options{Dir: dir, Servers: []string{"127.0.0.1:1", l.Addr()}, Seed: 1})
-	eventually(t, "the list", func() bool { return len(ids(t, a.Addr())) == 2 })
+	a := startAgent(t, Options{Dir: dir, Servers: []string{"127.0.0.1:1", l.Addr()}, Seed: 1})
+	eventually(t, "the list", func() bool { return len(listedIDs(t, a.Addr())) == 2 })
 	a.stop()
-	a = run(t, Options{Dir: dir, Servers: []string{"127.0.0.1:1"}, Seed: 2}) // nobody is there
-	if got := ids(t, a.Addr()); !slices.Equal(got, []string{"s-1", "s-2"}) {
-		t.Errorf("from disk alone: %v", got)
+	a = startAgent(t, Options{Dir: dir, Servers: []string{"127.0.0.1:1"}, Seed: 2}) // no server is reachable
+	if got := listedIDs(t, a.Addr()); !slices.Equal(got, []string{"s-1", "s-2"}) {
+		t.Errorf("list from disk: %v", got)
 	}
 	a.stop()
-	put(t, l.Addr(), "s-1", true)
-	put(t, l.Addr(), "s-3", false)
-	a = run(t, Options{Dir: dir, Servers: []string{l.Addr(), "127.0.0.1:1"}, Seed: 3})
+	writeEntry(t, l.Addr(), "s-1", true)
+	writeEntry(t, l.Addr(), "s-3", false)
+	a = startAgent(t, Options{Dir: dir, Servers: []string{l.Addr(), "127.0.0.1:1"}, Seed: 3})
 	version := a.Report().Version
 	res, err := http.Get(fmt.Sprintf("http://%s/catalog/members?stream=1&index=%d", a.Addr(), version))
 	if err != nil {
@@ -262,73 +263,73 @@
 		states[e.ID] = e.State
 	}
 	if got.Full || states["s-1"] != catalog.Gone || states["s-3"] != catalog.Ready || len(states) != 2 {
-		t.Errorf("who had version %d was told %+v", version, got)
+		t.Errorf("a relay with version %d received %+v", version, got)
 	}
 	if r := a.Report(); r.Following != l.Addr() || r.Watches != 1 || r.HeardMS < 0 {
 		t.Errorf("%+v", r)
 	}
 }
 
-func TestAFolderHasOneAgent(t *testing.T) {
+func TestFolderIsLockedByOneAgent(t *testing.T) {
 	o := Options{Dir: t.TempDir(), Servers: []string{"127.0.0.1:1"}}
-	a := run(t, o)
+	a := startAgent(t, o)
 	o.Listen = "127.0.0.1:0"
 	if _, err := Open(o); err == nil || !strings.Contains(err.Error(), "another agent has it") {
 		t.Errorf("%v", err)
 	}
 	a.stop()
-	run(t, o).stop()
+	startAgent(t, o).stop()
 }
 
-// A kept list that was damaged is set aside, and asked for whole.
-func TestADamagedListIsSetAside(t *testing.T) {
+// A damaged list file is renamed, and the agent requests the whole list again.
+func TestDamagedListIsSetAside(t *testing.T) {
 	l := newService(t)
-	put(t, l.Addr(), "s-1", false)
+	writeEntry(t, l.Addr(), "s-1", false)
 	dir := t.TempDir()
-	a := run(t, Options{Dir: dir, Servers: []string{l.Addr()}})
-	eventually(t, "the list", func() bool { return len(ids(t, a.Addr())) == 1 })
+	a := startAgent(t, Options{Dir: dir, Servers: []string{l.Addr()}})
+	eventually(t, "the list", func() bool { return len(listedIDs(t, a.Addr())) == 1 })
 	a.stop()
 	path := filepath.Join(dir, listFile)
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range whole { // any byte
+	for i := range whole { // damage each byte in turn
 		spoilt := slices.Clone(whole)
 		spoilt[i] ^= 1
 		if err := os.WriteFile(path, spoilt, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		b := &Agent{o: Options{Dir: dir}, log: slog.New(slog.DiscardHandler), mirror: NewMirror()}
-		if err := b.read(); err != nil || b.mirror.List() != "" {
-			t.Fatalf("byte %d: %v, and it holds %q", i, err, b.mirror.List())
+		b := &Agent{options: Options{Dir: dir}, log: slog.New(slog.DiscardHandler), mirror: NewMirror()}
+		if err := b.loadList(); err != nil || b.mirror.List() != "" {
+			t.Fatalf("byte %d: %v, and the mirror has list %q", i, err, b.mirror.List())
 		}
 	}
 	aside, err := filepath.Glob(path + ".damaged-*")
 	if err != nil || len(aside) == 0 {
 		t.Fatal(aside, err)
 	}
-	a = run(t, Options{Dir: dir, Servers: []string{l.Addr()}})
-	eventually(t, "the list, whole", func() bool { return len(ids(t, a.Addr())) == 1 })
+	a = startAgent(t, Options{Dir: dir, Servers: []string{l.Addr()}})
+	eventually(t, "the list, whole", func() bool { return len(listedIDs(t, a.Addr())) == 1 })
 }
 
-// taker takes notices, or does not.
-type taker struct {
+// noticeReceiver is an HTTP server that accepts notices, or answers with the given status.
+type noticeReceiver struct {
 	*httptest.Server
-	mu     sync.Mutex
-	status int
-	bad    string // a notice that it turns down
-	lines  []string
+	mu       sync.Mutex
+	status   int
+	rejected string // requests that contain this text are rejected
+	lines    []string
 }
 
-func newTaker(t *testing.T) *taker {
-	k := &taker{status: http.StatusNoContent}
+func newNoticeReceiver(t *testing.T) *noticeReceiver {
+	k := &noticeReceiver{status: http.StatusNoContent}
 	k.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		status := k.status
-		if k.bad != "" && bytes.Contains(body, []byte(k.bad)) {
+		if k.rejected != "" && bytes.Contains(body, []byte(k.rejected)) {
 			status = http.StatusBadRequest
 		}
 		if err == nil && status == http.StatusNoContent {
@@ -342,15 +343,15 @@
 	return k
 }
 
-func (k *taker) addr() string { return strings.TrimPrefix(k.URL, "http://") }
+func (k *noticeReceiver) addr() string { return strings.TrimPrefix(k.URL, "http://") }
 
-func (k *taker) is(status int) {
+func (k *noticeReceiver) respondWith(status int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.status = status
 }
 
-func (k *taker) got() []string {
+func (k *noticeReceiver) received() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Clone(k.lines)
@@ -368,26 +369,26 @@
 	return res.StatusCode
 }
 
-// Each notice that was answered for is handed on, in its order, at least once, over outages and restarts.
-func TestNoticesAreHandedOnInTheirOrder(t *testing.T) {
-	k := newTaker(t)
-	k.is(http.StatusServiceUnavailable)
+// Each acknowledged notice is forwarded in order, at least once, over outages and restarts.
+func TestNoticesAreForwardedInOrder(t *testing.T) {
+	k := newNoticeReceiver(t)
+	k.respondWith(http.StatusServiceUnavailable)
 	o := Options{Dir: t.TempDir(), Servers: []string{"127.0.0.1:1"}, Finals: k.addr()}
-	a := run(t, o)
+	a := startAgent(t, o)
 	for i := range 20 {
 		if status := post(t, a.Addr(), notice(i)+"\n"); status != http.StatusNoContent {
-			t.Fatalf("status %d while nobody takes them", status)
+			t.Fatalf("status %d while the receiver is unavailable", status)
 		}
 	}
 	a.stop()
-	a = run(t, o)
-	k.is(http.StatusNoContent)
+	a = startAgent(t, o)
+	k.respondWith(http.StatusNoContent)
 	for i := range 20 {
 		post(t, a.Addr(), notice(20+i))
 	}
-	eventually(t, "all of them", func() bool { n, _ := a.spool.figures(); return n == 0 })
-	var first []string // each as it came the first time
-	for _, line := range k.got() {
+	eventually(t, "all of them", func() bool { n, _ := a.spool.stats(); return n == 0 })
+	var first []string // without repetitions
+	for _, line := range k.received() {
 		if !slices.Contains(first, line) {
 			first = append(first, line)
 		}
@@ -397,8 +398,8 @@
 			t.Fatalf("number %d of %d: %v", i, len(first), first)
 		}
 	}
-	if _, bytes := a.spool.figures(); bytes != 0 {
-		t.Errorf("%d bytes stay on disk", bytes)
+	if _, bytes := a.spool.stats(); bytes != 0 {
+		t.Errorf("%d bytes left on disk", bytes)
 	}
 	for _, bad := range []string{"", "{", `{"id":"x","status":"lost"}`, `{"status":"deferred"}`, notice(1) + "\nnonsense"} {
 		if status := post(t, a.Addr(), bad); status != http.StatusBadRequest {
@@ -407,29 +408,29 @@
 	}
 }
 
-// A notice that nobody will take holds up no other.
-func TestANoticeThatIsTurnedDown(t *testing.T) {
-	k := newTaker(t)
-	k.is(http.StatusServiceUnavailable)
-	k.bad = "m-001"
+// A notice that the receiver rejects permanently does not block the others.
+func TestRejectedNoticeDoesNotBlockOthers(t *testing.T) {
+	k := newNoticeReceiver(t)
+	k.respondWith(http.StatusServiceUnavailable)
+	k.rejected = "m-001"
 	o := Options{Dir: t.TempDir(), Servers: []string{"127.0.0.1:1"}, Finals: k.addr()}
-	a := run(t, o)
+	a := startAgent(t, o)
 	for i := range 4 {
 		post(t, a.Addr(), notice(i))
 	}
-	k.is(http.StatusNoContent)
-	eventually(t, "the others", func() bool { n, _ := a.spool.figures(); return n == 0 })
-	if got := k.got(); !slices.Equal(got, []string{notice(0), notice(2), notice(3)}) {
-		t.Errorf("%v", got)
+	k.respondWith(http.StatusNoContent)
+	eventually(t, "the others", func() bool { n, _ := a.spool.stats(); return n == 0 })
+	if received := k.received(); !slices.Equal(received, []string{notice(0), notice(2), notice(3)}) {
+		t.Errorf("%v", received)
 	}
 	if data, err := os.ReadFile(filepath.Join(o.Dir, "turned-down")); err != nil || strings.TrimSpace(string(data)) != notice(1) {
 		t.Errorf("%q %v", data, err)
 	}
 }
 
-func TestASpoolThatIsFullTakesNoMore(t *testing.T) {
+func TestFullSpoolRefusesNotices(t *testing.T) {
 	o := Options{Dir: t.TempDir(), Servers: []string{"127.0.0.1:1"}, Spool: 200}
-	a := run(t, o)
+	a := startAgent(t, o)
 	taken := 0
 	for i := range 10 {
 		switch status := post(t, a.Addr(), notice(i)); status {
@@ -440,40 +441,40 @@
 			t.Errorf("status %d", status)
 		}
 	}
-	if _, bytes := a.spool.figures(); taken != 4 || bytes > 200 {
-		t.Errorf("%d taken, %d bytes", taken, bytes)
+	if _, bytes := a.spool.stats(); taken != 4 || bytes > 200 {
+		t.Errorf("%d accepted, %d bytes", taken, bytes)
 	}
 }
 
-// A write that fails loses what it was to keep, which was not answered for, and holds up nothing that comes after it.
-func TestAWriteThatFailsHoldsUpNothing(t *testing.T) {
+// A failed write loses only its own notice, which is not acknowledged, and does not block later notices.
+func TestFailedWriteDoesNotBlockTheSpool(t *testing.T) {
 	s, err := openSpool(t.TempDir(), 1<<20, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.begin(); err != nil {
+	if err := s.startSegment(); err != nil {
 		t.Fatal(err)
 	}
-	s.file.Close() // the next write to it fails
+	s.file.Close() // makes the next write fail
 	if err := s.add([]byte(notice(0))); err == nil {
-		t.Fatal("a write that failed was answered for")
+		t.Fatal("a failed write returned no error")
 	}
 	if err := s.add([]byte(notice(1))); err != nil {
 		t.Fatal(err)
 	}
 	if all := s.next(1 << 20); len(all) != 1 || string(all[0]) != notice(1) {
-		t.Fatalf("%q is handed on", all)
+		t.Fatalf("next returned %q", all)
 	}
-	if err := s.done(1); err != nil {
+	if err := s.acknowledge(1); err != nil {
 		t.Fatal(err)
 	}
-	if n, bytes := s.figures(); n != 0 || bytes != 0 {
-		t.Errorf("%d records and %d bytes stay", n, bytes)
+	if n, bytes := s.stats(); n != 0 || bytes != 0 {
+		t.Errorf("%d records and %d bytes left", n, bytes)
 	}
 }
 
-// Cut or damaged at any byte, a segment gives what comes before; the rest is set aside and not lost.
-func TestASegmentThatWasCut(t *testing.T) {
+// If a segment is cut or damaged at any byte, the records before that are read and the rest is copied to another file.
+func TestDamagedSegmentKeepsEarlierRecords(t *testing.T) {
 	dir := t.TempDir()
 	s, err := openSpool(dir, 1<<20, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -484,18 +485,18 @@
 			t.Fatal(err)
 		}
 	}
-	path := s.path(1)
+	segmentPath := s.segmentPath(1)
 	if err := s.close(); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(path)
+	whole, err := os.ReadFile(segmentPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	size := len(whole) / 3
 	for i := range whole {
 		for _, data := range [][]byte{whole[:i], append(append(slices.Clone(whole[:i]), whole[i]^0x40), whole[i+1:]...)} {
-			if err := os.WriteFile(path, data, 0o600); err != nil {
+			if err := os.WriteFile(segmentPath, data, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			s, err := openSpool(dir, 1<<20, slog.New(slog.DiscardHandler))
@@ -511,22 +512,22 @@
 					t.Fatalf("byte %d: record %d is %q", i, n, r)
 				}
 			}
-			if err := s.add([]byte(notice(9))); err != nil { // it goes on
+			if err := s.add([]byte(notice(9))); err != nil { // the spool stays usable
 				t.Fatal(err)
 			}
 			if all := s.next(1 << 20); len(all) == 0 {
-				t.Fatal("nothing is handed on")
+				t.Fatal("next returned nothing")
 			}
 			if err := s.close(); err != nil {
 				t.Fatal(err)
 			}
-			if err := os.Remove(s.path(s.rows[len(s.rows)-1].number)); err != nil {
+			if err := os.Remove(s.segmentPath(s.segments[len(s.segments)-1].number)); err != nil {
 				t.Fatal(err)
 			}
 			if rest := len(data) - i/size*size; rest > 0 {
-				aside, err := os.ReadFile(path + ".damaged")
+				aside, err := os.ReadFile(segmentPath + ".damaged")
 				if err != nil || !bytes.Equal(aside, data[i/size*size:]) {
-					t.Fatalf("byte %d: set aside are %d bytes, %v", i, len(aside), err)
+					t.Fatalf("byte %d: copied %d bytes, %v", i, len(aside), err)
 				}
 			}
 		}
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -25,73 +25,73 @@
 )
 
 const (
-	fleetForm   = "wallflow agent fleet 1"
-	fleetFile   = "fleet"
-	reportWait  = 1500 * time.Millisecond // that a report waits for news at the service
-	reportFor   = 4 * time.Second
-	wordMost    = 2 * time.Second        // that a relay's process waits for news here
-	lateAfter   = 200 * time.Millisecond // beyond the wait that it was asked for with
-	helpedFor   = 20                     // reports
-	leaveFor    = 1500 * time.Millisecond
-	haltFor     = 3 * time.Second // for a relay to stop, where the session is over
-	processMost = 64              // of a machine's relay that speak at once
+	fleetFormat        = "wallflow agent fleet 1"
+	fleetFile          = "fleet"                 // the ledger, in the data folder
+	reportWait         = 1500 * time.Millisecond // how long a report waits at the service for changes
+	reportTimeout      = 4 * time.Second
+	maxStatusWait      = 2 * time.Second         // how long a relay process's request waits here for changes
+	lateAnswerMargin   = 200 * time.Millisecond  // an answer that takes this much longer than its requested wait is late
+	passedOnReports    = 20                      // reports sent with PassOn after a round without reaching the leader
+	leaveTimeout       = 1500 * time.Millisecond // for all servers together
+	haltTimeout        = 3 * time.Second         // for the relay to stop after the session ended
+	maxWaitingRequests = 64                      // concurrent status requests of relay processes
 )
 
-// fleet is what the agent does for the fleet's policy: it keeps the ledger, registers with the service, and tells its relay.
+// fleet is the agent's side of the fleet's policy changes: it stores the ledger, reports to the service and answers relay processes.
 type fleet struct {
-	path  string
-	log   *slog.Logger
-	alive func(accord.Process) bool
-	http  *http.Client
+	path      string
+	log       *slog.Logger
+	isRunning func(accord.Process) bool
+	client    *http.Client
 
-	mu      sync.Mutex
-	ledger  *accord.Ledger
-	news    chan struct{} // closed and replaced with each change of the ledger
-	kick    context.CancelFunc
-	asking  int   // processes that wait for news
-	failure error // of the disk, at the last write
-	late    bool  // the last answer was long on its way
-	written int64 // the promise that lies on disk
+	mu             sync.Mutex
+	ledger         *accord.Ledger
+	ledgerChanged  chan struct{}      // closed and replaced on each change of the ledger
+	cancelReport   context.CancelFunc // ends the wait of the report in flight; nil: none
+	waiting        int                // status requests in progress
+	writeErr       error              // error of the last write of the ledger
+	lastAnswerLate bool               // the last answer arrived late
+	promiseOnDisk  int64              // Ledger.Promised as last written to disk
 }
 
-// FleetReport is what an agent says of its session.
+// FleetReport is the status of an agent's session.
 type FleetReport struct {
 	ID       string `json:"id"`
-	Boot     int64  `json:"boot"`
-	Policy   int64  `json:"policy"`
-	Known    bool   `json:"known"`
-	Staged   int64  `json:"staged,omitempty"`
-	Promised int64  `json:"promised,omitempty"`
-	Relay    bool   `json:"relay"`
-	Broken   int64  `json:"invariants_broken,omitempty"`
-	Failure  string `json:"failure,omitempty"`
-	Over     string `json:"over,omitempty"`
+	Boot     int64  `json:"boot"`                        // number of agent starts with this data folder
+	Policy   int64  `json:"policy"`                      // number of the policy in force
+	Known    bool   `json:"known"`                       // the policy in force is known
+	Staged   int64  `json:"staged,omitempty"`            // number of the staged change
+	Promised int64  `json:"promised,omitempty"`          // number of the promised change
+	Relay    bool   `json:"relay"`                       // a relay runs beside the agent
+	Broken   int64  `json:"invariants_broken,omitempty"` // failed invariant checks
+	Failure  string `json:"failure,omitempty"`           // error of the last write of the ledger
+	Over     string `json:"over,omitempty"`              // why the session has ended; empty while it has not
 }
 
-// openFleet reads the ledger, or begins one. One that cannot be read is set aside, and the session is another one then: what it
-// promised is not known, and the one before stands in the way of changes until a person retires it.
-func openFleet(o Options, log *slog.Logger) (*fleet, error) {
-	f := &fleet{path: filepath.Join(o.Dir, fleetFile), log: log, alive: processRuns, news: make(chan struct{}),
-		http: &http.Client{Timeout: reportFor, Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}}}
-	data, err := durable.ReadWhole(f.path, fleetForm)
+// openFleet loads the ledger or creates one. A damaged ledger is renamed and the agent starts a new session, since its promises are
+// unknown. The previous session blocks policy changes until an operator retires it.
+func openFleet(options Options, log *slog.Logger) (*fleet, error) {
+	f := &fleet{path: filepath.Join(options.Dir, fleetFile), log: log, isRunning: processRunning, ledgerChanged: make(chan struct{}),
+		client: &http.Client{Timeout: reportTimeout, Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}}}
+	data, err := durable.ReadWhole(f.path, fleetFormat)
 	f.ledger = &accord.Ledger{}
 	if err == nil {
 		err = json.Unmarshal(data, f.ledger)
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		aside := fmt.Sprintf("%s.damaged-%d", f.path, time.Now().UnixMilli())
-		log.Error("what was kept of the fleet's policy cannot be read, and is set aside: this is another session", "err", err, "aside", aside)
-		if err := os.Rename(f.path, aside); err != nil {
+		damagedPath := fmt.Sprintf("%s.damaged-%d", f.path, time.Now().UnixMilli())
+		log.Error("the policy ledger on disk is damaged and was renamed; starting a new session", "err", err, "aside", damagedPath)
+		if err := os.Rename(f.path, damagedPath); err != nil {
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
 	}
 	if err != nil || f.ledger.ID == "" {
 		var id [8]byte
-		rand.Read(id[:]) // does not fail
+		rand.Read(id[:]) // never fails
 		f.ledger = &accord.Ledger{ID: hex.EncodeToString(id[:])}
 	}
 	f.ledger.Start(time.Now())
-	f.written = f.ledger.Promised
+	f.promiseOnDisk = f.ledger.Promised
 	if err := f.save(f.ledger); err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 func (f *fleet) save(l *accord.Ledger) error {
 	data, err := json.Marshal(l)
 	if err == nil {
-		err = durable.WriteWhole(f.path, fleetForm, data)
+		err = durable.WriteWhole(f.path, fleetFormat, data)
 	}
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
@@ -109,9 +109,10 @@
 	return nil
 }
 
-// change edits the ledger. What edit returns as true is on disk before anybody hears of it: where it cannot be written it is not
-// done. learned is for what the service knows and tells again: it counts at once.
-func (f *fleet) change(learned bool, edit func(l *accord.Ledger) (bool, error)) error {
+// updateLedger applies edit to a copy of the ledger. If edit returns true, the copy is written to disk and then replaces the ledger;
+// if the write fails, the ledger stays as it was. With fromService the copy is used even if the write fails, because the service
+// repeats that information.
+func (f *fleet) updateLedger(fromService bool, edit func(l *accord.Ledger) (bool, error)) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	next := f.ledger.Clone()
@@ -120,19 +121,19 @@
 		return err
 	}
 	err = f.save(next)
-	if err != nil && (f.failure == nil || f.failure.Error() != err.Error()) {
-		f.log.Error("nothing is promised and nobody is let in: what is known of the policy cannot be written", "err", err)
+	if err != nil && (f.writeErr == nil || f.writeErr.Error() != err.Error()) {
+		f.log.Error("writing the policy ledger failed; until it succeeds nothing is promised and no process is admitted", "err", err)
 	}
-	if f.failure = err; err == nil {
-		f.written = next.Promised
-	} else if !learned {
+	if f.writeErr = err; err == nil {
+		f.promiseOnDisk = next.Promised
+	} else if !fromService {
 		return err
 	}
 	f.ledger = next
-	close(f.news)
-	f.news = make(chan struct{})
-	if f.kick != nil {
-		f.kick()
+	close(f.ledgerChanged)
+	f.ledgerChanged = make(chan struct{})
+	if f.cancelReport != nil {
+		f.cancelReport()
 	}
 	return nil
 }
@@ -141,94 +142,97 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	l := f.ledger
-	r := FleetReport{ID: l.ID, Boot: l.Boot, Policy: l.InForce.Number, Known: l.Known, Promised: l.Promised, Over: l.Ended(), Broken: invariant.Broken(), Relay: l.Report("x", "", "", f.alive).Relay}
+	r := FleetReport{ID: l.ID, Boot: l.Boot, Policy: l.InForce.Number, Known: l.Known, Promised: l.Promised,
+		Over: l.EndReason(), Broken: invariant.Broken(), Relay: l.SessionReport("x", "", "", f.isRunning).Relay}
 	if l.Staged != nil {
 		r.Staged = l.Staged.Number
 	}
-	if f.failure != nil {
-		r.Failure = f.failure.Error()
+	if f.writeErr != nil {
+		r.Failure = f.writeErr.Error()
 	}
 	return r
 }
 
-// register tells the service of this session, again and again, and takes on what it tells, until the agent ends or its session
-// is over, of which ended is told.
-func (a *Agent) register(ended chan<- error) {
+// registerLoop reports this session to the service repeatedly and applies the answers, until the agent stops or the session ends. In
+// the latter case it sends the error to ended.
+func (a *Agent) registerLoop(ended chan<- error) {
 	f := a.fleet
-	defer f.http.CloseIdleConnections()
-	a.rngs.Lock()
-	order := a.rng.Perm(len(a.o.Servers))
-	a.rngs.Unlock()
-	bound, said := pauseFirst, ""
-	have := listsvc.Ask{}
-	helped := 0 // reports that another server passes on, after a round in which none that leads was reached
-	for i := 0; a.over.Err() == nil; {
-		server := a.o.Servers[order[i%len(order)]]
-		have.PassOn = helped > 0
-		err := a.reportTo(server, &have)
-		var over *sessionOver
+	defer f.client.CloseIdleConnections()
+	a.rngMu.Lock()
+	order := a.rng.Perm(len(a.options.Servers))
+	a.rngMu.Unlock()
+	maxPause, lastLogged := minRetryPause, ""
+	request := listsvc.Ask{}
+	passOnLeft := 0 // remaining reports that ask the server to pass them on to the leader
+	for i := 0; a.runCtx.Err() == nil; {
+		server := a.options.Servers[order[i%len(order)]]
+		request.PassOn = passOnLeft > 0
+		err := a.reportTo(server, &request)
+		var sessionEnded *sessionEndedError
 		switch {
-		case a.over.Err() != nil:
+		case a.runCtx.Err() != nil:
 			return
-		case errors.As(err, &over):
-			ended <- a.endSession(over)
+		case errors.As(err, &sessionEnded):
+			ended <- a.endSession(sessionEnded)
 			return
 		case err == nil:
-			bound, said, helped = pauseFirst, "", max(0, helped-1)
+			maxPause, lastLogged, passOnLeft = minRetryPause, "", max(0, passOnLeft-1)
 			continue
 		}
-		if err.Error() != said {
-			said = err.Error()
-			a.log.Warn("the service does not take this session's report", "server", server, "err", err)
+		if err.Error() != lastLogged {
+			lastLogged = err.Error()
+			a.log.Warn("reporting this session to the service failed", "server", server, "err", err)
 		}
 		if i++; i%len(order) != 0 {
-			continue // the next one may lead
+			continue // the next server may be the leader
 		}
-		bound, helped = min(pauseMost, 2*bound), helpedFor
-		if !a.sleep(a.upTo(bound)) {
+		maxPause, passOnLeft = min(maxRetryPause, 2*maxPause), passedOnReports
+		if !a.sleep(a.randomDuration(maxPause)) {
 			return
 		}
 	}
 }
 
-// sessionOver tells that the service has another session in this one's place, or none.
-type sessionOver struct{ why string }
+// sessionEndedError means that the service has replaced this session or refuses it.
+type sessionEndedError struct{ why string }
 
-func (e *sessionOver) Error() string { return e.why }
+func (e *sessionEndedError) Error() string { return e.why }
 
-// reportTo reports to a server, and takes its answer on. A change of the ledger meanwhile ends the wait: there is more to report.
-func (a *Agent) reportTo(server string, have *listsvc.Ask) error {
+// reportTo sends a report to a server and applies its answer. A change of the ledger in the meantime cancels the request, so that the
+// new state is reported at once.
+func (a *Agent) reportTo(server string, request *listsvc.Ask) error {
 	f := a.fleet
-	ctx, cancel := context.WithCancel(a.over)
+	ctx, cancel := context.WithCancel(a.runCtx)
 	defer cancel()
-	// A promise that may be made is made first.
-	f.change(false, func(l *accord.Ledger) (bool, error) { // its failure is kept
-		begun := l.Begin(time.Now())
-		return l.Promise(f.alive) || begun, nil
+	// Make a pending promise first, so that this report contains it.
+	f.updateLedger(false, func(l *accord.Ledger) (bool, error) { // a write error is kept in writeErr
+		begun := l.MarkBegun(time.Now())
+		return l.TryPromise(f.isRunning) || begun, nil
 	})
 	f.mu.Lock()
-	invariant.Holds(invariant.PromiseOnDisk, f.ledger.Promised == 0 || f.ledger.Promised == f.written, f.ledger.Promised, f.written)
-	have.Session = f.ledger.Report(a.o.Name, a.o.Zone, a.o.Build, f.alive)
-	if f.failure != nil { // a session that cannot write has nothing staged
-		have.Session.Staged = 0
-	}
-	have.WaitMS = reportWait.Milliseconds()
-	if at, ok := f.ledger.Begins(); ok {
-		have.WaitMS = max(1, min(have.WaitMS, time.Until(at).Milliseconds()+1))
-	}
-	if f.late { // the time until a policy begins counts from an answer's coming, and this one was long on its way
-		have.WaitMS = 1
-	}
-	asked, waits := time.Now(), time.Duration(have.WaitMS)*time.Millisecond
-	kicked := false
-	f.kick = func() { kicked = true; cancel() }
+	invariant.Holds(invariant.PromiseOnDisk, f.ledger.Promised == 0 || f.ledger.Promised == f.promiseOnDisk,
+		f.ledger.Promised, f.promiseOnDisk)
+	request.Session = f.ledger.SessionReport(a.options.Name, a.options.Zone, a.options.Build, f.isRunning)
+	if f.writeErr != nil { // nothing counts as staged while the disk fails
+		request.Session.Staged = 0
+	}
+	request.WaitMS = reportWait.Milliseconds()
+	if beginsAt, ok := f.ledger.PendingBegin(); ok {
+		request.WaitMS = max(1, min(request.WaitMS, time.Until(beginsAt).Milliseconds()+1))
+	}
+	if f.lastAnswerLate { // BeginIn counts from an answer's arrival, so a late answer delays the begin: ask again without waiting
+		request.WaitMS = 1
+	}
+	sentAt, requestedWait := time.Now(), time.Duration(request.WaitMS)*time.Millisecond
+	ledgerUpdated := false
+	f.cancelReport = func() { ledgerUpdated = true; cancel() }
 	f.mu.Unlock()
 	defer func() {
 		f.mu.Lock()
-		f.kick = nil
+		f.cancelReport = nil
 		f.mu.Unlock()
 	}()
-	body, err := json.Marshal(have)
+	body, err := json.Marshal(request)
 	if err != nil {
 		return err
 	}
@@ -237,22 +241,22 @@
 		return err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	res, err := f.http.Do(req)
+	res, err := f.client.Do(req)
 	if err != nil {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if kicked {
+		if ledgerUpdated {
 			return nil
 		}
 		return err
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(res.Body, bodyMost))
-	at := time.Now()
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxBodyBytes))
+	receivedAt := time.Now()
 	if err != nil {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if kicked {
+		if ledgerUpdated {
 			return nil
 		}
 		return err
@@ -263,176 +267,182 @@
 			p.Error = res.Status
 		}
 		if res.StatusCode == http.StatusGone || res.StatusCode == http.StatusConflict {
-			return &sessionOver{p.Error}
+			return &sessionEndedError{p.Error}
 		}
 		return errors.New(p.Error)
 	}
-	var t listsvc.Told
-	if err := json.Unmarshal(text, &t); err != nil {
+	var update listsvc.Told
+	if err := json.Unmarshal(text, &update); err != nil {
 		return fmt.Errorf("unreadable answer: %w", err)
 	}
-	if t.State == accord.Displaced {
-		return &sessionOver{"another machine, or this one with another folder, has the name " + a.o.Name}
+	if update.State == accord.Displaced {
+		return &sessionEndedError{"another machine, or this one with another folder, has the name " + a.options.Name}
 	}
-	have.Epoch, have.Decided, have.Change, have.Phase = t.Epoch, t.Decided, 0, ""
-	if t.Change != nil {
-		have.Change, have.Phase = t.Change.Number, t.Change.Phase
+	request.Epoch, request.Decided, request.Change, request.Phase = update.Epoch, update.Decided, 0, ""
+	if update.Change != nil {
+		request.Change, request.Phase = update.Change.Number, update.Change.Phase
 	}
 	f.mu.Lock()
-	f.late = at.Sub(asked) > waits+lateAfter
+	f.lastAnswerLate = receivedAt.Sub(sentAt) > requestedWait+lateAnswerMargin
 	f.mu.Unlock()
-	return f.change(true, func(l *accord.Ledger) (bool, error) {
-		was := l.Clone()
-		err := l.Tell(accord.News{Epoch: t.Epoch, InForce: t.InForce, BeginIn: time.Duration(t.BeginInMS) * time.Millisecond, HoldMS: t.HoldMS, Change: t.Change, Decided: t.Decided, At: at})
-		return err == nil && !l.Same(was), err
+	return f.updateLedger(true, func(l *accord.Ledger) (bool, error) {
+		before := l.Clone()
+		err := l.ApplyUpdate(accord.ServiceUpdate{Epoch: update.Epoch, InForce: update.InForce,
+			BeginIn: time.Duration(update.BeginInMS) * time.Millisecond, HoldMS: update.HoldMS, Change: update.Change,
+			Decided: update.Decided, ReceivedAt: receivedAt})
+		return err == nil && !l.Equivalent(before), err
 	})
 }
 
-// endSession has the relay stop, and the service know once it has.
-func (a *Agent) endSession(over *sessionOver) error {
+// endSession makes the relay stop, and tells the service once it has.
+func (a *Agent) endSession(sessionEnded *sessionEndedError) error {
 	f := a.fleet
-	a.log.Error("this session is over: its relay takes nothing on any more", "why", over.why)
-	if err := f.change(true, func(l *accord.Ledger) (bool, error) { l.Over(over.why); return true, nil }); err != nil {
-		a.log.Error("that the session is over could not be written", "err", err)
+	a.log.Error("the session has ended; the relay stops accepting messages", "why", sessionEnded.why)
+	if err := f.updateLedger(true, func(l *accord.Ledger) (bool, error) { l.EndSession(sessionEnded.why); return true, nil }); err != nil {
+		a.log.Error("writing the end of the session failed", "err", err)
 	}
-	for end := time.Now().Add(haltFor); ; {
+	for deadline := time.Now().Add(haltTimeout); ; {
 		f.mu.Lock()
-		stopped, id := f.ledger.Stopped(f.alive), f.ledger.ID
+		stopped, id := f.ledger.AllStopped(f.isRunning), f.ledger.ID
 		f.mu.Unlock()
 		if stopped {
-			a.tellLeave()
+			a.sendLeave()
 			break
 		}
-		if time.Now().After(end) || !a.sleep(20*time.Millisecond) {
-			a.log.Error("the relay has not said that it stopped: a person has to retire this session once it has", "id", id)
+		if time.Now().After(deadline) || !a.sleep(20*time.Millisecond) {
+			a.log.Error("the relay has not confirmed that it stopped; an operator must retire this session once it has", "id", id)
 			break
 		}
 	}
-	return fmt.Errorf("the session is over: %s", over.why)
+	return fmt.Errorf("session ended: %s", sessionEnded.why)
 }
 
-// leave tells the service of a planned end, where no relay runs beside the agent: it is asked for nothing then.
+// leave removes the session at a planned shutdown if no relay runs beside the agent, so that changes do not wait for it.
 func (a *Agent) leave() {
 	if a.fleet == nil {
 		return
 	}
 	left := false
-	err := a.fleet.change(false, func(l *accord.Ledger) (bool, error) { left = l.Leave(a.fleet.alive); return left, nil })
+	err := a.fleet.updateLedger(false, func(l *accord.Ledger) (bool, error) { left = l.TryLeave(a.fleet.isRunning); return left, nil })
 	if err == nil && left {
-		a.tellLeave()
+		a.sendLeave()
 	}
 }
 
-func (a *Agent) tellLeave() {
+// sendLeave asks the servers, one after the other, to remove this session.
+func (a *Agent) sendLeave() {
 	f := a.fleet
 	f.mu.Lock()
 	id, boot := f.ledger.ID, f.ledger.Boot
 	f.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), leaveFor)
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	var errs []error
-	for _, server := range a.o.Servers {
-		req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+server+"/fleet/sessions/"+id+"?boot="+strconv.FormatInt(boot, 10), nil)
+	for _, server := range a.options.Servers {
+		req, err := http.NewRequestWithContext(ctx, http.MethodDelete,
+			"http://"+server+"/fleet/sessions/"+id+"?boot="+strconv.FormatInt(boot, 10), nil)
 		if err == nil {
 			var res *http.Response
-			if res, err = f.http.Do(req); err == nil {
+			if res, err = f.client.Do(req); err == nil {
 				res.Body.Close()
 				if res.StatusCode == http.StatusOK {
-					a.log.Info("has left the fleet", "id", id)
+					a.log.Info("left the fleet", "id", id)
 					return
 				}
-				err = fmt.Errorf("%s answers %s", server, res.Status)
+				err = fmt.Errorf("%s: unexpected status %s", server, res.Status)
 			}
 		}
 		errs = append(errs, err)
 	}
-	a.log.Warn("the service does not know that this agent has left: its session lapses, and is asked for in a change", "err", errors.Join(errs...))
+	a.log.Warn("no server confirmed the leave; the session lapses, and policy changes still wait for it", "err", errors.Join(errs...))
 }
 
-// relaySays takes what a process of the relay says of itself, and answers once there is news for it.
-func (a *Agent) relaySays(w http.ResponseWriter, r *http.Request) {
+// serveRelayStatus records the status of a relay process, and replies once the reply differs from the last one or the wait is over.
+func (a *Agent) serveRelayStatus(w http.ResponseWriter, r *http.Request) {
 	f := a.fleet
-	var s struct {
+	var status struct {
 		accord.Says
-		Have   accord.Word `json:"have"` // the last word; of documents none
+		Have   accord.Word `json:"have"` // last reply that the process received, without documents
 		WaitMS int64       `json:"wait_ms"`
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
-		err = json.Unmarshal(body, &s)
+		err = json.Unmarshal(body, &status)
 	}
-	if err != nil || s.PID <= 0 {
-		fail(w, http.StatusBadRequest, "body: no word of a relay's process")
+	if err != nil || status.PID <= 0 {
+		writeError(w, http.StatusBadRequest, "body: no word of a relay's process")
 		return
 	}
 	f.mu.Lock()
-	full := f.asking >= processMost
-	if !full {
-		f.asking++
+	tooMany := f.waiting >= maxWaitingRequests
+	if !tooMany {
+		f.waiting++
 	}
 	f.mu.Unlock()
-	if full {
-		fail(w, http.StatusServiceUnavailable, "too many ask at once")
+	if tooMany {
+		writeError(w, http.StatusServiceUnavailable, "too many ask at once")
 		return
 	}
-	defer func() { f.mu.Lock(); f.asking--; f.mu.Unlock() }()
-	end := time.NewTimer(min(wordMost, time.Duration(s.WaitMS)*time.Millisecond))
-	defer end.Stop()
+	defer func() { f.mu.Lock(); f.waiting--; f.mu.Unlock() }()
+	timeout := time.NewTimer(min(maxStatusWait, time.Duration(status.WaitMS)*time.Millisecond))
+	defer timeout.Stop()
 	first := true
 	for {
-		if err := f.change(false, func(l *accord.Ledger) (bool, error) {
-			changed := l.Begin(time.Now())
+		if err := f.updateLedger(false, func(l *accord.Ledger) (bool, error) {
+			changed := l.MarkBegun(time.Now())
 			if first {
-				changed = l.Hear(s.Says) || changed
+				changed = l.RecordStatus(status.Says) || changed
 			}
-			return l.Admit(s.Process, time.Now(), f.alive) || changed, nil
+			return l.Admit(status.Process, time.Now(), f.isRunning) || changed, nil
 		}); err == nil {
 			first = false
 		}
 		f.mu.Lock()
-		word, news := f.ledger.Word(s.Process, time.Now()), f.news
-		begins, toCome := f.ledger.Begins()
+		reply, ledgerChanged := f.ledger.ReplyTo(status.Process, time.Now()), f.ledgerChanged
+		beginsAt, pending := f.ledger.PendingBegin()
 		f.mu.Unlock()
-		if wordNew(word, s.Have) {
-			answer(w, http.StatusOK, word)
+		if replyChanged(reply, status.Have) {
+			writeJSON(w, http.StatusOK, reply)
 			return
 		}
-		var begin <-chan time.Time
-		if toCome {
-			begin = time.After(time.Until(begins))
+		var beginTimer <-chan time.Time
+		if pending {
+			beginTimer = time.After(time.Until(beginsAt))
 		}
 		select {
-		case <-news:
-		case <-begin:
-		case <-end.C:
-			answer(w, http.StatusOK, word)
+		case <-ledgerChanged:
+		case <-beginTimer:
+		case <-timeout.C:
+			writeJSON(w, http.StatusOK, reply)
 			return
 		case <-r.Context().Done():
 			return
-		case <-a.over.Done():
+		case <-a.runCtx.Done():
 			return
 		}
 	}
 }
 
-// wordNew tells whether a process has not been told a word.
-func wordNew(w, have accord.Word) bool {
+// replyChanged reports whether a reply differs from the last one that the process received.
+func replyChanged(reply, lastReply accord.Word) bool {
 	number, phase := int64(0), accord.Phase("")
-	if w.Change != nil {
-		number, phase = w.Change.Number, w.Change.Phase
+	if reply.Change != nil {
+		number, phase = reply.Change.Number, reply.Change.Phase
 	}
-	haveNumber, havePhase := int64(0), accord.Phase("")
-	if have.Change != nil {
-		haveNumber, havePhase = have.Change.Number, have.Change.Phase
+	lastNumber, lastPhase := int64(0), accord.Phase("")
+	if lastReply.Change != nil {
+		lastNumber, lastPhase = lastReply.Change.Number, lastReply.Change.Phase
 	}
-	return w.Admitted != have.Admitted || w.Halt != have.Halt || w.Admitted && w.Policy.Number != have.Policy.Number || number != haveNumber || phase != havePhase || w.Decided != have.Decided
+	return reply.Admitted != lastReply.Admitted || reply.Halt != lastReply.Halt ||
+		reply.Admitted && reply.Policy.Number != lastReply.Policy.Number ||
+		number != lastNumber || phase != lastPhase || reply.Decided != lastReply.Decided
 }
 
-// processRuns tells whether a process runs still: its id is not another one's, and it has not ended.
-func processRuns(p accord.Process) bool {
+// processRunning reports whether a process is still running: a process with its id and start time exists and is not a zombie.
+func processRunning(p accord.Process) bool {
 	data, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(p.PID), "stat"))
 	if err != nil {
-		return !errors.Is(err, os.ErrNotExist) // what cannot be looked at is not known to have ended
+		return !errors.Is(err, os.ErrNotExist) // if /proc cannot be read, assume that the process runs
 	}
 	state, start, err := accord.ParseStat(string(data))
 	return err != nil || start == p.Start && !strings.Contains("ZX", state)
--- a/internal/agent/mirror.go
+++ b/internal/agent/mirror.go
@@ -1,5 +1,7 @@
-// Package agent is the agent beside a relay: it follows the list service, keeps the last list and the notices that are not
-// handed on yet on its own disk, and serves the relay in the platform's protocol whether the service is there or not.
+// Package agent implements the agent that runs beside a relay. It follows the list service, keeps the latest list of endpoints on its
+// own disk and serves it to the relay in the platform's membership protocol, whether or not the service is reachable. It also
+// spools the relay's notices (final results of messages) on disk until they are forwarded, and takes part in the fleet's policy
+// changes for the relay.
 package agent
 
 import (
@@ -11,87 +13,94 @@
 	"wallflow/internal/catalog"
 )
 
-// changesKept is how many changes a mirror remembers, for relays that were away for a moment.
-const changesKept = 4096
+// maxHistoryEntries limits the changes that a mirror remembers for relays that reconnect.
+const maxHistoryEntries = 4096
 
-// shrinkMost is the least part of its entries that a list of another cluster may have in the place of the one that is held: one
-// with fewer is a cluster that was founded anew, rather than one whose endpoints all went.
-const shrinkMost = 0.5
+// minReplacementRatio is the minimum size of another cluster's list, as a fraction of the current list, for it to replace the current
+// one. A shorter list points to a cluster that was created anew and is not filled yet, not to endpoints that all went away.
+const minReplacementRatio = 0.5
 
-// Errors of a line that is not taken on.
+// Errors of a line that is rejected.
 var (
-	ErrBehind = errors.New("the server is behind what is held")
-	ErrPart   = errors.New("changes to another list than the one that is held")
-	ErrShrunk = errors.New("a new list with less than half of the entries that are held: not taken on")
+	ErrBehind      = errors.New("the server is behind what is held")
+	ErrPartialList = errors.New("changes to another list than the one that is held")
+	ErrShrunk      = errors.New("a new list with less than half of the entries that are held: not taken on")
 )
 
-// Mirror is the list as it was told last. It has no sockets and no clock, and its methods may not be called at the same time.
+// Mirror is a local copy of the service's list with its recent changes. It uses no sockets and no clock, and its methods are not safe
+// for concurrent use.
 type Mirror struct {
-	list    string // of which cluster
-	version int64
-	held    map[string]catalog.Entry
-	steps   []step // the changes after floor, in their order
-	floor   int64
-	kept    int
+	list           string // id of the cluster whose list this is; empty: none yet
+	version        int64
+	entries        map[string]catalog.Entry
+	history        []versionChanges // changes after historyStart, the oldest first
+	historyStart   int64            // version after which the history is complete
+	historyEntries int              // entries in history
 }
 
-// step is a line: what changed from the version before to this one.
-type step struct {
-	to      int64
-	entries []catalog.Entry
+// versionChanges are the entries that changed from the previous version to this one.
+type versionChanges struct {
+	atVersion int64
+	delta     []catalog.Entry
 }
 
-// NewMirror returns a mirror that holds nothing.
-func NewMirror() *Mirror { return &Mirror{held: map[string]catalog.Entry{}} }
+// NewMirror returns an empty mirror.
+func NewMirror() *Mirror { return &Mirror{entries: map[string]catalog.Entry{}} }
 
-// List and Version are those of what is held; Len is how many entries there are.
-func (m *Mirror) List() string   { return m.list }
+// List returns the id of the list's cluster; empty if there is no list yet.
+func (m *Mirror) List() string { return m.list }
+
+// Version returns the version of the list.
 func (m *Mirror) Version() int64 { return m.version }
-func (m *Mirror) Len() int       { return len(m.held) }
 
-// Take takes a line of a server on, or leaves all as it is. takeOn is the id of a list that a person has said to take, however short.
-func (m *Mirror) Take(list string, l catalog.List, takeOn string) (changed bool, err error) {
+// Len returns the number of entries.
+func (m *Mirror) Len() int { return len(m.entries) }
+
+// Apply applies a line from a server, or returns an error and changes nothing. forceList is the id of a list that an operator has
+// ordered to accept even if it is much shorter than the current one.
+func (m *Mirror) Apply(list string, l catalog.List, forceList string) (changed bool, err error) {
 	switch {
 	case list == "":
 		return false, errors.New("the server does not say whose list it has")
 	case list != m.list && !l.Full:
-		return false, ErrPart
-	case list != m.list && list != takeOn && float64(len(l.Servers)) < shrinkMost*float64(len(m.held)):
-		return false, fmt.Errorf("%w: list %s has %d entries, and %d of list %s are held", ErrShrunk, list, len(l.Servers), len(m.held), m.list)
+		return false, ErrPartialList
+	case list != m.list && list != forceList && float64(len(l.Servers)) < minReplacementRatio*float64(len(m.entries)):
+		return false, fmt.Errorf("%w: list %s has %d entries, and %d of list %s are held", ErrShrunk, list,
+			len(l.Servers), len(m.entries), m.list)
 	case list == m.list && l.Version < m.version:
 		return false, fmt.Errorf("%w: version %d, and %d is held", ErrBehind, l.Version, m.version)
 	case list == m.list && l.Version == m.version:
 		return false, nil
 	case list != m.list:
-		m.list, m.version, m.held = list, l.Version, catalog.Follow(nil, l)
-		m.steps, m.kept, m.floor = nil, 0, l.Version // nobody has changes to this one
+		m.list, m.version, m.entries = list, l.Version, catalog.Follow(nil, l)
+		m.history, m.historyEntries, m.historyStart = nil, 0, l.Version // there are no changes from the previous list to this one
 		return true, nil
 	}
 	changes := l.Servers
 	if l.Full {
 		changes = m.differences(l)
 	}
-	m.held = catalog.Follow(m.held, l)
+	m.entries = catalog.Follow(m.entries, l)
 	m.version = l.Version
-	m.steps = append(m.steps, step{l.Version, changes})
-	for m.kept += len(changes); m.kept > changesKept && len(m.steps) > 1; m.steps = m.steps[1:] {
-		m.kept -= len(m.steps[0].entries)
-		m.floor = m.steps[0].to
+	m.history = append(m.history, versionChanges{l.Version, changes})
+	for m.historyEntries += len(changes); m.historyEntries > maxHistoryEntries && len(m.history) > 1; m.history = m.history[1:] {
+		m.historyEntries -= len(m.history[0].delta)
+		m.historyStart = m.history[0].atVersion
 	}
 	return true, nil
 }
 
-// differences are what a whole list changes of what is held, what is gone among it.
+// differences returns the entries that a whole list adds, changes or removes; removed ones have state Gone.
 func (m *Mirror) differences(l catalog.List) (all []catalog.Entry) {
-	there := make(map[string]bool, len(l.Servers))
+	present := make(map[string]bool, len(l.Servers))
 	for _, e := range l.Servers {
-		there[e.ID] = true
-		if was, ok := m.held[e.ID]; !ok || !was.Equal(e) {
+		present[e.ID] = true
+		if old, ok := m.entries[e.ID]; !ok || !old.Equal(e) {
 			all = append(all, e)
 		}
 	}
-	for id, e := range m.held {
-		if !there[id] {
+	for id, e := range m.entries {
+		if !present[id] {
 			e.State = catalog.Gone
 			all = append(all, e)
 		}
@@ -99,22 +108,23 @@
 	return all
 }
 
-// Since returns what changed after a version, each entry once and as it is now, or the whole list.
+// Since returns the changes after a version, with each entry once and in its current state. It returns the whole list if the
+// history does not reach back that far.
 func (m *Mirror) Since(version int64) (l catalog.List, changed bool) {
 	switch {
 	case m.list == "":
 		return l, false
 	case version == m.version:
 		return catalog.List{Version: m.version}, false
-	case version <= 0 || version < m.floor || version > m.version:
+	case version <= 0 || version < m.historyStart || version > m.version:
 		return m.Whole(), true
 	}
 	last := map[string]catalog.Entry{}
-	for _, s := range m.steps {
-		if s.to <= version {
+	for _, s := range m.history {
+		if s.atVersion <= version {
 			continue
 		}
-		for _, e := range s.entries {
+		for _, e := range s.delta {
 			last[e.ID] = e
 		}
 	}
@@ -122,37 +132,37 @@
 	for _, e := range last {
 		l.Servers = append(l.Servers, e)
 	}
-	byID(l.Servers)
+	sortByID(l.Servers)
 	return l, true
 }
 
-// Whole is the list.
+// Whole returns the whole list.
 func (m *Mirror) Whole() catalog.List {
-	l := catalog.List{Version: m.version, Full: true, Servers: make([]catalog.Entry, 0, len(m.held))}
-	for _, e := range m.held {
+	l := catalog.List{Version: m.version, Full: true, Servers: make([]catalog.Entry, 0, len(m.entries))}
+	for _, e := range m.entries {
 		l.Servers = append(l.Servers, e)
 	}
-	byID(l.Servers)
+	sortByID(l.Servers)
 	return l
 }
 
-func byID(all []catalog.Entry) {
+func sortByID(all []catalog.Entry) {
 	slices.SortFunc(all, func(a, b catalog.Entry) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// saved is a mirror as it lies on disk.
-type saved struct {
+// savedList is the form in which a mirror is stored on disk.
+type savedList struct {
 	List    string          `json:"list"`
 	Version int64           `json:"version"`
 	Entries []catalog.Entry `json:"entries"`
 }
 
-func (m *Mirror) save() saved { return saved{m.list, m.version, m.Whole().Servers} }
+func (m *Mirror) save() savedList { return savedList{m.list, m.version, m.Whole().Servers} }
 
-// load takes a saved mirror on, whole or not at all.
-func (m *Mirror) load(s saved) error {
+// load restores a saved mirror, or returns an error and changes nothing.
+func (m *Mirror) load(s savedList) error {
 	if s.List == "" || s.Version < 0 || s.Version > catalog.VersionMost {
-		return fmt.Errorf("version %d of list %q is none", s.Version, s.List)
+		return fmt.Errorf("invalid version %d of list %q", s.Version, s.List)
 	}
 	for _, e := range s.Entries {
 		if err := e.Check(); err != nil {
@@ -160,7 +170,7 @@
 		}
 	}
 	n := NewMirror()
-	if _, err := n.Take(s.List, catalog.List{Version: s.Version, Full: true, Servers: s.Entries}, s.List); err != nil {
+	if _, err := n.Apply(s.List, catalog.List{Version: s.Version, Full: true, Servers: s.Entries}, s.List); err != nil {
 		return err
 	}
 	*m = *n
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -1,4 +1,4 @@
-// Package httpapi is what the system's own HTTP interfaces share: routers that clean nothing, JSON answers, and servers with bounds.
+// Package httpapi provides what the system's HTTP interfaces share: routers without redirects, JSON answers and servers with timeouts.
 package httpapi
 
 import (
@@ -14,16 +14,16 @@
 )
 
 const (
-	// retryAdvice is what a caller is told to wait, in seconds, after 503.
-	retryAdvice = "0.3"
-	// headerTimeout and idleTimeout bound the connections of callers.
+	// retryAfterSeconds is the Retry-After value, in seconds, of answers with status 503.
+	retryAfterSeconds = "0.3"
+	// headerTimeout and idleTimeout limit the connections of clients.
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 30 * time.Second
-	// shutdownWithin bounds the end of the calls that are under way when the process stops.
-	shutdownWithin = 2 * time.Second
+	// shutdownTimeout limits how long requests in flight may take when the server shuts down.
+	shutdownTimeout = 2 * time.Second
 )
 
-// NewRouter makes a router that answers no redirects: a caller that follows none would lose its order.
+// NewRouter returns a router that never redirects: a client that does not follow redirects would lose its request.
 func NewRouter() *httprouter.Router {
 	router := httprouter.New()
 	router.RedirectTrailingSlash = false
@@ -32,7 +32,7 @@
 	return router
 }
 
-// Error is the body of an answer that is a failure.
+// Error is the body of an error answer.
 type Error struct {
 	Error string `json:"error"`
 }
@@ -47,29 +47,29 @@
 	AnswerBytes(w, status, data)
 }
 
-// AnswerBytes answers with JSON that is there already.
+// AnswerBytes answers with encoded JSON.
 func AnswerBytes(w http.ResponseWriter, status int, data []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	w.WriteHeader(status)
-	_, _ = w.Write(data) // a caller that went away asks again
+	_, _ = w.Write(data) // a client that lost its connection retries
 }
 
-// Refuse answers with a failure and its reason. With 503 it tells when to come back.
+// Refuse answers with an error and its reason. With status 503 it sets Retry-After.
 func Refuse(w http.ResponseWriter, status int, reason string) {
 	if status == http.StatusServiceUnavailable {
-		w.Header().Set("Retry-After", retryAdvice)
+		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
 	AnswerJSON(w, status, Error{Error: reason})
 }
 
-// Server serves one address.
+// Server is an HTTP server on one address.
 type Server struct {
 	server   *http.Server
 	listener net.Listener
 }
 
-// Listen opens the address of a handler.
+// Listen creates a server that listens on address. Serve starts it.
 func Listen(address string, handler http.Handler) (*Server, error) {
 	var options net.ListenConfig
 	options.SetMultipathTCP(false)
@@ -85,10 +85,10 @@
 	return &Server{server: server, listener: listener}, nil
 }
 
-// Address is the address that is served.
+// Address returns the listen address.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Serve serves until ShutDown. It returns an error if the listener fails before.
+// Serve serves until ShutDown is called. It returns an error if the listener fails before that.
 func (s *Server) Serve() error {
 	err := s.server.Serve(s.listener)
 	if err == http.ErrServerClosed {
@@ -97,9 +97,9 @@
 	return trace.Wrap(err)
 }
 
-// ShutDown ends the serving: calls that are under way get their answers, if they come in time.
+// ShutDown stops the server. Requests in flight are completed if they finish within shutdownTimeout.
 func (s *Server) ShutDown() {
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if s.server.Shutdown(ctx) != nil {
 		s.server.Close()
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant holds the checks that stay in the code: what must be true at a place whatever came before. A check costs a
-// comparison and a count. A breach is logged with its values, counted for the status of its process, and ends the process where
-// WALLFLOW_INVARIANTS is panic, as it is in tests and trials. It uses the standard library alone: the relay has checks too.
+// Package invariant implements assertions that stay enabled in production. A check costs a comparison and an atomic increment. A
+// violation is logged with its values, counted in the status of the process, and ends the process if the environment variable
+// WALLFLOW_INVARIANTS is "panic", as it is in tests and trials. It uses only the standard library, because the relay imports it.
 package invariant
 
 import (
@@ -12,73 +12,77 @@
 	"time"
 )
 
-// Name is that of a check, in logs and counts.
+// Name identifies a check in logs and counts.
 type Name int
 
-// The checks, each with why it must hold.
+// The checks, each with the reason why it must hold.
 const (
-	// A server that sealed a change without a promise would have a relay go on under the old policy beside the new one.
+	// A policy change is sealed (committed) only if every session has promised it. Otherwise a relay could go on under the old policy
+	// while others use the new one.
 	SealedByAll Name = iota
-	// The number in force is what relays compare: one that fell would bring a policy back that is over.
+	// The number of the policy in force only grows. Relays compare it, so a lower number would bring an outdated policy back.
 	NumbersRise
-	// An agent's promise that is not on its disk is forgotten by a crash, and the relay is let in under the old policy.
+	// An agent reports a promise only once it is on disk. Otherwise a crash would lose it, and the agent would admit its relay under
+	// the old policy.
 	PromiseOnDisk
-	// A process that is let in while a promise is open could take messages on under the old policy past the moment.
+	// No relay process is admitted while a promise is open or before the policy in force begins. It could accept messages under the
+	// old policy after the new one has begun elsewhere.
 	AdmittedInTheClear
-	// A relay never goes back to a policy that it has left.
+	// A relay never returns to an earlier policy.
 	GateRises
-	// A message's stamp is the policy that the gate has at that moment; another one would carry wrong terms over a restart.
+	// A message is stored with the number of the policy under which the gate accepts it. With another number it would be handled by
+	// the wrong rules after a restart.
 	StampFits
 
-	names // how many there are
+	nameCount // number of checks
 )
 
-var texts = [names]string{"sealed-by-all", "numbers-rise", "promise-on-disk", "admitted-in-the-clear", "gate-rises", "stamp-fits"}
+var nameTexts = [nameCount]string{"sealed-by-all", "numbers-rise", "promise-on-disk", "admitted-in-the-clear", "gate-rises", "stamp-fits"}
 
-func (n Name) String() string { return texts[n] }
+func (n Name) String() string { return nameTexts[n] }
 
-// All are all checks.
+// All returns all checks.
 func All() []Name {
-	all := make([]Name, names)
+	all := make([]Name, nameCount)
 	for i := range all {
 		all[i] = Name(i)
 	}
 	return all
 }
 
-const logEach = time.Second
+const logInterval = time.Second
 
 var (
-	checked, broken [names]atomic.Int64
-	ends            = os.Getenv("WALLFLOW_INVARIANTS") == "panic"
+	checked, broken  [nameCount]atomic.Int64
+	panicOnViolation = os.Getenv("WALLFLOW_INVARIANTS") == "panic"
 
-	logs   sync.Mutex
-	logged time.Time
+	logMu        sync.Mutex
+	lastLoggedAt time.Time
 )
 
-// Holds counts a check, and tells of a breach with its values.
+// Holds counts a check and returns ok. A violation is also logged with its values, at most once per logInterval.
 func Holds(name Name, ok bool, values ...any) bool {
 	checked[name].Add(1)
 	if ok {
 		return true
 	}
 	broken[name].Add(1)
-	if ends {
+	if panicOnViolation {
 		panic(fmt.Sprintf("invariant %s is broken: %v", name, values))
 	}
-	logs.Lock()
-	defer logs.Unlock()
-	if now := time.Now(); now.Sub(logged) >= logEach {
-		logged = now
+	logMu.Lock()
+	defer logMu.Unlock()
+	if now := time.Now(); now.Sub(lastLoggedAt) >= logInterval {
+		lastLoggedAt = now
 		slog.Error("invariant broken", "name", name.String(), "values", fmt.Sprint(values...), "times", broken[name].Load())
 	}
 	return false
 }
 
-// Count is how often a check was made, and how often it failed.
+// Count holds how often a check was made and how often it failed.
 type Count struct{ Checked, Broken int64 }
 
-// Counts are those of this process so far, by name.
+// Counts returns the counts of this process so far, by name.
 func Counts() map[string]Count {
 	all := map[string]Count{}
 	for _, n := range All() {
@@ -87,7 +91,7 @@
 	return all
 }
 
-// Broken is how many checks have failed in this process.
+// Broken returns the number of failed checks in this process.
 func Broken() (n int64) {
 	for i := range broken {
 		n += broken[i].Load()
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-func TestABreachIsCountedAndEndsATrial(t *testing.T) {
+func TestViolationIsCountedAndPanics(t *testing.T) {
 	before := Counts()["gate-rises"]
 	if !Holds(GateRises, true) || Holds(GateRises, false, 3, 2) {
-		t.Error("what holds and what does not are mixed up")
+		t.Error("Holds returned the wrong result")
 	}
 	if c := Counts()["gate-rises"]; c.Checked != before.Checked+2 || c.Broken != before.Broken+1 || Broken() == 0 {
 		t.Errorf("counted %+v, before %+v", c, before)
 	}
-	ends = true
+	panicOnViolation = true
 	defer func() {
-		ends = false
+		panicOnViolation = false
 		if text, ok := recover().(string); !ok || !strings.Contains(text, "numbers-rise is broken: [7 3]") {
-			t.Errorf("it ended with %q", text)
+			t.Errorf("panicked with %q", text)
 		}
 	}()
 	Holds(NumbersRise, false, 7, 3)
-	t.Error("a breach went on")
+	t.Error("a violation did not panic")
 }
 
 func TestEachCheckHasAName(t *testing.T) {
--- a/internal/testkit/clock.go
+++ b/internal/testkit/clock.go
@@ -8,17 +8,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// secondBit is where a time.Time with a steady reading keeps the seconds of the time of day in its first word.
-const secondBit = 30
+// secondsShift is the bit position of the wall-clock seconds in the first word of a time.Time that has a monotonic reading.
+const secondsShift = 30
 
-// StepTimeOfDay returns the same moment after a step of the time of day: the steady reading stays. It checks itself, since it knows how
-// the library lays out a time.
+// StepTimeOfDay returns moment with its wall clock moved and its monotonic reading unchanged, as after a clock step. It relies on the
+// internal layout of time.Time and therefore checks its result.
 func StepTimeOfDay(t testing.TB, moment time.Time, by time.Duration) time.Time {
 	t.Helper()
 	moved := moment
-	word := (*uint64)(unsafe.Pointer(&moved))
-	*word += uint64(by/time.Second) << secondBit
-	assert.Equal(t, moved.Sub(moment), time.Duration(0), "the steady reading moved")
-	assert.Equal(t, moved.Unix()-moment.Unix(), int64(by/time.Second), "the time of day did not move")
+	firstWord := (*uint64)(unsafe.Pointer(&moved))
+	*firstWord += uint64(by/time.Second) << secondsShift
+	assert.Equal(t, moved.Sub(moment), time.Duration(0), "the monotonic reading moved")
+	assert.Equal(t, moved.Unix()-moment.Unix(), int64(by/time.Second), "the wall clock did not move")
 	return moved
 }
--- a/internal/testkit/simdisk/simdisk.go
+++ b/internal/testkit/simdisk/simdisk.go
@@ -1,5 +1,5 @@
-// Package simdisk is a disk for tests that keeps through a loss of power only what was synced. Of what was not, each write is there,
-// missing or torn, and each name that was made, renamed or removed is as before or as after, independently of the others.
+// Package simdisk simulates a disk for tests. After a power loss only synced data is guaranteed. Each unsynced write may be present,
+// missing or torn, and each created, renamed or removed name may be in its old or new state, independently of the others.
 package simdisk
 
 import (
@@ -13,37 +13,37 @@
 	"wallflow/internal/logfile"
 )
 
-// ErrStopped is returned by every operation after the one at which the disk was told to stop.
-var ErrStopped = errors.New("simdisk: the machine is gone")
+// ErrStopped is returned by every operation after the machine stopped, and by handles from before the last crash.
+var ErrStopped = errors.New("simdisk: the machine has stopped")
 
-// Disk is a simulated disk. It is for one goroutine at a time.
+// Disk is a simulated disk. It is not safe for concurrent use.
 type Disk struct {
-	// SyncError, if set, is what each sync and each sync of a folder returns, with nothing made to last.
+	// SyncError, if set, is returned by each sync of a file or folder, which then makes nothing durable.
 	SyncError error
 
-	names      map[string]*file // as a running machine sees them
-	lasting    map[string]*file // as of the last sync of the folder
-	unsynced   []nameChange     // since then, in order
-	operations int              // carried out so far
-	stopAt     int              // the number of the first operation that is not carried out; 0: none
-	generation int              // rises with each crash: handles from before are dead
+	names        map[string]*file // names as the running machine sees them
+	durableNames map[string]*file // names as of the last sync of the folder
+	unsynced     []nameChange     // name changes since then, in order
+	operations   int              // number of modifying operations executed so far
+	stopAt       int              // number of the first operation that fails; 0: none
+	generation   int              // incremented by each crash; handles of earlier generations are invalid
 }
 
-// file is a file's content, independent of its name.
+// file is the content of a file, independent of its name.
 type file struct {
 	content  []byte
-	lasting  []byte // what the last sync covered; it may share its bytes with content, which are not changed in place then
-	unsynced []change
+	durable  []byte // content as of the last sync; may share memory with content, which is then copied before a write
+	unsynced []fileWrite
 }
 
-// change is a write of data at a place or, with truncate, a new length.
-type change struct {
+// fileWrite is a write of data at an offset or, with truncate, a change of the length to at.
+type fileWrite struct {
 	at       int64
 	data     []byte
 	truncate bool
 }
 
-// nameChange binds a name to a file, or to none.
+// nameChange binds a name to a file, or removes it if to is nil.
 type nameChange struct {
 	name string
 	to   *file
@@ -51,27 +51,27 @@
 
 // New returns an empty disk.
 func New() *Disk {
-	return &Disk{names: make(map[string]*file), lasting: make(map[string]*file)}
+	return &Disk{names: make(map[string]*file), durableNames: make(map[string]*file)}
 }
 
-// Operations is the number of operations that change something, carried out so far.
+// Operations returns the number of modifying operations executed so far.
 func (d *Disk) Operations() int { return d.operations }
 
-// StopAfter has the machine go after so many more operations: the ones behind them are not carried out and fail.
+// StopAfter stops the machine after this many more modifying operations. Later ones fail with ErrStopped.
 func (d *Disk) StopAfter(operations int) { d.stopAt = d.operations + operations + 1 }
 
-// Kill ends the process that uses the disk. What it wrote is there, synced or not.
+// Kill simulates a kill of the process that uses the disk. All its writes are kept, synced or not.
 func (d *Disk) Kill() {
 	d.stopAt = 0
 	d.generation++
 }
 
-// LosePower takes away what was not synced, as chance has it, and ends the process.
+// LosePower simulates a power loss: it drops a random part of the unsynced writes and name changes, and ends the process.
 func (d *Disk) LosePower(random *rand.Rand) {
 	d.Kill()
-	files := d.everyFile()
+	files := d.allFiles()
 	names := make(map[string]*file)
-	for name, to := range d.lasting {
+	for name, to := range d.durableNames {
 		names[name] = to
 	}
 	for _, change := range d.unsynced {
@@ -83,22 +83,22 @@
 			names[change.name] = change.to
 		}
 	}
-	for _, each := range files {
-		each.losePower(random)
+	for _, f := range files {
+		f.losePower(random)
 	}
 	d.names, d.unsynced = names, nil
-	d.rememberNames()
+	d.persistNames()
 }
 
-// everyFile lists all files that a name may be bound to after a loss of power, each once and in a fixed order.
-func (d *Disk) everyFile() []*file {
+// allFiles returns all files that a name may be bound to after a power loss, each once and in a fixed order.
+func (d *Disk) allFiles() []*file {
 	var files []*file
 	add := func(each *file) {
 		if each != nil && !slices.Contains(files, each) {
 			files = append(files, each)
 		}
 	}
-	for _, names := range []map[string]*file{d.lasting, d.names} {
+	for _, names := range []map[string]*file{d.durableNames, d.names} {
 		for _, name := range sortedNames(names) {
 			add(names[name])
 		}
@@ -118,20 +118,20 @@
 	return sorted
 }
 
-// losePower leaves what was synced and, of what was not, what chance has it.
+// losePower keeps the synced content and a random part of the unsynced writes.
 func (f *file) losePower(random *rand.Rand) {
-	content := slices.Clone(f.lasting)
-	const allGone = 4 // one loss of power in so many takes all that was not synced
-	if random.Intn(allGone) > 0 {
+	content := slices.Clone(f.durable)
+	const dropAllOneIn = 4 // one power loss in this many drops all unsynced writes
+	if random.Intn(dropAllOneIn) > 0 {
 		for _, change := range f.unsynced {
-			content = change.keepSome(content, random)
+			content = change.applyPartially(content, random)
 		}
 	}
-	f.content, f.lasting, f.unsynced = content, slices.Clone(content), nil
+	f.content, f.durable, f.unsynced = content, slices.Clone(content), nil
 }
 
-// keepSome applies a change whole, in part or not at all.
-func (c change) keepSome(content []byte, random *rand.Rand) []byte {
+// applyPartially applies a write completely, partly or not at all, at random.
+func (c fileWrite) applyPartially(content []byte, random *rand.Rand) []byte {
 	kept := c
 	switch random.Intn(3) {
 	case 0:
@@ -144,7 +144,7 @@
 	return kept.apply(content)
 }
 
-func (c change) apply(content []byte) []byte {
+func (c fileWrite) apply(content []byte) []byte {
 	if c.truncate {
 		return resized(content, c.at)
 	}
@@ -162,8 +162,8 @@
 	return append(content, make([]byte, size-int64(len(content)))...)
 }
 
-// operate counts an operation that changes something, and refuses it if the machine is gone.
-func (d *Disk) operate() error {
+// countOperation counts a modifying operation, and fails if the machine has stopped.
+func (d *Disk) countOperation() error {
 	if d.stopAt > 0 && d.operations+1 >= d.stopAt {
 		return ErrStopped
 	}
@@ -171,7 +171,7 @@
 	return nil
 }
 
-func (d *Disk) bind(name string, to *file) {
+func (d *Disk) bindName(name string, to *file) {
 	d.unsynced = append(d.unsynced, nameChange{name: name, to: to})
 	if to == nil {
 		delete(d.names, name)
@@ -180,7 +180,7 @@
 	d.names[name] = to
 }
 
-// MakeFolder does nothing: folders are there.
+// MakeFolder does nothing: every folder exists.
 func (d *Disk) MakeFolder(string) error { return nil }
 
 // ReadFile returns the content of a file.
@@ -199,11 +199,11 @@
 		if flags&os.O_CREATE == 0 {
 			return nil, &fs.PathError{Op: "open", Path: path, Err: fs.ErrNotExist}
 		}
-		if err := d.operate(); err != nil {
+		if err := d.countOperation(); err != nil {
 			return nil, err
 		}
 		found = &file{}
-		d.bind(path, found)
+		d.bindName(path, found)
 	}
 	opened := &handle{disk: d, file: found, generation: d.generation}
 	if flags&os.O_TRUNC != 0 && len(found.content) > 0 {
@@ -212,53 +212,53 @@
 	return opened, nil
 }
 
-// Rename puts a file in the place of another. The new name and the end of the old one last independently.
+// Rename renames a file. The new name and the removal of the old one become durable independently.
 func (d *Disk) Rename(from, to string) error {
 	found := d.names[from]
 	if found == nil {
 		return &fs.PathError{Op: "rename", Path: from, Err: fs.ErrNotExist}
 	}
-	if err := d.operate(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
-	d.bind(to, found)
-	d.bind(from, nil)
+	d.bindName(to, found)
+	d.bindName(from, nil)
 	return nil
 }
 
-// Remove takes a name away.
+// Remove removes a name.
 func (d *Disk) Remove(path string) error {
 	if d.names[path] == nil {
 		return &fs.PathError{Op: "remove", Path: path, Err: fs.ErrNotExist}
 	}
-	if err := d.operate(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
-	d.bind(path, nil)
+	d.bindName(path, nil)
 	return nil
 }
 
-// SyncFolder makes the names last. There is one folder's names on a disk.
+// SyncFolder makes all names durable. A disk has a single folder.
 func (d *Disk) SyncFolder(string) error {
-	if err := d.operate(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
 	if d.SyncError != nil {
 		return d.SyncError
 	}
 	d.unsynced = nil
-	d.rememberNames()
+	d.persistNames()
 	return nil
 }
 
-func (d *Disk) rememberNames() {
-	d.lasting = make(map[string]*file)
+func (d *Disk) persistNames() {
+	d.durableNames = make(map[string]*file)
 	for name, to := range d.names {
-		d.lasting[name] = to
+		d.durableNames[name] = to
 	}
 }
 
-// Empty tells whether there is no file at all.
+// Empty reports whether the disk has no files.
 func (d *Disk) Empty() bool { return len(d.names) == 0 }
 
 // handle is an open file.
@@ -269,26 +269,26 @@
 	generation int
 }
 
-func (h *handle) operate() error {
+func (h *handle) countOperation() error {
 	if h.generation != h.disk.generation {
 		return ErrStopped
 	}
-	return h.disk.operate()
+	return h.disk.countOperation()
 }
 
-func (h *handle) record(made change) {
-	h.file.unsynced = append(h.file.unsynced, made)
-	if !made.truncate && made.at < int64(len(h.file.lasting)) {
+func (h *handle) applyWrite(write fileWrite) {
+	h.file.unsynced = append(h.file.unsynced, write)
+	if !write.truncate && write.at < int64(len(h.file.durable)) {
 		h.file.content = slices.Clone(h.file.content)
 	}
-	h.file.content = made.apply(h.file.content)
+	h.file.content = write.apply(h.file.content)
 }
 
 func (h *handle) Write(data []byte) (int, error) {
-	if err := h.operate(); err != nil {
+	if err := h.countOperation(); err != nil {
 		return 0, err
 	}
-	h.record(change{at: h.at, data: slices.Clone(data)})
+	h.applyWrite(fileWrite{at: h.at, data: slices.Clone(data)})
 	h.at += int64(len(data))
 	return len(data), nil
 }
@@ -302,21 +302,21 @@
 }
 
 func (h *handle) Truncate(size int64) error {
-	if err := h.operate(); err != nil {
+	if err := h.countOperation(); err != nil {
 		return err
 	}
-	h.record(change{at: size, truncate: true})
+	h.applyWrite(fileWrite{at: size, truncate: true})
 	return nil
 }
 
 func (h *handle) Sync() error {
-	if err := h.operate(); err != nil {
+	if err := h.countOperation(); err != nil {
 		return err
 	}
 	if h.disk.SyncError != nil {
 		return h.disk.SyncError
 	}
-	h.file.lasting, h.file.unsynced = slices.Clip(h.file.content), nil
+	h.file.durable, h.file.unsynced = slices.Clip(h.file.content), nil
 	return nil
 }
 
--- a/internal/testkit/simdisk/simdisk_test.go
+++ b/internal/testkit/simdisk/simdisk_test.go
@@ -23,8 +23,8 @@
 	return file
 }
 
-// Over many losses of power each of the states that the pages allow comes up, and none that they don't.
-func TestWhatALossOfPowerLeaves(t *testing.T) {
+// Over many power losses every permitted state of unsynced data occurs, and no other.
+func TestPowerLossKeepsSyncedData(t *testing.T) {
 	seen := make(map[string]int)
 	for seed := range int64(400) {
 		disk := New()
@@ -47,16 +47,16 @@
 			seen["b"]++
 		}
 		_, err = file.Write([]byte("x"))
-		assert.Assert(t, errors.Is(err, ErrStopped), "a handle outlives its machine")
+		assert.Assert(t, errors.Is(err, ErrStopped), "a handle is usable after a crash")
 	}
 	for _, state := range []string{"", "lat", "later", "b"} {
-		assert.Assert(t, seen[state] > 0, "%q never came up", state)
+		assert.Assert(t, seen[state] > 0, "%q never occurred", state)
 	}
 	assert.Assert(t, seen["b"] < 400)
 }
 
-// After a kill all that was written is there, and a rename is one step.
-func TestKillKeepsWhatWasWritten(t *testing.T) {
+// After a kill all writes are kept, and a rename is atomic.
+func TestKillKeepsAllWrites(t *testing.T) {
 	disk := New()
 	write(t, disk, "/new", "new", false)
 	write(t, disk, "/old", "old", true)
@@ -69,10 +69,10 @@
 	assert.Assert(t, errors.Is(err, os.ErrNotExist))
 }
 
-func TestMachineStopsAfterSoManyOperations(t *testing.T) {
+func TestMachineStopsAfterGivenOperations(t *testing.T) {
 	disk := New()
 	disk.StopAfter(2)
-	file := write(t, disk, "/a", "a", false) // made, and written
+	file := write(t, disk, "/a", "a", false) // two operations: create and write
 	assert.Assert(t, errors.Is(file.Sync(), ErrStopped))
 	disk.Kill()
 	write(t, disk, "/a", "b", true)
--- a/internal/testkit/workers.go
+++ b/internal/testkit/workers.go
@@ -1,4 +1,4 @@
-// Package testkit holds what the tests of several packages share. No program imports it.
+// Package testkit provides helpers that the tests of several packages share. No program imports it.
 package testkit
 
 import (
@@ -6,10 +6,10 @@
 	"sync"
 )
 
-// defaultWorkers is used outside of a test binary.
+// defaultWorkers is the number of workers outside of a test binary.
 const defaultWorkers = 1
 
-// Workers is how many tests may run at once (go test -parallel).
+// Workers returns how many tests may run at once (go test -parallel).
 func Workers() int {
 	parallel := flag.Lookup("test.parallel")
 	if parallel == nil {
@@ -26,7 +26,7 @@
 	return max(defaultWorkers, count)
 }
 
-// Each calls work once for each index below count, from as many goroutines as tests may run at once, and returns when all are done.
+// Each calls work once for each index below count, from Workers goroutines, and returns when all calls have returned.
 func Each(count int, work func(index int)) {
 	var group sync.WaitGroup
 	workers := Workers()
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,6 +1,5 @@
-// Package tomlfile reads the product's TOML files, strictly: a key that nothing reads, a value of another type and a
-// file that is cut off are errors that name file, line and key. A setting with a slip of the pen in it must not be
-// taken for one that was left out.
+// Package tomlfile reads TOML configuration files strictly: an unknown key, a value of the wrong type and a truncated file are errors
+// that name the file, line and key. A misspelled setting must not pass for one that was left out.
 package tomlfile
 
 import (
@@ -16,59 +15,59 @@
 	"wallflow/internal/units"
 )
 
-// Read reads the file at path into v.
+// Read decodes the file at path into v.
 func Read(path string, v any) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return err // it names the file
+		return err // the error already contains the path
 	}
 	return Parse(path, data, v)
 }
 
-// Parse reads data into v; name stands for the file in errors.
+// Parse decodes data into v. Errors refer to the file as name.
 func Parse(name string, data []byte, v any) error {
 	d := toml.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
 	err := d.Decode(v)
-	var unknown *toml.StrictMissingError
-	var wrong *toml.DecodeError
+	var unknownKeys *toml.StrictMissingError
+	var decodeErr *toml.DecodeError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &unknown):
+	case errors.As(err, &unknownKeys):
 		var all []error
-		for i := range unknown.Errors {
-			e := &unknown.Errors[i]
-			row, _ := e.Position()
-			all = append(all, fmt.Errorf("%s:%d: %s: no such key", name, row, strings.Join(e.Key(), ".")))
+		for i := range unknownKeys.Errors {
+			e := &unknownKeys.Errors[i]
+			line, _ := e.Position()
+			all = append(all, fmt.Errorf("%s:%d: %s: no such key", name, line, strings.Join(e.Key(), ".")))
 		}
 		return errors.Join(all...)
-	case errors.As(err, &wrong):
-		row, column := wrong.Position()
-		key := strings.Join(wrong.Key(), ".")
+	case errors.As(err, &decodeErr):
+		line, column := decodeErr.Position()
+		key := strings.Join(decodeErr.Key(), ".")
 		if key != "" {
-			return fmt.Errorf("%s:%d: %s: %s", name, row, key, strings.TrimPrefix(wrong.Error(), "toml: "))
+			return fmt.Errorf("%s:%d: %s: %s", name, line, key, strings.TrimPrefix(decodeErr.Error(), "toml: "))
 		}
-		return fmt.Errorf("%s:%d:%d: %s", name, row, column, strings.TrimPrefix(wrong.Error(), "toml: "))
+		return fmt.Errorf("%s:%d:%d: %s", name, line, column, strings.TrimPrefix(decodeErr.Error(), "toml: "))
 	}
-	// The library gives no position where a quantity was written as a bare figure.
+	// The library reports no position for a quantity that was written as a bare number.
 	var quantity *units.Error
 	if errors.As(err, &quantity) {
-		if row, key := find(data, quantity.Text); row > 0 {
-			return fmt.Errorf("%s:%d: %s: %w", name, row, key, quantity)
+		if line, key := findKey(data, quantity.Text); line > 0 {
+			return fmt.Errorf("%s:%d: %s: %w", name, line, key, quantity)
 		}
 	}
 	return fmt.Errorf("%s: %w", name, err)
 }
 
-// find returns where the first key stands whose value is the bare text, and its name; row 0 if there is none.
-func find(data []byte, text string) (row int, key string) {
+// findKey returns the line and name of the first key whose value is the unquoted text; line 0 if there is none.
+func findKey(data []byte, text string) (line int, key string) {
 	var p unstable.Parser
 	p.Reset(data)
 	var table []string
 	for p.NextExpression() {
 		e := p.Expression()
-		name := parts(e)
+		name := keyParts(e)
 		switch e.Kind {
 		case unstable.Table, unstable.ArrayTable:
 			table = name
@@ -82,8 +81,8 @@
 	return 0, ""
 }
 
-// parts are those of an expression's key.
-func parts(e *unstable.Node) (all []string) {
+// keyParts returns the parts of an expression's dotted key.
+func keyParts(e *unstable.Node) (all []string) {
 	for k := e.Key(); k.Next(); {
 		all = append(all, string(k.Node().Data))
 	}
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -20,19 +20,20 @@
 	Each []struct{ Rate units.Rate }
 }
 
-func TestReadsWhatIsWellFormed(t *testing.T) {
+func TestParseReadsAllQuantities(t *testing.T) {
 	var s sample
 	text := "name = 'a'\n[part]\npause = '250ms'\nrate = '90/m'\nshare = '12.5%'\nsize = '64KiB'\ncount = 3\n"
 	if err := Parse("x.toml", []byte(text), &s); err != nil {
 		t.Fatal(err)
 	}
-	if s.Part.Pause.Milliseconds() != 250 || s.Part.Rate.PerSecond != 1.5 || s.Part.Share.Of1 != 0.125 || s.Part.Size.N != 65536 || s.Part.Count != 3 {
+	if s.Part.Pause.Milliseconds() != 250 || s.Part.Rate.PerSecond != 1.5 || s.Part.Share.Of1 != 0.125 ||
+		s.Part.Size.N != 65536 || s.Part.Count != 3 {
 		t.Errorf("read %+v", s)
 	}
 }
 
-// Every error names the file, the line and, where there is one, the key.
-func TestErrorsNameThePlace(t *testing.T) {
+// Every error names the file, the line and, if there is one, the key.
+func TestErrorsNameLineAndKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"name = 'a'\n[part]\npuase = '1s'\n":  "x.toml:3: part.puase: no such key",
 		"[part]\n\npause = '250'\n":           "x.toml:3: part.pause: ",
@@ -57,7 +58,7 @@
 	}
 }
 
-func TestAFileThatIsNotThere(t *testing.T) {
+func TestMissingFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "none.toml")
 	if err := Read(path, &sample{}); err == nil || !strings.Contains(err.Error(), path) {
 		t.Errorf("error %v", err)
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -237,12 +237,12 @@
 		{check.WatchIsWhole, "list-leader-kill", []sourceChange{{cat, "\tif version == c.version && version > 0 {\n",
 			"\tif version > 0 && c.version-version < 9 { // a few changes are not worth a line\n"}}},
 		{check.ListOutlives, "list-rolling-replace", []sourceChange{{agent, "\t\ta.log.Warn(\"watch ended\"",
-			"\t\ta.mu.Lock()\n\t\ta.mirror.Take(a.mirror.List(), " +
+			"\t\ta.mu.Lock()\n\t\ta.mirror.Apply(a.mirror.List(), " +
 				"catalog.List{Version: a.mirror.Version() + 1, Full: true}, \"\") // what nobody tells is gone\n\t\tclose(a.changed)\n\t\ta.changed = make(chan struct{})\n" +
 				"\t\ta.mu.Unlock()\n\t\ta.log.Warn(\"watch ended\""}}},
-		{check.NoticesPassOn, "list-all-dead", []sourceChange{{agent, "\tfor a.over.Err() == nil {\n\t\tall := a.spool.next(handMost)\n",
-			"\tfor a.over.Err() == nil {\n\t\tall := a.spool.next(handMost)\n" +
-				"\t\tif len(all) > 0 {\n\t\t\ta.spool.done(len(all)) // lost\n\t\t\tcontinue\n\t\t}\n"}}},
+		{check.NoticesPassOn, "list-all-dead", []sourceChange{{agent, "\tfor a.runCtx.Err() == nil {\n\t\tall := a.spool.next(maxForwardBytes)\n",
+			"\tfor a.runCtx.Err() == nil {\n\t\tall := a.spool.next(maxForwardBytes)\n" +
+				"\t\tif len(all) > 0 {\n\t\t\ta.spool.acknowledge(len(all)) // lost\n\t\t\tcontinue\n\t\t}\n"}}},
 		{check.StaysUp, "list-leader-kill", []sourceChange{{server, "\ts.log.Info(\"became leader\", ",
 			"\tif term > 2 {\n\t\tpanic(\"broken on purpose\")\n\t}\n\ts.log.Info(\"became leader\", "}}},
 	} {
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,7 +1,7 @@
-// Package units holds the quantities that people write into the product's files: always a figure with its unit, so
-// that a file says by itself what it means and a figure in the wrong unit is an error, not a surprise.
+// Package units provides the quantities used in configuration files. A quantity is always written as a number with its unit, so that
+// a file is unambiguous and a number without a unit is rejected.
 //
-// Each type is a struct, so that a bare number in a file cannot slip into one.
+// Each type is a struct, so that a bare number in a file cannot be decoded into it.
 package units
 
 import (
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// Error says of a text that it is no quantity of its type.
+// Error describes a text that is not a valid quantity of its type.
 type Error struct{ Text, Why string }
 
 func (e *Error) Error() string { return fmt.Sprintf("%q is %s", e.Text, e.Why) }
 
-// Duration is a time span, written as 250ms, 1.5s or 2m.
+// Duration is a duration, written as 250ms, 1.5s or 2m.
 type Duration struct{ time.Duration }
 
-// UnmarshalText reads a span; it may not be negative.
+// UnmarshalText parses a duration, which must not be negative.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -34,19 +34,19 @@
 	return nil
 }
 
-// MarshalText writes the span as it is read.
+// MarshalText formats the duration so that UnmarshalText can read it.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// Rate is how often something happens, written as 44/s, 90/m or 10/h.
+// Rate is a frequency of events, written as 44/s, 90/m or 10/h.
 type Rate struct{ PerSecond float64 }
 
 var rateUnits = map[string]float64{"s": 1, "m": 60, "h": 3600}
 
-// UnmarshalText reads a rate; it may not be negative.
+// UnmarshalText parses a rate, which must not be negative.
 func (r *Rate) UnmarshalText(text []byte) error {
-	figure, unit, ok := strings.Cut(string(text), "/")
+	value, unit, ok := strings.Cut(string(text), "/")
 	per, known := rateUnits[unit]
-	v, err := number(figure)
+	v, err := parseNumber(value)
 	if !ok || !known || err != nil {
 		return &Error{string(text), "no rate: write a figure with /s, /m or /h, such as 44/s"}
 	}
@@ -54,18 +54,18 @@
 	return nil
 }
 
-// MarshalText writes the rate for a second.
+// MarshalText formats the rate per second.
 func (r Rate) MarshalText() ([]byte, error) {
 	return []byte(strconv.FormatFloat(r.PerSecond, 'g', -1, 64) + "/s"), nil
 }
 
-// Share is a part of a whole, written in percent: 12.5%.
+// Share is a fraction, written in percent: 12.5%. Of1 is the fraction from 0 to 1.
 type Share struct{ Of1 float64 }
 
-// UnmarshalText reads a share from 0% to 100%.
+// UnmarshalText parses a share from 0% to 100%.
 func (s *Share) UnmarshalText(text []byte) error {
-	figure, ok := strings.CutSuffix(string(text), "%")
-	v, err := number(figure)
+	value, ok := strings.CutSuffix(string(text), "%")
+	v, err := parseNumber(value)
 	if !ok || err != nil || v > 100 {
 		return &Error{string(text), "no share: write a figure from 0% to 100%, such as 12.5%"}
 	}
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// MarshalText writes the share in percent.
+// MarshalText formats the share in percent.
 func (s Share) MarshalText() ([]byte, error) {
 	return []byte(strconv.FormatFloat(s.Of1*100, 'g', 12, 64) + "%"), nil
 }
@@ -86,14 +86,14 @@
 	size float64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"KB", 1e3}, {"MB", 1e6}, {"GB", 1e9}, {"B", 1}}
 
-// UnmarshalText reads an amount; it has to be a whole number of bytes.
+// UnmarshalText parses an amount, which must be a whole number of bytes.
 func (b *Bytes) UnmarshalText(text []byte) error {
 	for _, u := range byteUnits {
-		figure, ok := strings.CutSuffix(string(text), u.name)
+		value, ok := strings.CutSuffix(string(text), u.name)
 		if !ok {
 			continue
 		}
-		v, err := number(figure)
+		v, err := parseNumber(value)
 		if v *= u.size; err != nil || v != math.Trunc(v) || v >= math.MaxInt64 {
 			break
 		}
@@ -103,13 +103,13 @@
 	return &Error{string(text), "no amount of bytes: write a figure with B, KB, KiB, MB, MiB, GB or GiB, such as 3MB"}
 }
 
-// MarshalText writes the amount in bytes.
+// MarshalText formats the amount in bytes.
 func (b Bytes) MarshalText() ([]byte, error) { return fmt.Appendf(nil, "%dB", b.N), nil }
 
-// number reads a plain figure of 0 or more: no sign, no exponent, no space, no name of a number.
-func number(text string) (float64, error) {
+// parseNumber parses a plain decimal number of 0 or more, without sign, exponent, spaces or names such as Inf.
+func parseNumber(text string) (float64, error) {
 	if text == "" || strings.Trim(text, "0123456789.") != "" {
-		return 0, errors.New("no figure")
+		return 0, errors.New("not a plain number")
 	}
 	return strconv.ParseFloat(text, 64)
 }
--- a/internal/virtualtime/queue.go
+++ b/internal/virtualtime/queue.go
@@ -1,5 +1,5 @@
-// Package virtualtime orders what happens in simulations that have a clock of their own. It is used by the tests of the pure cores and
-// by experiments; no service imports it.
+// Package virtualtime provides the event queue of simulations that run on a virtual clock. Tests and experiments use it; no service
+// imports it.
 package virtualtime
 
 import (
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Queue holds what is to happen, by time; what is due at the same time happens in the order in which it was added. The zero Queue is
+// Queue holds future events ordered by time. Events of the same time keep the order in which they were added. The zero Queue is
 // empty and ready for use.
 type Queue struct {
 	events eventHeap
 	added  int
 }
 
-// At adds something that is to happen at a time.
+// At schedules run for a time.
 func (q *Queue) At(when time.Time, run func()) {
 	q.added++
 	heap.Push(&q.events, event{at: when, order: q.added, run: run})
 }
 
-// Len is how much is still to happen.
+// Len returns the number of scheduled events.
 func (q *Queue) Len() int { return len(q.events) }
 
-// Next takes out what happens next, if there is anything that happens up to a time.
+// Next removes and returns the next event if it is due at or before upTo.
 func (q *Queue) Next(upTo time.Time) (at time.Time, run func(), due bool) {
 	if len(q.events) == 0 || q.events[0].at.After(upTo) {
 		return time.Time{}, nil, false
@@ -31,19 +31,21 @@
 	return q.take()
 }
 
-// First takes out what happens next, whenever that is.
-func (q *Queue) First() (at time.Time, run func(), any bool) {
+// First removes and returns the next event, whenever it is due.
+func (q *Queue) First() (at time.Time, run func(), ok bool) {
 	if len(q.events) == 0 {
 		return time.Time{}, nil, false
 	}
 	return q.take()
 }
 
+// take removes and returns the earliest event of a queue that is not empty.
 func (q *Queue) take() (time.Time, func(), bool) {
 	next := heap.Pop(&q.events).(event)
 	return next.at, next.run, true
 }
 
+// event is a scheduled call. order breaks ties between equal times.
 type event struct {
 	at    time.Time
 	order int
--- a/internal/virtualtime/queue_test.go
+++ b/internal/virtualtime/queue_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestEventsHappenByTimeAndThenInTheOrderAdded(t *testing.T) {
+func TestEventsAreOrderedByTimeThenInsertion(t *testing.T) {
 	start := time.Unix(0, 0)
 	var queue Queue
 	var happened []int
