--- a/cmd/wallflow/agent.go
+++ b/cmd/wallflow/agent.go
@@ -50,8 +50,8 @@
 		Commands: []*cli.Command{newAgentStatus(a)},
 		Action: a.action(noArguments, func(ctx context.Context, _ *cli.Command) error {
 			s := a.Agent
-			agentProcess, err := agent.Open(agent.Options{Dir: s.Dir, Listen: s.Listen, Servers: nonEmpty(a.Server), Finals: s.Finals,
-				Spool: s.Spool.N, TakeOn: s.TakeOn, Via: s.Via, Name: s.Name, Zone: s.Zone, Build: version(), Log: a.log})
+			agentProcess, err := agent.Open(agent.Options{Dir: s.Dir, Listen: s.Listen, Servers: nonEmpty(a.Server), NoticeAddr: s.Finals,
+				MaxSpoolBytes: s.Spool.N, ForceList: s.TakeOn, AddrOverrides: s.Via, Name: s.Name, Zone: s.Zone, Build: version(), Log: a.log})
 			if err != nil {
 				return fmt.Errorf("agent: %w", err)
 			}
--- a/cmd/wallflow/endpoint.go
+++ b/cmd/wallflow/endpoint.go
@@ -146,7 +146,7 @@
 			return catalog.Result{}, err
 		}
 		r, err := c.Write(ctx, &l.Version, ch)
-		var refused *client.Refused
+		var refused *client.RejectedError
 		if !errors.As(err, &refused) || refused.Status != http.StatusPreconditionFailed {
 			return r, err
 		}
--- a/cmd/wallflow/list_test.go
+++ b/cmd/wallflow/list_test.go
@@ -17,7 +17,7 @@
 func startListServer(t *testing.T) string {
 	t.Helper()
 	s, err := listsvc.Open(listsvc.Options{Name: "l0", Dir: t.TempDir(), Listen: "127.0.0.1:0", Raft: "127.0.0.1:0",
-		Beat: 200 * time.Millisecond})
+		HeartbeatTimeout: 200 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/wallflow/policy.go
+++ b/cmd/wallflow/policy.go
@@ -153,7 +153,7 @@
 				return err
 			}
 			for _, session := range r.Sessions {
-				if session.State != accord.Present || session.Follows != r.InForce.Number {
+				if session.State != accord.Present || session.ActivePolicy != r.InForce.Number {
 					return errCheckFailed
 				}
 			}
@@ -173,8 +173,8 @@
 	}
 	if c := r.Change; c != nil {
 		fmt.Fprintf(out, "change    %d (%s), %s", c.Number, c.Hash, c.Phase)
-		if len(r.Waits) > 0 {
-			fmt.Fprintf(out, "; waits for %s", strings.Join(r.Waits, ", "))
+		if len(r.WaitsFor) > 0 {
+			fmt.Fprintf(out, "; waits for %s", strings.Join(r.WaitsFor, ", "))
 		}
 		fmt.Fprintln(out)
 	}
@@ -188,7 +188,7 @@
 		if s.Relay {
 			relay = "runs"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%.40s\n", s.ID, s.Name, s.Zone, s.State, relay, s.Knows, s.Follows, s.Staged,
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%.40s\n", s.ID, s.Name, s.Zone, s.State, relay, s.KnownPolicy, s.ActivePolicy, s.Staged,
 			s.Promised, s.Build)
 	}
 	w.Flush()
--- a/cmd/wallflow/policy_test.go
+++ b/cmd/wallflow/policy_test.go
@@ -34,10 +34,10 @@
 }
 
 // sendRelayReport sends a report to an agent as a relay would, in the name of the test process, and returns the agent's reply.
-func sendRelayReport(t *testing.T, addr string, report accord.Says) (reply accord.Word) {
+func sendRelayReport(t *testing.T, addr string, report accord.ProcessStatus) (reply accord.ProcessReply) {
 	t.Helper()
 	var err error
-	if report.Process, err = accord.Self(); err != nil {
+	if report.Process, err = accord.CurrentProcess(); err != nil {
 		t.Fatal(err)
 	}
 	body, err := json.Marshal(report)
@@ -108,24 +108,27 @@
 	firstAgent, stopFirst := runAgent(t, address, "m1", filepath.Join(dir, "m1"))
 	waitFor(t, "m1 is registered", func() bool { return len(fleetReport(t, address).Sessions) == 1 })
 	expect(0, "change 1 is sealed", "policy", "propose", validFile, "--wait")
-	waitFor(t, "m1 knows the policy", func() bool { return fleetReport(t, address).Sessions[0].Knows == 1 })
+	waitFor(t, "m1 knows the policy", func() bool { return fleetReport(t, address).Sessions[0].KnownPolicy == 1 })
 	expect(0, "in force  1", "policy", "show")
 
 	// A relay is admitted under the current policy and then refuses a change.
-	var reply accord.Word
-	waitFor(t, "the relay is admitted", func() bool { reply = sendRelayReport(t, firstAgent, accord.Says{Follows: -1}); return reply.Admitted })
+	var reply accord.ProcessReply
+	waitFor(t, "the relay is admitted", func() bool {
+		reply = sendRelayReport(t, firstAgent, accord.ProcessStatus{Follows: -1})
+		return reply.Admitted
+	})
 	if reply.Policy.Number != 1 || len(reply.Policy.Document) == 0 {
 		t.Errorf("the relay got the policy %+v", reply.Policy)
 	}
-	sendRelayReport(t, firstAgent, accord.Says{Follows: 1})
+	sendRelayReport(t, firstAgent, accord.ProcessStatus{Follows: 1})
 	if code, out := runOnServer("policy", "propose", writePolicy("form = 1\ntitle = \"second one\"\n")); code != 0 {
 		t.Fatal(out)
 	}
 	waitFor(t, "the relay gets the change", func() bool {
-		reply = sendRelayReport(t, firstAgent, accord.Says{Follows: 1})
+		reply = sendRelayReport(t, firstAgent, accord.ProcessStatus{Follows: 1})
 		return reply.Change != nil && reply.Change.Number == 2
 	})
-	sendRelayReport(t, firstAgent, accord.Says{Follows: 1, Cannot: 2, Why: "classes.order: this relay has no such class"})
+	sendRelayReport(t, firstAgent, accord.ProcessStatus{Follows: 1, Cannot: 2, Why: "classes.order: this relay has no such class"})
 	waitFor(t, "the change is dropped", func() bool { return fleetReport(t, address).Change == nil })
 	expect(0, "m1 cannot follow it: classes.order: this relay has no such class", "policy", "show")
 
@@ -133,7 +136,7 @@
 	secondAgent, stopSecond := runAgent(t, address, "m2", filepath.Join(dir, "m2"))
 	waitFor(t, "m2 is registered", func() bool { return len(fleetReport(t, address).Sessions) == 2 })
 	id := fleetReport(t, address).Sessions[1].ID
-	waitFor(t, "the relay of m2 is admitted", func() bool { return sendRelayReport(t, secondAgent, accord.Says{Follows: -1}).Admitted })
+	waitFor(t, "the relay of m2 is admitted", func() bool { return sendRelayReport(t, secondAgent, accord.ProcessStatus{Follows: -1}).Admitted })
 	// The agent believes that its relay is still running, so that it stops without ending its session.
 	if err := stopSecond(); err != nil {
 		t.Fatal(err)
@@ -150,7 +153,7 @@
 	done := make(chan struct{})
 	go func() { // the relay confirms and promises every change
 		defer close(done)
-		for report := (accord.Says{Follows: 1}); ; {
+		for report := (accord.ProcessStatus{Follows: 1}); ; {
 			select {
 			case <-stop:
 				return
@@ -167,7 +170,10 @@
 	}()
 	expect(0, "is sealed", "policy", "propose", writePolicy("form = 1\ntitle = \"the fourth of them\"\n"), "--wait")
 	waitFor(t, "all follow the change",
-		func() bool { r := fleetReport(t, address); return r.InForce.Number == 4 && r.Sessions[0].Follows == 4 })
+		func() bool {
+			r := fleetReport(t, address)
+			return r.InForce.Number == 4 && r.Sessions[0].ActivePolicy == 4
+		})
 	close(stop)
 	<-done
 	if err := stopFirst(); err != nil {
--- a/cmd/wallflow/serve.go
+++ b/cmd/wallflow/serve.go
@@ -25,17 +25,17 @@
 type serveSettings struct {
 	Name          string
 	Dir           string
-	Listen        string            // address of the HTTP API
-	Raft          string            // address for the other servers (Raft)
-	AdvertiseHTTP string            `toml:"advertise_http"`
-	AdvertiseRaft string            `toml:"advertise_raft"`
-	Join          []string          // HTTP addresses of servers of a running cluster
-	Beat          units.Duration    // Raft heartbeat and election timeout
-	Keep          int               // number of changes in the list's history
-	SnapshotEach  uint64            `toml:"snapshot_each"` // log entries between two snapshots
-	Lease         units.Duration    // time without contact after which an agent's session lapses
-	Servers       []listsvc.First   // initial members of a new cluster
-	Via           map[string]string // addresses, mapped to those that are used instead
+	Listen        string                  // address of the HTTP API
+	Raft          string                  // address for the other servers (Raft)
+	AdvertiseHTTP string                  `toml:"advertise_http"`
+	AdvertiseRaft string                  `toml:"advertise_raft"`
+	Join          []string                // HTTP addresses of servers of a running cluster
+	Beat          units.Duration          // Raft heartbeat and election timeout
+	Keep          int                     // number of changes in the list's history
+	SnapshotEach  uint64                  `toml:"snapshot_each"` // log entries between two snapshots
+	Lease         units.Duration          // time without contact after which an agent's session lapses
+	Servers       []listsvc.InitialServer // initial members of a new cluster
+	Via           map[string]string       // addresses, mapped to those that are used instead
 }
 
 func newServe(a *app) *cli.Command {
@@ -66,8 +66,8 @@
 func (a *app) serve(ctx context.Context) error {
 	s := a.Serve
 	server, err := listsvc.Open(listsvc.Options{Name: s.Name, Dir: s.Dir, Listen: s.Listen, Raft: s.Raft, AdvertiseHTTP: s.AdvertiseHTTP,
-		AdvertiseRaft: s.AdvertiseRaft, Join: s.Join, Servers: s.Servers, Via: s.Via, Keep: s.Keep, Beat: s.Beat.Duration,
-		SnapshotEach: s.SnapshotEach, Lease: s.Lease.Duration, Log: a.log})
+		AdvertiseRaft: s.AdvertiseRaft, Join: s.Join, Servers: s.Servers, AddressOverrides: s.Via, HistoryLength: s.Keep, HeartbeatTimeout: s.Beat.Duration,
+		SnapshotThreshold: s.SnapshotEach, Lease: s.Lease.Duration, Log: a.log})
 	if err != nil {
 		return fmt.Errorf("list server: %w", err)
 	}
@@ -180,7 +180,7 @@
 			continue
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.8s\t%d\t%d\t%.8s\t%d\t%d\t%s\t%d\n",
-			r.Name, r.HTTP, r.Role, r.Cluster, r.Term, r.Applied, r.List, r.Version, r.Entries,
+			r.Name, r.HTTP, r.Role, r.Cluster, r.Term, r.Applied, r.ListCluster, r.Version, r.Entries,
 			(time.Duration(r.AgeMS) * time.Millisecond).String(), r.Watches)
 	}
 	w.Flush()
@@ -206,7 +206,7 @@
 			problems = append(problems, fmt.Sprintf("%s is not part of a cluster yet; it waits to form one with the servers %v", r.Name, r.Names))
 		case r.Cluster != first.Cluster:
 			problems = append(problems, fmt.Sprintf("%s belongs to cluster %s, but %s to %s", r.Name, r.Cluster, first.Name, first.Cluster))
-		case r.Version == first.Version && (r.List != first.List || r.Entries != first.Entries):
+		case r.Version == first.Version && (r.ListCluster != first.ListCluster || r.Entries != first.Entries):
 			problems = append(problems, fmt.Sprintf("%s and %s have different lists under version %d", r.Name, first.Name, r.Version))
 		}
 		if r.Role == "leader" {
--- a/internal/accord/accord.go
+++ b/internal/accord/accord.go
@@ -48,13 +48,13 @@
 
 // Errors of operations that were committed to the log and rejected when applied. Every server returns the same one.
 var (
-	ErrInFlight  = errors.New("another change is in flight")
-	ErrNoChange  = errors.New("no change of that number is in flight")
-	ErrNotAll    = errors.New("not all have agreed")
-	ErrGone      = errors.New("this session is over")
-	ErrOlderBoot = errors.New("a later process has this session")
-	ErrUnknown   = errors.New("no such session")
-	ErrTooMany   = errors.New("too many sessions")
+	ErrInFlight        = errors.New("another change is in flight")
+	ErrNoChange        = errors.New("no change of that number is in flight")
+	ErrSessionsMissing = errors.New("not all have agreed")
+	ErrSessionEnded    = errors.New("this session is over")
+	ErrStaleBoot       = errors.New("a later process has this session")
+	ErrUnknown         = errors.New("no such session")
+	ErrTooMany         = errors.New("too many sessions")
 )
 
 // Policy is a numbered policy document. Number 0 means that no policy is set: each relay uses its own configuration.
@@ -66,28 +66,28 @@
 
 // Session is the fleet's record of one agent and the relay beside it. Its id is generated when the agent's data folder is created.
 type Session struct {
-	ID       string `json:"id"`
-	Name     string `json:"name"`
-	Zone     string `json:"zone,omitempty"`
-	Build    string `json:"build,omitempty"`
-	Boot     int64  `json:"boot"` // number of agent starts with this data folder
-	State    string `json:"state"`
-	Relay    bool   `json:"relay"`              // a relay runs beside the agent
-	Knows    int64  `json:"knows"`              // number of the policy that the agent knows to be in force
-	Follows  int64  `json:"follows"`            // number of the policy that its relay applies to new messages; equals Knows without a relay
-	Staged   int64  `json:"staged,omitempty"`   // number of the change whose document is on its disk
-	Promised int64  `json:"promised,omitempty"` // number of the change that it has promised
-	Refused  int64  `json:"refused,omitempty"`  // number of the change that it cannot follow
-	Why      string `json:"why,omitempty"`      // reason of Refused
+	ID           string `json:"id"`
+	Name         string `json:"name"`
+	Zone         string `json:"zone,omitempty"`
+	Build        string `json:"build,omitempty"`
+	Boot         int64  `json:"boot"` // number of agent starts with this data folder
+	State        string `json:"state"`
+	Relay        bool   `json:"relay"`              // a relay runs beside the agent
+	KnownPolicy  int64  `json:"knows"`              // number of the policy that the agent knows to be in force
+	ActivePolicy int64  `json:"follows"`            // number of the policy that its relay applies to new messages; equals Knows without a relay
+	Staged       int64  `json:"staged,omitempty"`   // number of the change whose document is on its disk
+	Promised     int64  `json:"promised,omitempty"` // number of the change that it has promised
+	Refused      int64  `json:"refused,omitempty"`  // number of the change that it cannot follow
+	Why          string `json:"why,omitempty"`      // reason of Refused
 }
 
 // Change is a policy change in flight. Policy is the one that it proposes.
 type Change struct {
 	Policy
-	Phase  Phase  `json:"phase"`
-	Key    string `json:"key,omitempty"` // idempotency key of the proposal
-	HoldMS int64  `json:"hold_ms"`       // how long a relay that promised goes on under the old policy while the outcome is unknown
-	WithMS int64  `json:"within_ms"`     // time limit for all agents to stage the document
+	Phase    Phase  `json:"phase"`
+	Key      string `json:"key,omitempty"` // idempotency key of the proposal
+	HoldMS   int64  `json:"hold_ms"`       // how long a relay that promised goes on under the old policy while the outcome is unknown
+	WithinMS int64  `json:"within_ms"`     // time limit for all agents to stage the document
 }
 
 // Outcome is the result of a change that was sealed or dropped.
@@ -167,7 +167,7 @@
 		case !ok:
 			return 0, nil // already removed
 		case session.Boot != op.Leave.Boot:
-			return 0, ErrOlderBoot
+			return 0, ErrStaleBoot
 		}
 		s.removeSession(session.ID, "") // the agent may register again later
 		return 0, nil
@@ -190,7 +190,7 @@
 			return 0, err
 		}
 		if missing := s.Missing(); len(missing) > 0 {
-			return 0, fmt.Errorf("%w: %s has not staged it", ErrNotAll, missing[0].Name)
+			return 0, fmt.Errorf("%w: %s has not staged it", ErrSessionsMissing, missing[0].Name)
 		}
 		s.Change.Phase = Armed
 		return op.Arm, nil
@@ -199,7 +199,7 @@
 			return 0, err
 		}
 		if missing := s.Missing(); len(missing) > 0 {
-			return 0, fmt.Errorf("%w: %s has not promised it", ErrNotAll, missing[0].Name)
+			return 0, fmt.Errorf("%w: %s has not promised it", ErrSessionsMissing, missing[0].Name)
 		}
 		for _, session := range s.Sessions {
 			invariant.Holds(invariant.SealedByAll, session.Promised == op.Seal, session.Name, session.Promised, op.Seal)
@@ -262,12 +262,12 @@
 		return errors.New("a session needs id, name and boot")
 	}
 	if why, ok := s.Gone[r.ID]; ok {
-		return fmt.Errorf("%w: %s", ErrGone, why)
+		return fmt.Errorf("%w: %s", ErrSessionEnded, why)
 	}
 	previous, known := s.Sessions[r.ID]
 	switch {
 	case known && r.Boot < previous.Boot:
-		return ErrOlderBoot
+		return ErrStaleBoot
 	case !known && len(s.Sessions) >= maxSessions:
 		return fmt.Errorf("%w: at most are %d", ErrTooMany, maxSessions)
 	}
@@ -289,7 +289,7 @@
 	if s.Change != nil {
 		number = s.Change.Number
 	}
-	if r.Staged != number || r.Knows < s.InForce.Number { // Knows is above InForce.Number after the cluster was created anew
+	if r.Staged != number || r.KnownPolicy < s.InForce.Number { // Knows is above InForce.Number after the cluster was created anew
 		r.Staged = 0
 	}
 	if r.Promised != number || r.Staged == 0 || s.Change.Phase != Armed {
@@ -309,8 +309,8 @@
 	return nil
 }
 
-// Changes reports whether applying the report would modify the state.
-func (s *State) Changes(r Session) bool {
+// WouldChange reports whether applying the report would modify the state.
+func (s *State) WouldChange(r Session) bool {
 	previous, ok := s.Sessions[r.ID]
 	if !ok {
 		return true
@@ -338,7 +338,7 @@
 	case p.WithinMS < minHoldMS || p.WithinMS > maxStagingMS:
 		return 0, fieldErrorf("within_ms", "%d, wanted is %d to %d", p.WithinMS, minHoldMS, maxStagingMS)
 	}
-	d, err := Read(p.Document)
+	d, err := ParseDocument(p.Document)
 	if err != nil {
 		return 0, err
 	}
@@ -348,10 +348,10 @@
 	}
 	// The number must exceed every number that an agent knows: a cluster that was created anew starts at 0, but its fleet does not.
 	for _, x := range s.Sessions {
-		s.Last = max(s.Last, x.Knows)
+		s.Last = max(s.Last, x.KnownPolicy)
 	}
 	s.Last++
-	s.Change = &Change{Policy: Policy{s.Last, Hash(data), data}, Phase: Proposed, Key: p.Key, HoldMS: p.HoldMS, WithMS: p.WithinMS}
+	s.Change = &Change{Policy: Policy{s.Last, Hash(data), data}, Phase: Proposed, Key: p.Key, HoldMS: p.HoldMS, WithinMS: p.WithinMS}
 	return s.Last, nil
 }
 
@@ -375,7 +375,7 @@
 	if s.Change == nil {
 		return Session{}, false
 	}
-	for _, x := range s.All() {
+	for _, x := range s.SortedSessions() {
 		if x.Refused == s.Change.Number {
 			return x, true
 		}
@@ -383,8 +383,8 @@
 	return Session{}, false
 }
 
-// All returns the sessions sorted by name.
-func (s *State) All() []Session {
+// SortedSessions returns the sessions sorted by name.
+func (s *State) SortedSessions() []Session {
 	all := slices.Collect(maps.Values(s.Sessions))
 	sortByName(all)
 	return all
--- a/internal/accord/accord_test.go
+++ b/internal/accord/accord_test.go
@@ -42,7 +42,7 @@
 		`{"form":1,"weather":{}}`:                                  "weather: this build does not know it",
 		`{"form":1} {}`:                                            "something follows it",
 	} {
-		d, err := Read(json.RawMessage(text))
+		d, err := ParseDocument(json.RawMessage(text))
 		if want == "" {
 			if err != nil {
 				t.Errorf("%s: %v", text, err)
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	waits("a1 b3")
-	if _, err := s.Apply(Op{Report: &Session{ID: "2", Name: "b", Boot: 2}}); !errors.Is(err, ErrGone) {
+	if _, err := s.Apply(Op{Report: &Session{ID: "2", Name: "b", Boot: 2}}); !errors.Is(err, ErrSessionEnded) {
 		t.Errorf("report of a retired session: %v", err)
 	}
 	if _, err := s.Apply(Op{Leave: &Session{ID: "3", Boot: 1}}); err != nil {
@@ -102,7 +102,7 @@
 	waits("a1")
 	report(t, s, Session{ID: "3", Name: "b", Boot: 2}) // a session that left may register again, and changes wait for it
 	waits("a1 b3")
-	if _, err := s.Apply(Op{Report: &Session{ID: "3", Name: "b", Boot: 1}}); !errors.Is(err, ErrOlderBoot) {
+	if _, err := s.Apply(Op{Report: &Session{ID: "3", Name: "b", Boot: 1}}); !errors.Is(err, ErrStaleBoot) {
 		t.Errorf("report of an older process of the same data folder: %v", err)
 	}
 }
@@ -136,18 +136,18 @@
 		t.Errorf("repeated proposal of a dropped change: %d, %v", again, err)
 	}
 	// A service that was created anew numbers its changes above the numbers that its fleet knows.
-	report(t, s, Session{ID: "1", Name: "a", Boot: 1, Knows: 40})
+	report(t, s, Session{ID: "1", Name: "a", Boot: 1, KnownPolicy: 40})
 	if m := propose(t, s); m != 41 {
 		t.Errorf("number %d", m)
 	}
-	report(t, s, Session{ID: "1", Name: "a", Boot: 1, Knows: 40, Staged: 41})
+	report(t, s, Session{ID: "1", Name: "a", Boot: 1, KnownPolicy: 40, Staged: 41})
 	if _, err := s.Apply(Op{Arm: 41}); err != nil {
 		t.Error(err)
 	}
 }
 
 // For any sequence of operations: numbers never fall, a policy in force was promised by every session, the state survives encoding,
-// a rejected operation changes nothing, and State.Changes predicts whether a report modifies the state.
+// a rejected operation changes nothing, and State.WouldChange predicts whether a report modifies the state.
 func TestStateInvariantsUnderRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New("e")
@@ -171,11 +171,11 @@
 			case 6:
 				o.Lapse = id
 			default:
-				o.Report = &Session{ID: id, Name: "n" + fmt.Sprint(rapid.IntRange(1, 3).Draw(t, "name")), Boot: 1, Knows: s.InForce.Number,
+				o.Report = &Session{ID: id, Name: "n" + fmt.Sprint(rapid.IntRange(1, 3).Draw(t, "name")), Boot: 1, KnownPolicy: s.InForce.Number,
 					Staged: number, Promised: number * rapid.Int64Range(0, 1).Draw(t, "promised")}
 			}
 			was := s.Clone()
-			changes := o.Report != nil && s.Changes(*o.Report)
+			changes := o.Report != nil && s.WouldChange(*o.Report)
 			_, err := s.Apply(o)
 			before, _ := json.Marshal(was)
 			after, _ := json.Marshal(s)
--- a/internal/accord/document.go
+++ b/internal/accord/document.go
@@ -135,8 +135,8 @@
 	return data, err
 }
 
-// Read parses a document. It rejects unknown fields, since this build cannot apply them.
-func Read(data json.RawMessage) (*Document, error) {
+// ParseDocument parses a document. It rejects unknown fields, since this build cannot apply them.
+func ParseDocument(data json.RawMessage) (*Document, error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	var d Document
--- a/internal/accord/gate.go
+++ b/internal/accord/gate.go
@@ -44,7 +44,7 @@
 // another change does not extend the deadline of an open one, because the policy between them may not have begun here. Promises
 // also count before the first policy has begun here: a process that was admitted a moment ago is bound by them as well.
 func (g *Gate) Promise(number int64, asked time.Time, hold time.Duration) {
-	if g.hasCurrent && number <= g.current || slices.Contains(g.Promised(), number) {
+	if g.hasCurrent && number <= g.current || slices.Contains(g.OpenPromises(), number) {
 		return
 	}
 	g.promises = append(g.promises, promise{number, asked.Add(hold)})
@@ -55,14 +55,14 @@
 	g.promises = slices.DeleteFunc(g.promises, func(p promise) bool { return p.number == number })
 }
 
-// Follows returns the current policy, even while nothing is accepted; false if none is known yet.
-func (g *Gate) Follows(now time.Time) (number int64, hasCurrent bool) {
-	g.Takes(now)
+// CurrentPolicy returns the current policy, even while nothing is accepted; false if none is known yet.
+func (g *Gate) CurrentPolicy(now time.Time) (number int64, hasCurrent bool) {
+	g.AcceptsUnder(now)
 	return g.current, g.hasCurrent
 }
 
-// Takes returns the policy under which a message is accepted now; false if none is accepted.
-func (g *Gate) Takes(now time.Time) (number int64, ok bool) {
+// AcceptsUnder returns the policy under which a message is accepted now; false if none is accepted.
+func (g *Gate) AcceptsUnder(now time.Time) (number int64, ok bool) {
 	if g.hasNext && !now.Before(g.beginAt) {
 		invariant.Holds(invariant.GateRises, !g.hasCurrent || g.next > g.current, g.current, g.next)
 		g.current, g.hasCurrent, g.hasNext = g.next, true, false
@@ -84,8 +84,8 @@
 	return time.Time{}
 }
 
-// Promised returns the changes that have an open promise.
-func (g *Gate) Promised() (all []int64) {
+// OpenPromises returns the changes that have an open promise.
+func (g *Gate) OpenPromises() (all []int64) {
 	for _, p := range g.promises {
 		all = append(all, p.number)
 	}
--- a/internal/accord/gate_test.go
+++ b/internal/accord/gate_test.go
@@ -13,7 +13,7 @@
 	g.Follow(0, at(0))
 	takes := func(s float64, want int64, ok bool) {
 		t.Helper()
-		if n, is := g.Takes(at(s)); n != want && is || is != ok {
+		if n, is := g.AcceptsUnder(at(s)); n != want && is || is != ok {
 			t.Errorf("after %v s: policy %d, %v; want %d, %v", s, n, is, want, ok)
 		}
 	}
--- a/internal/accord/ledger.go
+++ b/internal/accord/ledger.go
@@ -33,14 +33,14 @@
 	Admitted []Process `json:"admitted,omitempty"` // relay processes that may be accepting messages
 	Left     bool      `json:"left,omitempty"`     // it announced its leave: no process is admitted before the next update from the service
 
-	beginAt   time.Time        // when the policy in force begins
-	armed     bool             // the change in flight is in phase Armed
-	statuses  map[Process]Says // last status of each relay process
-	endReason string           // why this session has ended; empty while it has not
+	beginAt   time.Time                 // when the policy in force begins
+	armed     bool                      // the change in flight is in phase Armed
+	statuses  map[Process]ProcessStatus // last status of each relay process
+	endReason string                    // why this session has ended; empty while it has not
 }
 
-// Says is the status that a relay process reports to its agent.
-type Says struct {
+// ProcessStatus is the status that a relay process reports to its agent.
+type ProcessStatus struct {
 	Process
 	Can      int64  `json:"can,omitempty"`      // number of the change that it has read and can apply
 	Cannot   int64  `json:"cannot,omitempty"`   // number of the change that it cannot apply
@@ -50,8 +50,8 @@
 	Halted   bool   `json:"halted,omitempty"`   // it has stopped accepting messages
 }
 
-// Word is the agent's reply to a relay process.
-type Word struct {
+// ProcessReply is the agent's reply to a relay process.
+type ProcessReply struct {
 	Admitted  bool    `json:"admitted"`              // it may accept messages
 	Why       string  `json:"why,omitempty"`         // why it is not admitted
 	Policy    Policy  `json:"policy"`                // the policy in force
@@ -88,7 +88,7 @@
 		c.Staged = &staged
 	}
 	if c.statuses = maps.Clone(l.statuses); c.statuses == nil {
-		c.statuses = map[Process]Says{}
+		c.statuses = map[Process]ProcessStatus{}
 	}
 	return &c
 }
@@ -97,7 +97,7 @@
 // begun now begins after its full hold time, when every relay must have stopped under the previous policy.
 func (l *Ledger) Start(now time.Time) {
 	l.Boot++
-	l.statuses, l.armed = map[Process]Says{}, false
+	l.statuses, l.armed = map[Process]ProcessStatus{}, false
 	if l.beginAt = now; !l.Begun {
 		l.beginAt = now.Add(time.Duration(l.HoldMS) * time.Millisecond)
 	}
@@ -143,7 +143,7 @@
 			if len(c.Document) == 0 {
 				return fmt.Errorf("%w: change %d has no document", ErrInvalidUpdate, c.Number)
 			}
-			if _, err := Read(c.Document); err != nil {
+			if _, err := ParseDocument(c.Document); err != nil {
 				// This build cannot parse the document, so the agent refuses without asking its relay. The reason is stored in Key.
 				l.Staged, l.armed = &Change{Policy: Policy{Number: c.Number}, Phase: Proposed}, false
 				l.Staged.Key = "cannot: " + err.Error()
@@ -160,7 +160,7 @@
 }
 
 // RecordStatus stores the status of a relay process. It reports whether the status is new.
-func (l *Ledger) RecordStatus(s Says) bool {
+func (l *Ledger) RecordStatus(s ProcessStatus) bool {
 	_, known := l.statuses[s.Process]
 	if l.statuses[s.Process] == s || !known && len(l.statuses) >= maxProcessStatuses {
 		return false
@@ -215,15 +215,15 @@
 // SessionReport returns the report that the agent sends to the service.
 func (l *Ledger) SessionReport(name, zone, build string, isRunning func(Process) bool) Session {
 	r := Session{ID: l.ID, Name: name, Zone: zone, Build: build, Boot: l.Boot,
-		Knows: l.InForce.Number, Follows: l.InForce.Number, Promised: l.Promised}
+		KnownPolicy: l.InForce.Number, ActivePolicy: l.InForce.Number, Promised: l.Promised}
 	if !l.Known {
-		r.Follows = 0
+		r.ActivePolicy = 0
 	}
 	all := l.runningAdmitted(isRunning)
 	r.Relay = len(all) > 0
 	for _, p := range all {
 		if f := l.statuses[p].Follows; f >= 0 {
-			r.Follows = min(r.Follows, f)
+			r.ActivePolicy = min(r.ActivePolicy, f)
 		}
 	}
 	if l.Staged == nil {
@@ -287,8 +287,8 @@
 func (l *Ledger) PendingBegin() (at time.Time, ok bool) { return l.beginAt, l.Known && !l.Begun }
 
 // ReplyTo returns the reply for a relay process.
-func (l *Ledger) ReplyTo(p Process, now time.Time) Word {
-	reply := Word{Admitted: slices.Contains(l.Admitted, p), Policy: l.InForce, Decided: l.Decided}
+func (l *Ledger) ReplyTo(p Process, now time.Time) ProcessReply {
+	reply := ProcessReply{Admitted: slices.Contains(l.Admitted, p), Policy: l.InForce, Decided: l.Decided}
 	if !reply.Admitted {
 		reply.Why = l.blockReason(now)
 	}
--- a/internal/accord/model_test.go
+++ b/internal/accord/model_test.go
@@ -35,9 +35,9 @@
 	relayRunning   bool
 	pid            int
 	gate           Gate
-	status         Says
-	replyInTransit *Word // reply of the agent on its way to the relay
-	lastReply      Word
+	status         ProcessStatus
+	replyInTransit *ProcessReply // reply of the agent on its way to the relay
+	lastReply      ProcessReply
 	lastAskedAt    int // time of the relay process's last request
 }
 
@@ -77,8 +77,8 @@
 	if sim.service.Change != nil {
 		k += fmt.Sprint(sim.service.Change.Phase, sim.lastPromiseAt)
 	}
-	for _, x := range sim.service.All() {
-		k += fmt.Sprint(x.Staged, x.Promised, x.Knows, x.Boot)
+	for _, x := range sim.service.SortedSessions() {
+		k += fmt.Sprint(x.Staged, x.Promised, x.KnownPolicy, x.Boot)
 	}
 	for i := range sim.nodes {
 		p := &sim.nodes[i]
@@ -105,7 +105,7 @@
 				k += string(p.updateInTransit.Change.Phase)
 			}
 		}
-		for _, x := range []*Word{p.replyInTransit, &p.lastReply} {
+		for _, x := range []*ProcessReply{p.replyInTransit, &p.lastReply} {
 			if x != nil {
 				k += fmt.Sprint("w", x.Admitted, x.Policy.Number, x.BeginInMS, x.Decided, x.Change != nil)
 				if x.Change != nil {
@@ -260,7 +260,7 @@
 	// A message arrives, and the relay accepts it or not.
 	visit(1, func(n *simulation) bool {
 		p := &n.nodes[i]
-		number, ok := p.gate.Takes(atSecond(n.now))
+		number, ok := p.gate.AcceptsUnder(atSecond(n.now))
 		if injected.acceptsInDoubt {
 			ok = p.gate.hasCurrent
 		}
@@ -282,7 +282,7 @@
 			n.killsLeft--
 			p := &n.nodes[i]
 			p.pid++
-			p.gate, p.status, p.replyInTransit, p.lastReply = Gate{}, Says{Process: Process{PID: p.pid}, Follows: -1}, nil, Word{}
+			p.gate, p.status, p.replyInTransit, p.lastReply = Gate{}, ProcessStatus{Process: Process{PID: p.pid}, Follows: -1}, nil, ProcessReply{}
 			return true
 		})
 	}
@@ -295,7 +295,7 @@
 	if reply.Admitted {
 		p.gate.Follow(reply.Policy.Number, atSecond(sim.now).Add(time.Duration(reply.BeginInMS)*time.Millisecond))
 	}
-	for _, c := range p.gate.Promised() {
+	for _, c := range p.gate.OpenPromises() {
 		if c <= reply.Decided && c > reply.Policy.Number {
 			p.gate.Dropped(c)
 		}
@@ -313,7 +313,7 @@
 		p.ledger = &Ledger{ID: fmt.Sprint("id", i)}
 		p.ledger.Start(atSecond(0))
 		p.relayRunning = i == 0 || secondRelay
-		p.pid, p.status = 1, Says{Process: Process{PID: 1}, Follows: -1}
+		p.pid, p.status = 1, ProcessStatus{Process: Process{PID: 1}, Follows: -1}
 		r := p.ledger.SessionReport(fmt.Sprint("n", i), "", "", p.isRunning)
 		sim.service.Apply(Op{Report: &r})
 		if err := p.ledger.ApplyUpdate(ServiceUpdate{Epoch: "e", ReceivedAt: atSecond(0)}); err != nil {
@@ -323,7 +323,7 @@
 		if p.relayRunning {
 			p.ledger.Admit(p.status.Process, atSecond(0), p.isRunning)
 			p.gate.Follow(0, atSecond(0))
-			p.gate.Takes(atSecond(0))
+			p.gate.AcceptsUnder(atSecond(0))
 			p.status.Follows = 0
 			p.ledger.RecordStatus(p.status)
 			p.lastReply = p.ledger.ReplyTo(p.status.Process, atSecond(0))
--- a/internal/accord/process.go
+++ b/internal/accord/process.go
@@ -18,8 +18,8 @@
 	return fields[0], start, err
 }
 
-// Self identifies the calling process.
-func Self() (Process, error) {
+// CurrentProcess identifies the calling process.
+func CurrentProcess() (Process, error) {
 	data, err := os.ReadFile("/proc/self/stat")
 	if err != nil {
 		return Process{}, err
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -47,18 +47,18 @@
 
 // Options configure an agent. The zero value of a field selects its default.
 type Options struct {
-	Dir     string            // data folder
-	Listen  string            // address on which the agent serves the relay
-	Servers []string          // HTTP addresses of list servers
-	Finals  string            // address to which notices are forwarded; empty: they stay in the spool
-	Spool   int64             // maximum size of the notice spool, in bytes
-	Via     map[string]string // maps addresses of list entries to the addresses that the relay gets instead
-	TakeOn  string            // id of a list to accept even if it is much shorter than the current one
-	Seed    uint64            // seed of random delays; 0: a random seed
-	Name    string            // name under which the agent registers with the fleet; empty: it does not register and has no policy
-	Zone    string            // zone of the machine
-	Build   string            // build of the program
-	Log     *slog.Logger
+	Dir           string            // data folder
+	Listen        string            // address on which the agent serves the relay
+	Servers       []string          // HTTP addresses of list servers
+	NoticeAddr    string            // address to which notices are forwarded; empty: they stay in the spool
+	MaxSpoolBytes int64             // maximum size of the notice spool, in bytes
+	AddrOverrides map[string]string // maps addresses of list entries to the addresses that the relay gets instead
+	ForceList     string            // id of a list to accept even if it is much shorter than the current one
+	Seed          uint64            // seed of random delays; 0: a random seed
+	Name          string            // name under which the agent registers with the fleet; empty: it does not register and has no policy
+	Zone          string            // zone of the machine
+	Build         string            // build of the program
+	Log           *slog.Logger
 }
 
 // Agent follows the list service for one relay, and forwards the relay's notices.
@@ -98,8 +98,8 @@
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
 	}
-	if options.Spool <= 0 {
-		options.Spool = 16 << 20
+	if options.MaxSpoolBytes <= 0 {
+		options.MaxSpoolBytes = 16 << 20
 	}
 	if options.Seed == 0 {
 		options.Seed = rand.Uint64()
@@ -131,7 +131,7 @@
 	if err := a.loadList(); err != nil {
 		return nil, err
 	}
-	if a.spool, err = openSpool(options.Dir, options.Spool, a.log); err != nil {
+	if a.spool, err = openSpool(options.Dir, options.MaxSpoolBytes, a.log); err != nil {
 		return nil, fmt.Errorf("spool: %w", err)
 	}
 	if options.Name != "" {
@@ -156,7 +156,7 @@
 
 // loadList loads the list from disk.
 func (a *Agent) loadList() error {
-	data, err := durable.ReadWhole(a.listPath(), listFormat)
+	data, err := durable.ReadFile(a.listPath(), listFormat)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
@@ -319,7 +319,7 @@
 			return progressed, fmt.Errorf("unreadable line: %w", err)
 		}
 		for i, e := range l.Servers {
-			if to, ok := a.options.Via[e.Addr]; ok {
+			if to, ok := a.options.AddrOverrides[e.Addr]; ok {
 				l.Servers[i].Addr = to
 			}
 			if e.State == catalog.Gone {
@@ -345,7 +345,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	previousList, previousLen := a.mirror.List(), a.mirror.Len()
-	changed, err := a.mirror.Apply(list, l, a.options.TakeOn)
+	changed, err := a.mirror.Apply(list, l, a.options.ForceList)
 	if err != nil {
 		a.lastRefusal = err.Error()
 		return err
@@ -395,7 +395,7 @@
 	if err != nil {
 		return err
 	}
-	return durable.WriteWhole(a.listPath(), listFormat, data)
+	return durable.WriteFile(a.listPath(), listFormat, data)
 }
 
 // Report is the status of an agent.
@@ -483,7 +483,7 @@
 	a.watchCount.Add(1)
 	defer a.watchCount.Add(-1)
 	w.Header().Set("Content-Type", "application/json")
-	err := listsvc.Stream(w, r, a.runCtx, func() (catalog.List, bool, <-chan struct{}) {
+	err := listsvc.ServeWatch(w, r, a.runCtx, func() (catalog.List, bool, <-chan struct{}) {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		l, changed := a.mirror.Since(version)
@@ -536,7 +536,7 @@
 
 // forwardNotices forwards the notices in order, and retries each until it is accepted or rejected permanently.
 func (a *Agent) forwardNotices() {
-	if a.options.Finals == "" {
+	if a.options.NoticeAddr == "" {
 		return
 	}
 	pause := minForwardPause
@@ -578,7 +578,7 @@
 // postNotices sends notices to the receiver in one request.
 func (a *Agent) postNotices(all ...[]byte) error {
 	req, err := http.NewRequestWithContext(a.runCtx, http.MethodPost,
-		"http://"+a.options.Finals+"/v2/finals", bytes.NewReader(bytes.Join(all, nil)))
+		"http://"+a.options.NoticeAddr+"/v2/finals", bytes.NewReader(bytes.Join(all, nil)))
 	if err != nil {
 		return err
 	}
@@ -595,7 +595,7 @@
 	case res.StatusCode == http.StatusBadRequest, res.StatusCode == http.StatusRequestEntityTooLarge:
 		return fmt.Errorf("%w: %s", errNoticeRejected, res.Status)
 	}
-	return fmt.Errorf("%s: unexpected status %s", a.options.Finals, res.Status)
+	return fmt.Errorf("%s: unexpected status %s", a.options.NoticeAddr, res.Status)
 }
 
 // saveRejected appends a rejected notice to a file, for operators.
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -40,7 +40,7 @@
 		versions := make([]int64, len(relays))
 		listen := func(i int) {
 			if l, changed := m.Since(versions[i]); changed {
-				relays[i], versions[i] = catalog.Follow(relays[i], l), l.Version
+				relays[i], versions[i] = catalog.Merge(relays[i], l), l.Version
 			}
 		}
 		follow := func() {
@@ -77,7 +77,7 @@
 			return
 		}
 		follow()
-		want := catalog.Follow(nil, cat.Whole())
+		want := catalog.Merge(nil, cat.FullList())
 		for i := range relays {
 			listen(i)
 			if !maps.EqualFunc(relays[i], want, catalog.Entry.Equal) || versions[i] != cat.Version() {
@@ -132,7 +132,7 @@
 func newService(t *testing.T) *listsvc.Server {
 	t.Helper()
 	l, err := listsvc.Open(listsvc.Options{Name: "l0", Dir: t.TempDir(), Listen: "127.0.0.1:0",
-		Raft: "127.0.0.1:0", Beat: 200 * time.Millisecond})
+		Raft: "127.0.0.1:0", HeartbeatTimeout: 200 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -373,7 +373,7 @@
 func TestNoticesAreForwardedInOrder(t *testing.T) {
 	k := newNoticeReceiver(t)
 	k.respondWith(http.StatusServiceUnavailable)
-	o := Options{Dir: t.TempDir(), Servers: []string{"127.0.0.1:1"}, Finals: k.addr()}
+	o := Options{Dir: t.TempDir(), Servers: []string{"127.0.0.1:1"}, NoticeAddr: k.addr()}
 	a := startAgent(t, o)
 	for i := range 20 {
 		if status := post(t, a.Addr(), notice(i)+"\n"); status != http.StatusNoContent {
@@ -413,7 +413,7 @@
 	k := newNoticeReceiver(t)
 	k.respondWith(http.StatusServiceUnavailable)
 	k.rejected = "m-001"
-	o := Options{Dir: t.TempDir(), Servers: []string{"127.0.0.1:1"}, Finals: k.addr()}
+	o := Options{Dir: t.TempDir(), Servers: []string{"127.0.0.1:1"}, NoticeAddr: k.addr()}
 	a := startAgent(t, o)
 	for i := range 4 {
 		post(t, a.Addr(), notice(i))
@@ -429,7 +429,7 @@
 }
 
 func TestFullSpoolRefusesNotices(t *testing.T) {
-	o := Options{Dir: t.TempDir(), Servers: []string{"127.0.0.1:1"}, Spool: 200}
+	o := Options{Dir: t.TempDir(), Servers: []string{"127.0.0.1:1"}, MaxSpoolBytes: 200}
 	a := startAgent(t, o)
 	taken := 0
 	for i := range 10 {
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -73,7 +73,7 @@
 func openFleet(options Options, log *slog.Logger) (*fleet, error) {
 	f := &fleet{path: filepath.Join(options.Dir, fleetFile), log: log, isRunning: processRunning, ledgerChanged: make(chan struct{}),
 		client: &http.Client{Timeout: reportTimeout, Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}}}
-	data, err := durable.ReadWhole(f.path, fleetFormat)
+	data, err := durable.ReadFile(f.path, fleetFormat)
 	f.ledger = &accord.Ledger{}
 	if err == nil {
 		err = json.Unmarshal(data, f.ledger)
@@ -101,7 +101,7 @@
 func (f *fleet) save(l *accord.Ledger) error {
 	data, err := json.Marshal(l)
 	if err == nil {
-		err = durable.WriteWhole(f.path, fleetFormat, data)
+		err = durable.WriteFile(f.path, fleetFormat, data)
 	}
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
@@ -162,11 +162,11 @@
 	order := a.rng.Perm(len(a.options.Servers))
 	a.rngMu.Unlock()
 	maxPause, lastLogged := minRetryPause, ""
-	request := listsvc.Ask{}
+	request := listsvc.SessionReport{}
 	passOnLeft := 0 // remaining reports that ask the server to pass them on to the leader
 	for i := 0; a.runCtx.Err() == nil; {
 		server := a.options.Servers[order[i%len(order)]]
-		request.PassOn = passOnLeft > 0
+		request.Forward = passOnLeft > 0
 		err := a.reportTo(server, &request)
 		var sessionEnded *sessionEndedError
 		switch {
@@ -200,7 +200,7 @@
 
 // reportTo sends a report to a server and applies its answer. A change of the ledger in the meantime cancels the request, so that the
 // new state is reported at once.
-func (a *Agent) reportTo(server string, request *listsvc.Ask) error {
+func (a *Agent) reportTo(server string, request *listsvc.SessionReport) error {
 	f := a.fleet
 	ctx, cancel := context.WithCancel(a.runCtx)
 	defer cancel()
@@ -271,7 +271,7 @@
 		}
 		return errors.New(p.Error)
 	}
-	var update listsvc.Told
+	var update listsvc.SessionResponse
 	if err := json.Unmarshal(text, &update); err != nil {
 		return fmt.Errorf("unreadable answer: %w", err)
 	}
@@ -361,9 +361,9 @@
 func (a *Agent) serveRelayStatus(w http.ResponseWriter, r *http.Request) {
 	f := a.fleet
 	var status struct {
-		accord.Says
-		Have   accord.Word `json:"have"` // last reply that the process received, without documents
-		WaitMS int64       `json:"wait_ms"`
+		accord.ProcessStatus
+		Have   accord.ProcessReply `json:"have"` // last reply that the process received, without documents
+		WaitMS int64               `json:"wait_ms"`
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
@@ -391,7 +391,7 @@
 		if err := f.updateLedger(false, func(l *accord.Ledger) (bool, error) {
 			changed := l.MarkBegun(time.Now())
 			if first {
-				changed = l.RecordStatus(status.Says) || changed
+				changed = l.RecordStatus(status.ProcessStatus) || changed
 			}
 			return l.Admit(status.Process, time.Now(), f.isRunning) || changed, nil
 		}); err == nil {
@@ -424,7 +424,7 @@
 }
 
 // replyChanged reports whether a reply differs from the last one that the process received.
-func replyChanged(reply, lastReply accord.Word) bool {
+func replyChanged(reply, lastReply accord.ProcessReply) bool {
 	number, phase := int64(0), accord.Phase("")
 	if reply.Change != nil {
 		number, phase = reply.Change.Number, reply.Change.Phase
--- a/internal/agent/fleet_load_test.go
+++ b/internal/agent/fleet_load_test.go
@@ -136,7 +136,7 @@
 	rng := rand.New(rand.NewPCG(seed, 0))
 	t.Logf("seed %d", seed)
 	server, err := listsvc.Open(listsvc.Options{Name: "l0", Dir: t.TempDir(), Listen: "127.0.0.1:0",
-		Raft: "127.0.0.1:0", Beat: 200 * time.Millisecond})
+		Raft: "127.0.0.1:0", HeartbeatTimeout: 200 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -228,7 +228,7 @@
 		r, err := cl.Policy(context.Background())
 		is := err == nil && r.Change == nil && len(r.Outcomes) > 0 && r.Outcomes[len(r.Outcomes)-1].Number == number
 		for _, s := range r.Sessions {
-			is = is && s.Follows == r.InForce.Number
+			is = is && s.ActivePolicy == r.InForce.Number
 		}
 		if is {
 			return
--- a/internal/agent/mirror.go
+++ b/internal/agent/mirror.go
@@ -72,7 +72,7 @@
 	case list == m.list && l.Version == m.version:
 		return false, nil
 	case list != m.list:
-		m.list, m.version, m.entries = list, l.Version, catalog.Follow(nil, l)
+		m.list, m.version, m.entries = list, l.Version, catalog.Merge(nil, l)
 		m.history, m.historyEntries, m.historyStart = nil, 0, l.Version // there are no changes from the previous list to this one
 		return true, nil
 	}
@@ -80,7 +80,7 @@
 	if l.Full {
 		changes = m.differences(l)
 	}
-	m.entries = catalog.Follow(m.entries, l)
+	m.entries = catalog.Merge(m.entries, l)
 	m.version = l.Version
 	m.history = append(m.history, versionChanges{l.Version, changes})
 	for m.historyEntries += len(changes); m.historyEntries > maxHistoryEntries && len(m.history) > 1; m.history = m.history[1:] {
@@ -161,7 +161,7 @@
 
 // load restores a saved mirror, or returns an error and changes nothing.
 func (m *Mirror) load(s savedList) error {
-	if s.List == "" || s.Version < 0 || s.Version > catalog.VersionMost {
+	if s.List == "" || s.Version < 0 || s.Version > catalog.MaxVersion {
 		return fmt.Errorf("invalid version %d of list %q", s.Version, s.List)
 	}
 	for _, e := range s.Entries {
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// VersionMost is the highest version. Readers may hold numbers as 64-bit floating point, which represents integers
+	// MaxVersion is the highest version. Readers may hold numbers as 64-bit floating point, which represents integers
 	// exactly only up to this value.
-	VersionMost = 1<<53 - 1
+	MaxVersion = 1<<53 - 1
 	// RestoreVersionOffset is added to the version of a backup when it is restored.
 	RestoreVersionOffset = 1 << 32
 
@@ -132,7 +132,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	if c.version > VersionMost-int64(len(changes)) {
+	if c.version > MaxVersion-int64(len(changes)) {
 		return Result{}, ErrExhausted
 	}
 	for _, e := range changes {
@@ -229,8 +229,8 @@
 	c.history = slices.Clone(c.history[cut:])
 }
 
-// Whole returns the full list, sorted by ID.
-func (c *Catalog) Whole() List {
+// FullList returns the full list, sorted by ID.
+func (c *Catalog) FullList() List {
 	l := List{Version: c.version, Full: true, Servers: make([]Entry, 0, len(c.entries))}
 	for _, e := range c.entries {
 		l.Servers = append(l.Servers, e)
@@ -246,7 +246,7 @@
 		return List{Version: c.version}, false
 	}
 	if version <= 0 || version < c.floor || version > c.version {
-		return c.Whole(), true
+		return c.FullList(), true
 	}
 	from, _ := slices.BinarySearchFunc(c.history, version+1, func(s VersionedEntry, v int64) int { return cmp.Compare(s.Version, v) })
 	latest := make(map[string]Entry)
@@ -266,8 +266,8 @@
 	slices.SortFunc(all, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Follow applies a list, full or incremental, to a reader's copy of the entries and returns the updated copy.
-func Follow(entries map[string]Entry, l List) map[string]Entry {
+// Merge applies a list, full or incremental, to a reader's copy of the entries and returns the updated copy.
+func Merge(entries map[string]Entry, l List) map[string]Entry {
 	if l.Full {
 		entries = make(map[string]Entry, len(l.Servers))
 	}
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -41,14 +41,14 @@
 	c := New("x", 0)
 	apply(t, c, put(Entry{ID: "s-5be2a07c", Addr: "10.1.0.18:3000", Zone: "a", Kind: "m2", Cell: 3, State: Ready, Weight: 1, StartedMS: 0}))
 	want := `{"version":1,"full":true,"servers":[{"id":"s-5be2a07c","addr":"10.1.0.18:3000","zone":"a","kind":"m2","cell":3,"state":"ready","weight":1,"started_ms":0}]}`
-	if got := jsonText(t, c.Whole()); got != want {
+	if got := jsonText(t, c.FullList()); got != want {
 		t.Errorf("%s\nwant\n%s", got, want)
 	}
 	apply(t, c, remove("s-5be2a07c"))
 	if l, _ := c.Since(1); l.Full || len(l.Servers) != 1 || l.Servers[0].State != Gone || l.Version != 2 {
 		t.Errorf("after the removal: %+v", l)
 	}
-	if l := c.Whole(); len(l.Servers) != 0 {
+	if l := c.FullList(); len(l.Servers) != 0 {
 		t.Errorf("removed entry in a full list: %+v", l)
 	}
 }
@@ -62,7 +62,7 @@
 	}
 	c := New("x", 0)
 	apply(t, c, put(e))
-	if got := jsonText(t, c.Whole()); !strings.Contains(got, in) {
+	if got := jsonText(t, c.FullList()); !strings.Contains(got, in) {
 		t.Errorf("%s has no %s", got, in)
 	}
 	e.Extra = nil
@@ -82,7 +82,7 @@
 	} {
 		c := New("x", 0)
 		apply(t, c, put(entry("s-0", 3)))
-		before := jsonText(t, c.Whole())
+		before := jsonText(t, c.FullList())
 		bad := entry("s-2", 3)
 		invalidate(&bad)
 		_, err := c.Apply(Write{Changes: []Change{put(entry("s-1", 3)), put(bad), remove("s-0")}})
@@ -90,7 +90,7 @@
 		if !errors.As(err, &f) || f.Field != field {
 			t.Errorf("%s: error %v", field, err)
 		}
-		if after := jsonText(t, c.Whole()); after != before {
+		if after := jsonText(t, c.FullList()); after != before {
 			t.Errorf("%s: partially applied: %s", field, after)
 		}
 	}
@@ -142,12 +142,12 @@
 
 func TestVersionsExhausted(t *testing.T) {
 	c := New("x", 0)
-	c.version = VersionMost - 1
+	c.version = MaxVersion - 1
 	apply(t, c, put(entry("s-1", 3)))
 	if _, err := c.Apply(Write{Changes: []Change{put(entry("s-2", 3))}}); !errors.Is(err, ErrExhausted) || c.Len() != 1 {
 		t.Errorf("%v, %d entries", err, c.Len())
 	}
-	if _, err := NewFromBackup(Snapshot{Format: SnapshotFormat, Cluster: "x", Version: VersionMost, Floor: VersionMost}, "y", 0); !errors.Is(err, ErrExhausted) {
+	if _, err := NewFromBackup(Snapshot{Format: SnapshotFormat, Cluster: "x", Version: MaxVersion, Floor: MaxVersion}, "y", 0); !errors.Is(err, ErrExhausted) {
 		t.Errorf("restore: %v", err)
 	}
 }
@@ -189,7 +189,7 @@
 		followers := make([]follower, 3)
 		contents := map[int64]string{}
 		checkVersion := func(when string) {
-			got := jsonText(t, c.Whole())
+			got := jsonText(t, c.FullList())
 			if was, ok := contents[c.Version()]; ok && was != got {
 				t.Fatalf("%s: version %d has the content\n%s\nand\n%s", when, c.Version(), was, got)
 			}
@@ -216,7 +216,7 @@
 					t.Fatalf("no change reported at version %d to a follower at %d", c.Version(), f.version)
 				}
 				if changed {
-					f.held, f.version = Follow(f.held, l), l.Version
+					f.held, f.version = Merge(f.held, l), l.Version
 				}
 			case 8: // a replica starts from a snapshot
 				var b bytes.Buffer
@@ -249,15 +249,15 @@
 		for i := range followers {
 			f := &followers[i]
 			if l, changed := c.Since(f.version); changed {
-				f.held = Follow(f.held, l)
+				f.held = Merge(f.held, l)
 			}
 			got := List{Version: c.Version(), Full: true, Servers: []Entry{}}
 			for _, e := range f.held {
 				got.Servers = append(got.Servers, e)
 			}
 			sortByID(got.Servers)
-			if jsonText(t, got) != jsonText(t, c.Whole()) {
-				t.Fatalf("follower %d, from version %d, has\n%s\nand the list is\n%s", i, f.version, jsonText(t, got), jsonText(t, c.Whole()))
+			if jsonText(t, got) != jsonText(t, c.FullList()) {
+				t.Fatalf("follower %d, from version %d, has\n%s\nand the list is\n%s", i, f.version, jsonText(t, got), jsonText(t, c.FullList()))
 			}
 		}
 	})
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -25,7 +25,7 @@
 
 // Snapshot returns a copy of the state, which later writes do not affect.
 func (c *Catalog) Snapshot() Snapshot {
-	return Snapshot{Format: SnapshotFormat, Cluster: c.cluster, Version: c.version, Floor: c.floor, Entries: c.Whole().Servers,
+	return Snapshot{Format: SnapshotFormat, Cluster: c.cluster, Version: c.version, Floor: c.floor, Entries: c.FullList().Servers,
 		History: slices.Clone(c.history), Keys: slices.Clone(c.keyOrder), Results: maps.Clone(c.results)}
 }
 
@@ -56,8 +56,8 @@
 		return fmt.Errorf("snapshot: format %d, this build reads %d", s.Format, SnapshotFormat)
 	case s.Cluster == "":
 		return fmt.Errorf("snapshot: cluster: is missing")
-	case s.Version < 0 || s.Version > VersionMost:
-		return fmt.Errorf("snapshot: version: %d, wanted is 0 to %d", s.Version, int64(VersionMost))
+	case s.Version < 0 || s.Version > MaxVersion:
+		return fmt.Errorf("snapshot: version: %d, wanted is 0 to %d", s.Version, int64(MaxVersion))
 	case s.Floor < 0 || s.Floor > s.Version:
 		return fmt.Errorf("snapshot: floor: %d, and the version is %d", s.Floor, s.Version)
 	case int64(len(s.History)) != s.Version-s.Floor:
@@ -111,7 +111,7 @@
 	switch {
 	case cluster == "" || cluster == s.Cluster:
 		return nil, fmt.Errorf("restore: the new cluster needs an id of its own, not %q", cluster)
-	case s.Version > VersionMost-RestoreVersionOffset:
+	case s.Version > MaxVersion-RestoreVersionOffset:
 		return nil, fmt.Errorf("restore: %w", ErrExhausted)
 	}
 	c, err := Load(s, historyLength)
--- a/internal/chain/simulation_test.go
+++ b/internal/chain/simulation_test.go
@@ -135,7 +135,7 @@
 func (s *simulation) run(duration time.Duration) {
 	end := s.now.Add(duration)
 	for {
-		at, event, due := s.events.Next(end)
+		at, event, due := s.events.PopDue(end)
 		if !due {
 			break
 		}
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -246,7 +246,7 @@
 func (sim *simulation) advance(duration time.Duration) {
 	end := sim.now.Add(duration)
 	for {
-		at, action, found := sim.events.Next(end)
+		at, action, found := sim.events.PopDue(end)
 		if !found {
 			break
 		}
--- a/internal/durable/checkedfile.go
+++ b/internal/durable/checkedfile.go
@@ -11,9 +11,9 @@
 	"path/filepath"
 )
 
-// WriteWhole replaces a file atomically: after a crash there is either the old content or the new. The first line of the
+// WriteFile replaces a file atomically: after a crash there is either the old content or the new. The first line of the
 // file holds the name of the format and the length and checksum of data.
-func WriteWhole(path, format string, data []byte) error {
+func WriteFile(path, format string, data []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
 	if err != nil {
 		return err
@@ -42,8 +42,8 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// ReadWhole reads a file that WriteWhole wrote. It returns ErrDamaged if the header does not match the content.
-func ReadWhole(path, format string) ([]byte, error) {
+// ReadFile reads a file that WriteFile wrote. It returns ErrDamaged if the header does not match the content.
+func ReadFile(path, format string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -85,7 +85,7 @@
 		sim.schedule(startTime.Add(sim.options.RegionFailureAt), sim.loseLastRegion)
 	}
 	for {
-		at, runEvent, ok := sim.events.First()
+		at, runEvent, ok := sim.events.Pop()
 		if !ok {
 			return
 		}
--- a/internal/listsvc/client/client.go
+++ b/internal/listsvc/client/client.go
@@ -41,15 +41,15 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Refused is an error response of a server.
-type Refused struct {
+// RejectedError is an error response of a server.
+type RejectedError struct {
 	Status int
 	Why    string
 	Entry  string
 	Field  string
 }
 
-func (r *Refused) Error() string { return fmt.Sprintf("%s (status %d)", r.Why, r.Status) }
+func (r *RejectedError) Error() string { return fmt.Sprintf("%s (status %d)", r.Why, r.Status) }
 
 // Response is a successful response.
 type Response struct {
@@ -68,7 +68,7 @@
 		delay := minRetryDelay << min(round, 4)
 		for i, addr := range c.Servers {
 			res, retryAfter, err := c.requestOnce(ctx, addr, method, path, header, body)
-			var refused *Refused
+			var refused *RejectedError
 			if err == nil || errors.As(err, &refused) && refused.Status != http.StatusServiceUnavailable {
 				return res, err
 			}
@@ -116,7 +116,7 @@
 	if json.Unmarshal(result.Body, &p) != nil || p.Error == "" {
 		p.Error = http.StatusText(res.StatusCode)
 	}
-	return result, retryAfter, &Refused{res.StatusCode, p.Error, p.Entry, p.Field}
+	return result, retryAfter, &RejectedError{res.StatusCode, p.Error, p.Entry, p.Field}
 }
 
 // List reads the full list. If consistent is set, it contains every write acknowledged before the call.
@@ -164,7 +164,7 @@
 }
 
 // Propose starts a change of the policy, exactly once.
-func (c *Client) Propose(ctx context.Context, p listsvc.Proposal) (r listsvc.Proposed, err error) {
+func (c *Client) Propose(ctx context.Context, p listsvc.Proposal) (r listsvc.ProposalResponse, err error) {
 	body, err := json.Marshal(p)
 	if err != nil {
 		return r, err
--- a/internal/listsvc/control.go
+++ b/internal/listsvc/control.go
@@ -33,27 +33,27 @@
 
 // Report is the status of a server.
 type Report struct {
-	Name     string    `json:"name"`
-	ID       string    `json:"id"`
-	HTTP     string    `json:"http"`
-	Raft     string    `json:"raft"`
-	Role     string    `json:"role"`
-	Leader   string    `json:"leader,omitempty"` // server ID
-	Cluster  string    `json:"cluster,omitempty"`
-	Term     uint64    `json:"term"`
-	Last     uint64    `json:"last_index"`
-	Commit   uint64    `json:"commit_index"`
-	Applied  uint64    `json:"applied_index"`
-	List     string    `json:"list_cluster,omitempty"` // ID of the list; a restore changes it
-	Version  int64     `json:"version"`
-	Entries  int       `json:"entries"`
-	AgeMS    int64     `json:"age_ms"`
-	Watches  int64     `json:"watches"`
-	Members  []Member  `json:"members,omitempty"`
-	Names    []string  `json:"names,omitempty"`    // configured initial servers, while there is no cluster
-	Founding *Founding `json:"founding,omitempty"` // while there is no cluster
-	Failure  string    `json:"failure,omitempty"`
-	Broken   int64     `json:"invariants_broken,omitempty"`
+	Name        string    `json:"name"`
+	ID          string    `json:"id"`
+	HTTP        string    `json:"http"`
+	Raft        string    `json:"raft"`
+	Role        string    `json:"role"`
+	Leader      string    `json:"leader,omitempty"` // server ID
+	Cluster     string    `json:"cluster,omitempty"`
+	Term        uint64    `json:"term"`
+	LastIndex   uint64    `json:"last_index"`
+	Commit      uint64    `json:"commit_index"`
+	Applied     uint64    `json:"applied_index"`
+	ListCluster string    `json:"list_cluster,omitempty"` // ID of the list; a restore changes it
+	Version     int64     `json:"version"`
+	Entries     int       `json:"entries"`
+	AgeMS       int64     `json:"age_ms"`
+	Watches     int64     `json:"watches"`
+	Members     []Member  `json:"members,omitempty"`
+	Names       []string  `json:"names,omitempty"`    // configured initial servers, while there is no cluster
+	Founding    *Founding `json:"founding,omitempty"` // while there is no cluster
+	Failure     string    `json:"failure,omitempty"`
+	Broken      int64     `json:"invariants_broken,omitempty"`
 }
 
 // Member is a server in raft's configuration.
@@ -66,7 +66,7 @@
 func (s *Server) Report() Report {
 	identity, status := s.currentIdentity(), s.machine.Status()
 	r := Report{Name: s.opts.Name, ID: identity.ID, HTTP: s.opts.AdvertiseHTTP, Raft: s.opts.AdvertiseRaft, Role: strings.ToLower(s.raft.State().String()), Cluster: identity.Cluster,
-		Term: s.raft.CurrentTerm(), Last: s.raft.LastIndex(), Commit: s.raft.CommitIndex(), Applied: s.raft.AppliedIndex(), List: status.Cluster, Version: status.Version,
+		Term: s.raft.CurrentTerm(), LastIndex: s.raft.LastIndex(), Commit: s.raft.CommitIndex(), Applied: s.raft.AppliedIndex(), ListCluster: status.Cluster, Version: status.Version,
 		Entries: status.Entries, AgeMS: s.Age().Milliseconds(), Broken: invariant.Broken(), Watches: s.api.watches.Load()}
 	if _, id := s.raft.LeaderWithID(); id != "" {
 		r.Leader = string(id)
@@ -294,7 +294,7 @@
 // checks whether this server was removed.
 func (s *Server) maintainMembership(ctx context.Context) error {
 	own, servers := s.ownPeer(), s.raft.GetConfiguration().Configuration().Servers
-	if _, id := s.raft.LeaderWithID(); id != "" && s.Age() < 2*s.opts.Beat {
+	if _, id := s.raft.LeaderWithID(); id != "" && s.Age() < 2*s.opts.HeartbeatTimeout {
 		known, ok := s.machine.Server(own.ID)
 		voter := slices.ContainsFunc(servers, func(x raft.Server) bool { return string(x.ID) == own.ID && x.Suffrage == raft.Voter })
 		switch {
@@ -338,7 +338,7 @@
 
 // peerAddresses returns the HTTP addresses at which other servers of the cluster may answer, without duplicates: those in
 // the replicated records, of the initial servers, and of the servers to join.
-func peerAddresses(own Peer, known []Peer, initial []First, join []string) []string {
+func peerAddresses(own Peer, known []Peer, initial []InitialServer, join []string) []string {
 	var addresses []string
 	add := func(address string) {
 		if address != "" && address != own.HTTP && !slices.Contains(addresses, address) {
@@ -544,7 +544,7 @@
 		s.api.writeError(w, http.StatusPreconditionFailed, fmt.Errorf("the list that goes is %s (version %d, %d entries), and the request names %q", status.Cluster, status.Version, status.Entries, replaced))
 		return
 	}
-	cat, err := catalog.NewFromBackup(backup, randomID(), s.opts.Keep)
+	cat, err := catalog.NewFromBackup(backup, randomID(), s.opts.HistoryLength)
 	if err == nil {
 		err = s.restoreCatalog(cat)
 	}
--- a/internal/listsvc/fleet.go
+++ b/internal/listsvc/fleet.go
@@ -65,21 +65,21 @@
 	return &fleetCoordinator{lease: lease, ops: make(chan queuedFleetOp, opQueueCapacity), lastReport: map[string]time.Time{}}
 }
 
-// Ask is the report of an agent: its own state and the fleet state that it has already received. It is answered once there
+// SessionReport is the report of an agent: its own state and the fleet state that it has already received. It is answered once there
 // is newer state.
-type Ask struct {
+type SessionReport struct {
 	accord.Session
 	WaitMS  int64        `json:"wait_ms,omitempty"`
 	Epoch   string       `json:"epoch,omitempty"`  // of the fleet's state, as are the fields below
 	Change  int64        `json:"change,omitempty"` // number of the change in flight
 	Phase   accord.Phase `json:"phase,omitempty"`
 	Decided int64        `json:"decided,omitempty"`
-	// PassOn asks a server that is not the leader to forward the report, because the agent cannot reach the leader.
-	PassOn bool `json:"pass_on,omitempty"`
+	// Forward asks a server that is not the leader to forward the report, because the agent cannot reach the leader.
+	Forward bool `json:"pass_on,omitempty"`
 }
 
-// Told is the response to a report.
-type Told struct {
+// SessionResponse is the response to a report.
+type SessionResponse struct {
 	Epoch     string         `json:"epoch"`
 	InForce   accord.Policy  `json:"in_force"`
 	BeginInMS int64          `json:"begin_in_ms"` // until requests may be accepted under InForce, rounded up
@@ -97,8 +97,8 @@
 	WithinMS int64           `json:"within_ms,omitempty"` // time within which all agents must have staged the policy
 }
 
-// Proposed is the response to a proposal.
-type Proposed struct {
+// ProposalResponse is the response to a proposal.
+type ProposalResponse struct {
 	Number int64  `json:"number"`
 	Hash   string `json:"hash"`
 }
@@ -239,7 +239,7 @@
 // nextPolicyOp returns the operation that is due for a change in flight, which has been in its phase for elapsed on the
 // leader's clock.
 func nextPolicyOp(view FleetView, elapsed time.Duration) (op accord.Op, due bool) {
-	change, limit := view.Change, time.Duration(view.Change.WithMS)*time.Millisecond
+	change, limit := view.Change, time.Duration(view.Change.WithinMS)*time.Millisecond
 	if change.Phase == accord.Armed {
 		limit = time.Duration(armedDeadlineRatio * float64(time.Duration(change.HoldMS)*time.Millisecond))
 	}
@@ -301,7 +301,7 @@
 
 // handleSessionReport records an agent's report and answers once there is news for the agent or its wait has ended.
 func (s *Server) handleSessionReport(w http.ResponseWriter, r *http.Request) {
-	var report Ask
+	var report SessionReport
 	data, status, err := readBody(w, r, &report)
 	if err != nil {
 		s.api.writeError(w, status, err)
@@ -309,7 +309,7 @@
 	}
 	// Agents find the leader themselves. Reports are long polls, and forwarding them would occupy the few connections between
 	// servers that writes need. A report of an agent that cannot reach the leader is forwarded with a short wait.
-	if !s.isReadyLeader() && !report.PassOn {
+	if !s.isReadyLeader() && !report.Forward {
 		s.api.writeError(w, http.StatusServiceUnavailable, ErrNoLeader)
 		return
 	} else if !s.isReadyLeader() {
@@ -343,7 +343,7 @@
 			if why == "" {
 				why = "it has left"
 			}
-			s.api.writeError(w, http.StatusGone, fmt.Errorf("%w: %s", accord.ErrGone, why))
+			s.api.writeError(w, http.StatusGone, fmt.Errorf("%w: %s", accord.ErrSessionEnded, why))
 			return
 		}
 		if view.hasNewsFor(report) {
@@ -369,17 +369,17 @@
 }
 
 // hasNewsFor reports whether the fleet state differs from what the agent has received.
-func (view *SessionView) hasNewsFor(report Ask) bool {
+func (view *SessionView) hasNewsFor(report SessionReport) bool {
 	number, phase := int64(0), accord.Phase("")
 	if view.Change != nil {
 		number, phase = view.Change.Number, view.Change.Phase
 	}
-	return view.Epoch != report.Epoch || view.InForce.Number > report.Knows || number != report.Change || phase != report.Phase || view.Decided != report.Decided || view.Session.State != accord.Present
+	return view.Epoch != report.Epoch || view.InForce.Number > report.KnownPolicy || number != report.Change || phase != report.Phase || view.Decided != report.Decided || view.Session.State != accord.Present
 }
 
 // response returns the answer to the agent's report.
-func (view *SessionView) response(lease time.Duration) Told {
-	t := Told{Epoch: view.Epoch, InForce: view.InForce, HoldMS: view.HoldMS, Change: view.Change, Decided: view.Decided, State: view.Session.State, LeaseMS: lease.Milliseconds()}
+func (view *SessionView) response(lease time.Duration) SessionResponse {
+	t := SessionResponse{Epoch: view.Epoch, InForce: view.InForce, HoldMS: view.HoldMS, Change: view.Change, Decided: view.Decided, State: view.Session.State, LeaseMS: lease.Milliseconds()}
 	if view.PolicyStartIn > 0 {
 		t.BeginInMS = (view.PolicyStartIn + time.Millisecond - 1).Milliseconds()
 	}
@@ -396,11 +396,11 @@
 		s.api.forwardToLeader(w, r, data, err)
 	case errors.Is(err, ErrNotFounded):
 		s.api.writeError(w, http.StatusServiceUnavailable, err)
-	case errors.Is(err, accord.ErrGone):
+	case errors.Is(err, accord.ErrSessionEnded):
 		s.api.writeError(w, http.StatusGone, err)
 	case errors.Is(err, accord.ErrUnknown):
 		s.api.writeError(w, http.StatusNotFound, err)
-	case errors.Is(err, accord.ErrOlderBoot), errors.Is(err, accord.ErrInFlight), errors.Is(err, accord.ErrNoChange):
+	case errors.Is(err, accord.ErrStaleBoot), errors.Is(err, accord.ErrInFlight), errors.Is(err, accord.ErrNoChange):
 		s.api.writeError(w, http.StatusConflict, err)
 	case errors.Is(err, accord.ErrTooMany):
 		s.api.writeError(w, http.StatusInsufficientStorage, err)
@@ -425,7 +425,7 @@
 		s.writeFleetError(w, r, data, err)
 		return
 	}
-	response := Proposed{Number: number}
+	response := ProposalResponse{Number: number}
 	if op.Propose != nil {
 		response.Hash = accord.Hash(op.Propose.Document)
 	}
@@ -456,7 +456,7 @@
 		s.api.writeError(w, status, err)
 		return
 	}
-	document, err := accord.Read(proposal.Document)
+	document, err := accord.ParseDocument(proposal.Document)
 	if err != nil {
 		s.writeFleetError(w, r, data, err)
 		return
--- a/internal/listsvc/fleet_test.go
+++ b/internal/listsvc/fleet_test.go
@@ -16,7 +16,7 @@
 
 // testAgent is an agent that follows every change of the policy at once.
 type testAgent struct {
-	report Ask
+	report SessionReport
 	http   *http.Client
 	server string
 }
@@ -40,12 +40,12 @@
 	if err != nil {
 		return err
 	}
-	var t Told
+	var t SessionResponse
 	if res.StatusCode != http.StatusOK || json.Unmarshal(text, &t) != nil {
 		return fmt.Errorf("status %d: %s", res.StatusCode, text)
 	}
 	s.report.Epoch, s.report.Decided, s.report.Change, s.report.Phase = t.Epoch, t.Decided, 0, ""
-	s.report.Knows, s.report.Follows = t.InForce.Number, t.InForce.Number
+	s.report.KnownPolicy, s.report.ActivePolicy = t.InForce.Number, t.InForce.Number
 	if c := t.Change; c != nil {
 		s.report.Change, s.report.Phase, s.report.Staged = c.Number, c.Phase, c.Number
 		if c.Phase == accord.Armed {
@@ -59,7 +59,7 @@
 // entries per second, however many agents there are.
 func TestAgentReportsAddFewLogEntries(t *testing.T) {
 	const agents = 300
-	s, err := Open(Options{Name: "l0", Dir: t.TempDir(), Listen: "127.0.0.1:0", Raft: "127.0.0.1:0", Beat: 500 * time.Millisecond})
+	s, err := Open(Options{Name: "l0", Dir: t.TempDir(), Listen: "127.0.0.1:0", Raft: "127.0.0.1:0", HeartbeatTimeout: 500 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 	defer stopReporting()
 	for i := range agents {
 		x := &testAgent{http: &http.Client{Transport: transport}, server: s.Addr(),
-			report: Ask{Session: accord.Session{ID: fmt.Sprint("id-", i), Name: fmt.Sprint("n", i), Boot: 1}, WaitMS: 300}}
+			report: SessionReport{Session: accord.Session{ID: fmt.Sprint("id-", i), Name: fmt.Sprint("n", i), Boot: 1}, WaitMS: 300}}
 		wg.Go(func() {
 			for reporting.Err() == nil {
 				if err := x.reportOnce(reporting); err != nil && reporting.Err() == nil {
@@ -118,7 +118,7 @@
 	elapsed, n := time.Since(start), s.raft.LastIndex()-before
 	waitFor("all agents know the policy", func(v FleetView) bool {
 		for _, x := range v.Sessions {
-			if x.Knows != 1 {
+			if x.KnownPolicy != 1 {
 				return false
 			}
 		}
--- a/internal/listsvc/fleetstate.go
+++ b/internal/listsvc/fleetstate.go
@@ -91,7 +91,7 @@
 	state := m.fleet
 	view = SessionView{Epoch: state.Epoch, Revision: m.fleetRevision, Changed: m.fleetChanged, InForce: state.InForce, PolicyStartIn: m.policyStartIn(), HoldMS: state.HoldMS, Decided: state.Decided(), RetireReason: state.Gone[session.ID], Sessions: len(state.Sessions)}
 	view.Session, view.Known = state.Sessions[session.ID]
-	if session.Knows >= state.InForce.Number {
+	if session.KnownPolicy >= state.InForce.Number {
 		view.InForce.Document = nil
 	}
 	if state.Change != nil {
@@ -108,7 +108,7 @@
 func (m *Machine) reportChangesFleet(session accord.Session) bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.fleet != nil && m.fleet.Changes(session)
+	return m.fleet != nil && m.fleet.WouldChange(session)
 }
 
 // FleetReport is the fleet's state as the HTTP API returns it.
@@ -117,16 +117,16 @@
 	InForce  accord.Policy     `json:"in_force"`
 	BeginMS  int64             `json:"begin_in_ms"` // until requests may be accepted under InForce
 	Change   *accord.Change    `json:"change,omitempty"`
-	Waits    []string          `json:"waits_for,omitempty"` // names of the sessions whose promise a change in flight needs
+	WaitsFor []string          `json:"waits_for,omitempty"` // names of the sessions whose promise a change in flight needs
 	Sessions []accord.Session  `json:"sessions"`
 	Outcomes []accord.Outcome  `json:"outcomes,omitempty"`
 	Gone     map[string]string `json:"gone,omitempty"`
 }
 
 func (view FleetView) report() FleetReport {
-	r := FleetReport{Epoch: view.Epoch, InForce: view.InForce, BeginMS: max(0, view.PolicyStartIn.Milliseconds()), Change: view.Change, Sessions: view.All(), Outcomes: view.Outcomes, Gone: view.Gone}
+	r := FleetReport{Epoch: view.Epoch, InForce: view.InForce, BeginMS: max(0, view.PolicyStartIn.Milliseconds()), Change: view.Change, Sessions: view.SortedSessions(), Outcomes: view.Outcomes, Gone: view.Gone}
 	for _, session := range view.Missing() {
-		r.Waits = append(r.Waits, session.Name)
+		r.WaitsFor = append(r.WaitsFor, session.Name)
 	}
 	if r.InForce.Document == nil {
 		r.InForce.Document = json.RawMessage("null")
--- a/internal/listsvc/http.go
+++ b/internal/listsvc/http.go
@@ -163,7 +163,7 @@
 		return
 	}
 	a.setCatalogHeaders(w, a.machine.Status())
-	err := Stream(w, r, a.ctx, func() (catalog.List, bool, <-chan struct{}) {
+	err := ServeWatch(w, r, a.ctx, func() (catalog.List, bool, <-chan struct{}) {
 		l, changed, next := a.machine.Since(cluster, version)
 		if changed {
 			cluster, version = a.machine.clusterOfList(l, cluster), l.Version
@@ -175,10 +175,10 @@
 	}
 }
 
-// Stream serves a watch until the client disconnects or stops reading, or done ends. It writes a line for each list that since
+// ServeWatch serves a watch until the client disconnects or stops reading, or done ends. It writes a line for each list that since
 // reports as changed, and an empty line after keepaliveInterval without a change. since also returns a channel that is
 // closed once there may be another change.
-func Stream(w http.ResponseWriter, r *http.Request, done context.Context, since func() (l catalog.List, changed bool, next <-chan struct{})) error {
+func ServeWatch(w http.ResponseWriter, r *http.Request, done context.Context, since func() (l catalog.List, changed bool, next <-chan struct{})) error {
 	controller := http.NewResponseController(w)
 	enc := json.NewEncoder(w)
 	tick := time.NewTimer(keepaliveInterval)
--- a/internal/listsvc/http_test.go
+++ b/internal/listsvc/http_test.go
@@ -255,7 +255,7 @@
 			if got.Version <= version {
 				t.Fatalf("version %d after %d", got.Version, version)
 			}
-			held, version = catalog.Follow(held, got), got.Version
+			held, version = catalog.Merge(held, got), got.Version
 		}
 	}
 	for i := range 300 { // a burst
--- a/internal/listsvc/machine.go
+++ b/internal/listsvc/machine.go
@@ -215,7 +215,7 @@
 	if m.catalog == nil {
 		return catalog.List{Full: true}, ""
 	}
-	return m.catalog.Whole(), m.catalog.Cluster()
+	return m.catalog.FullList(), m.catalog.Cluster()
 }
 
 // machineState is the content of a raft snapshot.
--- a/internal/listsvc/server.go
+++ b/internal/listsvc/server.go
@@ -48,22 +48,22 @@
 	AdvertiseHTTP, AdvertiseRaft string
 
 	// Servers are the initial servers of a new cluster, including this one. If empty, the cluster has only this server.
-	Servers []First
+	Servers []InitialServer
 	// Join holds HTTP addresses of servers of a running cluster, which a server with an empty directory asks to join.
 	Join []string
-	// Via maps addresses of other servers to the ones to connect to instead.
-	Via map[string]string
+	// AddressOverrides maps addresses of other servers to the ones to connect to instead.
+	AddressOverrides map[string]string
 
-	Keep         int           // number of changes in the list's history
-	Beat         time.Duration // a follower starts an election after this time without contact from the leader
-	SnapshotEach uint64        // commands between raft snapshots
-	Lease        time.Duration // a session lapses after this time without a report from its agent
-	FS           vfs.FS        // nil means the operating system's
-	Log          *slog.Logger
+	HistoryLength     int           // number of changes in the list's history
+	HeartbeatTimeout  time.Duration // a follower starts an election after this time without contact from the leader
+	SnapshotThreshold uint64        // commands between raft snapshots
+	Lease             time.Duration // a session lapses after this time without a report from its agent
+	FS                vfs.FS        // nil means the operating system's
+	Log               *slog.Logger
 }
 
-// First is an initial server of a new cluster.
-type First struct {
+// InitialServer is an initial server of a new cluster.
+type InitialServer struct {
 	Name string
 	HTTP string
 }
@@ -114,11 +114,11 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.Beat <= 0 {
-		o.Beat = time.Second
+	if o.HeartbeatTimeout <= 0 {
+		o.HeartbeatTimeout = time.Second
 	}
-	if o.SnapshotEach == 0 {
-		o.SnapshotEach = 8192
+	if o.SnapshotThreshold == 0 {
+		o.SnapshotThreshold = 8192
 	}
 	if o.Lease <= 0 {
 		o.Lease = 6 * time.Second
@@ -126,7 +126,7 @@
 	if err := o.check(); err != nil {
 		return nil, err
 	}
-	s = &Server{opts: o, fleet: newFleetCoordinator(o.Lease), log: o.Log.With("server", o.Name), machine: NewMachine(o.Keep), startedAt: time.Now(), fatalErr: make(chan error, 1), diskFailureCh: make(chan struct{})}
+	s = &Server{opts: o, fleet: newFleetCoordinator(o.Lease), log: o.Log.With("server", o.Name), machine: NewMachine(o.HistoryLength), startedAt: time.Now(), fatalErr: make(chan error, 1), diskFailureCh: make(chan struct{})}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	defer func() {
 		if err != nil {
@@ -236,7 +236,7 @@
 
 // dialAddress returns the address to connect to for a server's address.
 func (s *Server) dialAddress(addr string) string {
-	if to, ok := s.opts.Via[addr]; ok {
+	if to, ok := s.opts.AddressOverrides[addr]; ok {
 		return to
 	}
 	return addr
@@ -267,9 +267,9 @@
 func (s *Server) startRaft() error {
 	conf := raft.DefaultConfig()
 	conf.LocalID = raft.ServerID(s.identity.ID)
-	conf.HeartbeatTimeout, conf.ElectionTimeout, conf.LeaderLeaseTimeout = s.opts.Beat, s.opts.Beat, s.opts.Beat/2
-	conf.CommitTimeout = min(s.opts.Beat/20, 50*time.Millisecond)
-	conf.SnapshotThreshold, conf.TrailingLogs = s.opts.SnapshotEach, s.opts.SnapshotEach/2
+	conf.HeartbeatTimeout, conf.ElectionTimeout, conf.LeaderLeaseTimeout = s.opts.HeartbeatTimeout, s.opts.HeartbeatTimeout, s.opts.HeartbeatTimeout/2
+	conf.CommitTimeout = min(s.opts.HeartbeatTimeout/20, 50*time.Millisecond)
+	conf.SnapshotThreshold, conf.TrailingLogs = s.opts.SnapshotThreshold, s.opts.SnapshotThreshold/2
 	conf.SnapshotInterval = 10 * time.Second
 	conf.BatchApplyCh = true
 	conf.MaxAppendEntries = 128
--- a/internal/listsvc/server_test.go
+++ b/internal/listsvc/server_test.go
@@ -39,7 +39,7 @@
 	done               chan error
 	fs                 vfs.FS
 	join               []string
-	initial            []First
+	initial            []InitialServer
 }
 
 func newTestServer(t *testing.T, name string) *testServer {
@@ -66,7 +66,7 @@
 func (p *testServer) start(t *testing.T) {
 	t.Helper()
 	s, err := Open(Options{Name: p.name, Dir: p.dir, Listen: "127.0.0.1:0", Raft: "127.0.0.1:0", AdvertiseHTTP: p.httpLink.Addr(), AdvertiseRaft: p.raftLink.Addr(),
-		Servers: p.initial, Join: p.join, Keep: 64, Beat: 300 * time.Millisecond, SnapshotEach: 64, FS: p.fs})
+		Servers: p.initial, Join: p.join, HistoryLength: 64, HeartbeatTimeout: 300 * time.Millisecond, SnapshotThreshold: 64, FS: p.fs})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 	}
 	for _, p := range servers {
 		for _, q := range servers {
-			p.initial = append(p.initial, First{q.name, q.httpLink.Addr()})
+			p.initial = append(p.initial, InitialServer{q.name, q.httpLink.Addr()})
 		}
 	}
 	for i := range servers {
@@ -193,7 +193,7 @@
 	}
 	for _, p := range servers {
 		eventually(t, "the full list at "+p.name, func() bool { return len(p.ids(t, "")) == 3 })
-		if r := p.server.Report(); r.Cluster != servers[0].server.Report().Cluster || r.Cluster == "" || len(r.Members) != 3 || r.List != r.Cluster {
+		if r := p.server.Report(); r.Cluster != servers[0].server.Report().Cluster || r.Cluster == "" || len(r.Members) != 3 || r.ListCluster != r.Cluster {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -271,7 +271,7 @@
 // it, these are the configured ones.
 func TestPeerAddressesIncludeConfiguredServers(t *testing.T) {
 	own := Peer{ID: "i", Name: "l2", HTTP: "10.0.0.2:80"}
-	first := []First{{"l0", "10.0.0.0:80"}, {"l1", "10.0.0.1:80"}, {"l2", "10.0.0.2:80"}}
+	first := []InitialServer{{"l0", "10.0.0.0:80"}, {"l1", "10.0.0.1:80"}, {"l2", "10.0.0.2:80"}}
 	got := peerAddresses(own, []Peer{own}, first, []string{"10.0.0.9:80"})
 	if !slices.Equal(got, []string{"10.0.0.0:80", "10.0.0.1:80", "10.0.0.9:80"}) {
 		t.Errorf("%v", got)
@@ -289,7 +289,7 @@
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(report.Load()) }))
 	defer other.Close()
 	p := newTestServer(t, "l2")
-	p.initial = []First{{"l0", other.Listener.Addr().String()}, {"l1", "127.0.0.1:1"}, {"l2", p.httpLink.Addr()}}
+	p.initial = []InitialServer{{"l0", other.Listener.Addr().String()}, {"l1", "127.0.0.1:1"}, {"l2", p.httpLink.Addr()}}
 	report.Store(&Report{Name: "l0", Role: RoleNew}) // keeps the server from founding a cluster
 	p.start(t)
 	if err := p.server.updateIdentity(func(i *identity) error { i.Cluster = "c1"; return nil }); err != nil {
@@ -351,7 +351,7 @@
 	servers := []*testServer{newTestServer(t, "l0"), newTestServer(t, "l1"), newTestServer(t, "l2")}
 	for _, p := range servers {
 		for _, q := range servers {
-			p.initial = append(p.initial, First{q.name, q.httpLink.Addr()})
+			p.initial = append(p.initial, InitialServer{q.name, q.httpLink.Addr()})
 		}
 		p.fs = vfs.NewMem()
 	}
@@ -474,7 +474,7 @@
 }
 
 func TestInvalidOptions(t *testing.T) {
-	three := []First{{"l0", "h0"}, {"l1", "h1"}, {"l2", "h2"}}
+	three := []InitialServer{{"l0", "h0"}, {"l1", "h1"}, {"l2", "h2"}}
 	for _, c := range []struct {
 		o    Options
 		want string
@@ -483,8 +483,8 @@
 		{Options{Name: "l0"}, "dir: is missing"},
 		{Options{Name: "l0", Dir: "d", Servers: three[:2]}, "wanted are 1, 3 or 5"},
 		{Options{Name: "l9", Dir: "d", Servers: three}, `this server, "l9", is not among them`},
-		{Options{Name: "l0", Dir: "d", Servers: []First{three[0], three[0], three[1]}}, `"l0" is listed twice`},
-		{Options{Name: "l0", Dir: "d", Servers: []First{three[0], three[1], {"l2", ""}}}, "number 3: name and http"},
+		{Options{Name: "l0", Dir: "d", Servers: []InitialServer{three[0], three[0], three[1]}}, `"l0" is listed twice`},
+		{Options{Name: "l0", Dir: "d", Servers: []InitialServer{three[0], three[1], {"l2", ""}}}, "number 3: name and http"},
 		{Options{Name: "l0", Dir: "d", Servers: three, Join: []string{"h"}}, "join: "},
 	} {
 		if _, err := Open(c.o); err == nil || !strings.Contains(err.Error(), c.want) {
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -48,21 +48,21 @@
 	baseConfig Config // the configuration without a fleet policy
 	gate       accord.Gate
 	docs       map[int64]*accord.Document // of the policies that the gate follows or may follow; nil: the policy has none
-	status     accord.Says
-	lastReply  accord.Word        // without its documents
-	halted     bool               // the fleet no longer admits this relay
-	interrupt  context.CancelFunc // ends the exchange in progress, so that a new status is sent at once
-	lastError  string             // last logged error of an exchange
+	status     accord.ProcessStatus
+	lastReply  accord.ProcessReply // without its documents
+	halted     bool                // the fleet no longer admits this relay
+	interrupt  context.CancelFunc  // ends the exchange in progress, so that a new status is sent at once
+	lastError  string              // last logged error of an exchange
 }
 
 func newFleetClient(cfg Config, log *slog.Logger, requestStep func()) (*fleetClient, error) {
-	self, err := accord.Self()
+	self, err := accord.CurrentProcess()
 	if err != nil {
 		return nil, err
 	}
 	return &fleetClient{agent: cfg.FleetAgent, log: log, client: &http.Client{Timeout: agentTimeout,
 		Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}}, requestStep: requestStep, baseConfig: cfg,
-		docs: map[int64]*accord.Document{}, status: accord.Says{Process: self, Follows: -1}}, nil
+		docs: map[int64]*accord.Document{}, status: accord.ProcessStatus{Process: self, Follows: -1}}, nil
 }
 
 // setBaseConfig sets a new configuration. Which policies the relay can follow depends on it.
@@ -83,7 +83,7 @@
 func (f *fleetClient) acceptsUnder(number int64, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n, ok := f.gate.Takes(now)
+	n, ok := f.gate.AcceptsUnder(now)
 	return ok && n == number && !f.halted
 }
 
@@ -92,7 +92,7 @@
 func (f *fleetClient) checkStamp(number int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n, known := f.gate.Follows(time.Now())
+	n, known := f.gate.CurrentPolicy(time.Now())
 	invariant.Holds(invariant.StampFits, known && number <= n, number, n, known)
 }
 
@@ -100,7 +100,7 @@
 func (f *fleetClient) nextPolicy(follows int64, now time.Time) (number int64, doc *accord.Document, changed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n, known := f.gate.Follows(now)
+	n, known := f.gate.CurrentPolicy(now)
 	if !known || n == follows {
 		return 0, nil, false
 	}
@@ -169,7 +169,7 @@
 }
 
 // handleReply handles a reply of the agent that was received at receivedAt. The caller holds the lock.
-func (f *fleetClient) handleReply(reply accord.Word, receivedAt time.Time) error {
+func (f *fleetClient) handleReply(reply accord.ProcessReply, receivedAt time.Time) error {
 	if reply.Halt && !f.halted {
 		f.halted, f.status.Halted = true, true
 		f.log.Error("accepting no more messages: the fleet does not admit this relay", "why", reply.Why)
@@ -179,14 +179,14 @@
 			return err
 		}
 	}
-	for _, p := range f.gate.Promised() {
+	for _, p := range f.gate.OpenPromises() {
 		if p <= reply.Decided && p > reply.Policy.Number {
 			f.gate.Dropped(p)
 			f.log.Info("change of policy dropped", "number", p)
 		}
 	}
 	if c := reply.Change; c != nil && c.Number != f.status.Can && c.Number != f.status.Cannot {
-		doc, err := accord.Read(c.Document)
+		doc, err := accord.ParseDocument(c.Document)
 		if err == nil {
 			_, err = f.baseConfig.withPolicy(doc)
 		}
@@ -209,16 +209,16 @@
 }
 
 // followInForce makes the gate follow the policy in force from the time when that begins.
-func (f *fleetClient) followInForce(reply accord.Word, receivedAt time.Time) error {
+func (f *fleetClient) followInForce(reply accord.ProcessReply, receivedAt time.Time) error {
 	n := reply.Policy.Number
-	if follows, known := f.gate.Follows(receivedAt); known && n <= follows {
+	if follows, known := f.gate.CurrentPolicy(receivedAt); known && n <= follows {
 		return nil
 	}
 	if _, ok := f.docs[n]; !ok {
 		var doc *accord.Document
 		if n > 0 {
 			var err error
-			if doc, err = accord.Read(reply.Policy.Document); err == nil {
+			if doc, err = accord.ParseDocument(reply.Policy.Document); err == nil {
 				_, err = f.baseConfig.withPolicy(doc)
 			}
 			if err != nil {
@@ -235,12 +235,12 @@
 
 // sendStatus sends a process's status to the agent and returns the reply. The agent may delay the reply by up to wait if
 // it has nothing newer than have.
-func sendStatus(ctx context.Context, client *http.Client, agent string, status accord.Says, have accord.Word,
-	wait time.Duration) (reply accord.Word, err error) {
+func sendStatus(ctx context.Context, client *http.Client, agent string, status accord.ProcessStatus, have accord.ProcessReply,
+	wait time.Duration) (reply accord.ProcessReply, err error) {
 	body, err := json.Marshal(struct {
-		accord.Says
-		Have   accord.Word `json:"have"`
-		WaitMS int64       `json:"wait_ms"`
+		accord.ProcessStatus
+		Have   accord.ProcessReply `json:"have"`
+		WaitMS int64               `json:"wait_ms"`
 	}{status, have, wait.Milliseconds()})
 	if err != nil {
 		return reply, err
@@ -270,15 +270,15 @@
 	if cfg.FleetAgent == "" {
 		return nil
 	}
-	self, err := accord.Self()
+	self, err := accord.CurrentProcess()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, admissionTimeout)
 	defer cancel()
 	client := &http.Client{Timeout: agentTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	for have := (accord.Word{}); ; {
-		reply, err := sendStatus(ctx, client, cfg.FleetAgent, accord.Says{Process: self, Follows: -1}, have, admissionTimeout)
+	for have := (accord.ProcessReply{}); ; {
+		reply, err := sendStatus(ctx, client, cfg.FleetAgent, accord.ProcessStatus{Process: self, Follows: -1}, have, admissionTimeout)
 		switch {
 		case err != nil:
 			return fmt.Errorf("the agent does not admit this process: %w", err)
--- a/internal/swim/network_test.go
+++ b/internal/swim/network_test.go
@@ -65,7 +65,7 @@
 func (n *network) run(span time.Duration) {
 	end := n.now.Add(span)
 	for {
-		at, execute, due := n.events.Next(end)
+		at, execute, due := n.events.PopDue(end)
 		if !due {
 			break
 		}
--- a/internal/trial/policies.go
+++ b/internal/trial/policies.go
@@ -237,7 +237,7 @@
 		r, ok := h.newestPolicyState()
 		settled := ok && r.Change == nil
 		for _, s := range r.Sessions {
-			settled = settled && s.Follows == r.InForce.Number && s.State == accord.Present
+			settled = settled && s.ActivePolicy == r.InForce.Number && s.State == accord.Present
 		}
 		if !settled && time.Now().Before(end) && sleep(ctx, 20*time.Millisecond) {
 			continue
@@ -255,8 +255,8 @@
 				if s.Name != x.Name {
 					continue
 				}
-				e.Number, e.Note = int(s.Follows), fmt.Sprintf("%s, with %d in force", s.State, r.InForce.Number)
-				if s.Follows == r.InForce.Number && s.State == accord.Present && r.Change == nil {
+				e.Number, e.Note = int(s.ActivePolicy), fmt.Sprintf("%s, with %d in force", s.State, r.InForce.Number)
+				if s.ActivePolicy == r.InForce.Number && s.State == accord.Present && r.Change == nil {
 					e.Status = 1
 				}
 			}
--- a/internal/trial/stand/list_users.go
+++ b/internal/trial/stand/list_users.go
@@ -312,7 +312,7 @@
 			f.mu.Unlock()
 			return // this server is behind; try another
 		}
-		f.entries, f.cluster = catalog.Follow(f.entries, l), cluster
+		f.entries, f.cluster = catalog.Merge(f.entries, l), cluster
 		f.version.Store(l.Version)
 		e := history.Event{Kind: history.FollowerUpdate, Relay: f.name, Endpoint: server, Version: l.Version, State: cluster,
 			Note: digest(f.entries)}
--- a/internal/virtualtime/queue.go
+++ b/internal/virtualtime/queue.go
@@ -23,16 +23,16 @@
 // Len returns the number of scheduled events.
 func (q *Queue) Len() int { return len(q.events) }
 
-// Next removes and returns the next event if it is due at or before upTo.
-func (q *Queue) Next(upTo time.Time) (at time.Time, run func(), due bool) {
+// PopDue removes and returns the next event if it is due at or before upTo.
+func (q *Queue) PopDue(upTo time.Time) (at time.Time, run func(), due bool) {
 	if len(q.events) == 0 || q.events[0].at.After(upTo) {
 		return time.Time{}, nil, false
 	}
 	return q.take()
 }
 
-// First removes and returns the next event, whenever it is due.
-func (q *Queue) First() (at time.Time, run func(), ok bool) {
+// Pop removes and returns the next event, whenever it is due.
+func (q *Queue) Pop() (at time.Time, run func(), ok bool) {
 	if len(q.events) == 0 {
 		return time.Time{}, nil, false
 	}
--- a/internal/virtualtime/queue_test.go
+++ b/internal/virtualtime/queue_test.go
@@ -15,7 +15,7 @@
 		queue.At(start.Add(time.Duration(seconds)*time.Second), func() { happened = append(happened, number) })
 	}
 	for {
-		_, run, due := queue.Next(start.Add(2 * time.Second))
+		_, run, due := queue.PopDue(start.Add(2 * time.Second))
 		if !due {
 			break
 		}
@@ -23,9 +23,9 @@
 	}
 	assert.DeepEqual(t, happened, []int{1, 3, 2})
 	assert.Equal(t, queue.Len(), 1)
-	at, _, any := queue.First()
+	at, _, any := queue.Pop()
 	assert.Assert(t, any)
 	assert.Equal(t, at, start.Add(3*time.Second))
-	_, _, any = queue.First()
+	_, _, any = queue.Pop()
 	assert.Assert(t, !any)
 }
